--- a/crates/policy/src/brittleness/parts.rs
+++ b/crates/policy/src/brittleness/parts.rs
@@ -59,7 +59,7 @@
     /// This host's place among all that may send requests, and how many those are.
     fn place_among_hosts(&self, now: Time) -> (usize, usize) {
         let own = &self.options.host;
-        if self.neighbors.is_part_of_all() {
+        if self.neighbors.exchanges_with_subset() {
             let count = self.neighbors.remembered(own, now) + 1;
             let place = rendezvous_weight(PLACE_KEY, own) as usize % count;
             return (place, count);
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -234,7 +234,7 @@
                 upstream,
             } => self.on_listening_checked(now, &upstream, listening, actions),
             Event::LoadReported { report, upstream } => self.on_load_report(now, &upstream, report),
-            Event::NoteReceived { from, note } => self.on_note(now, from, note, actions),
+            Event::NoteReceived { from, note } => self.on_load_note(now, from, note, actions),
             Event::NoticeAnswered {
                 notice,
                 sent,
@@ -442,7 +442,7 @@
 
     /// Other hosts that this one observes.
     pub fn observed(&self, now: Time) -> Vec<HostId> {
-        self.neighbors.observed(now)
+        self.neighbors.hosts_with_fresh_notes(now)
     }
 
     /// How long ago the configuration was known to be the newest.
--- a/crates/policy/src/crashes/barring.rs
+++ b/crates/policy/src/crashes/barring.rs
@@ -171,7 +171,7 @@
         if self.options.relay.is_none() {
             return;
         }
-        let keeps_first = self.neighbors.is_part_of_all();
+        let keeps_first = self.neighbors.exchanges_with_subset();
         let record = &mut self.crashes.record;
         let to_keep = record.take_to_keep(fingerprint, keeps_first);
         if !to_keep.is_empty() {
--- a/crates/policy/src/duties/reporting.rs
+++ b/crates/policy/src/duties/reporting.rs
@@ -75,7 +75,7 @@
     /// This host holds the duties, and tells the others.
     pub(crate) fn on_duty_held(&mut self, now: Time, note: DutyNote, actions: &mut Vec<Action>) {
         self.reporting.note_holder(now, None, &note);
-        let to = if self.neighbors.is_part_of_all() {
+        let to = if self.neighbors.exchanges_with_subset() {
             self.neighbors.all_addresses().to_vec()
         } else {
             self.neighbors.addresses(&self.options.host).collect()
@@ -92,7 +92,7 @@
         if self.usage_window_ms().is_none() || now < self.reporting.next_announcement {
             return;
         }
-        let hosts = self.neighbors.len().max(self.neighbors.listed());
+        let hosts = self.neighbors.len().max(self.neighbors.installation_size());
         self.reporting.next_announcement = now + tell_interval(hosts);
         let holder = self.reporting.holder.as_ref();
         let Some(holder) = holder.filter(|holder| now.since(holder.last_received) < HOLDER_VALID)
--- a/crates/policy/src/hosts/hearing.rs
+++ b/crates/policy/src/hosts/load_notes.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 /// How much younger a host's knowledge must be to be sent at once to one that asks.
-const WORTH_TELLING: Duration = Duration::from_millis(200);
+const MIN_AGE_DIFFERENCE: Duration = Duration::from_millis(200);
 
 impl Controller {
-    pub(crate) fn on_note(
+    pub(crate) fn on_load_note(
         &mut self,
         now: Time,
         from: SocketAddr,
@@ -16,16 +16,19 @@
         if note.host == self.options.host {
             return;
         }
-        self.learn_confirmed(&note);
-        self.answer_soon(now, &note);
-        self.learn_leaving(now, &note, actions);
-        self.learn_reads(&note);
+        self.update_confirmed(&note);
+        self.expedite_next_note(now, &note);
+        self.apply_leaving_notices(now, &note, actions);
+        self.record_prompt_reads(&note);
         self.pool.note_speed_votes(&note.host, &note.speeds, now);
         if let Some(version) = note.version {
             self.on_version_advertised(now, from, version, actions);
         }
-        if self.neighbors.take(now, &self.options.host, from, note) {
-            self.apply_neighbors(now);
+        if self
+            .neighbors
+            .record_note(now, &self.options.host, from, note)
+        {
+            self.apply_neighbor_loads(now);
         }
     }
 
@@ -33,12 +36,13 @@
     /// the newest. Its word counts from the moment at which this host sent the
     /// note that it answers, so that a note that was long under way, or waited
     /// while this host was frozen, makes nothing look newer than it is.
-    fn learn_confirmed(&mut self, note: &LoadNote) {
-        let own = note
+    fn update_confirmed(&mut self, note: &LoadNote) {
+        let own_echo = note
             .echo
             .filter(|echo| echo.incarnation == self.options.incarnation);
-        let same = note.version.is_some() && note.version == self.version();
-        let (Some(echo), Some(age_ms), true) = (own, note.confirmed_age_ms, same) else {
+        let same_version = note.version.is_some() && note.version == self.version();
+        let (Some(echo), Some(age_ms), true) = (own_echo, note.confirmed_age_ms, same_version)
+        else {
             return;
         };
         let age = Duration::from_millis(u64::from(age_ms));
@@ -53,19 +57,19 @@
     /// note of its own that they answer, which is up to a second older. Together
     /// with the 3.6 s of the others' knowledge that is more than keys may be taken
     /// for, and it refuses them now and then.
-    fn answer_soon(&mut self, now: Time, note: &LoadNote) {
-        let Some(own) = self.config_age(now) else {
+    fn expedite_next_note(&mut self, now: Time, note: &LoadNote) {
+        let Some(own_age) = self.config_age(now) else {
             return;
         };
-        let theirs = note.confirmed_age_ms.map(u64::from);
-        let theirs = theirs.map_or(Duration::MAX, Duration::from_millis);
-        if own.saturating_add(WORTH_TELLING) < theirs {
-            self.neighbors.next_idle = now;
+        let sender_age = note.confirmed_age_ms.map(u64::from);
+        let sender_age = sender_age.map_or(Duration::MAX, Duration::from_millis);
+        if own_age.saturating_add(MIN_AGE_DIFFERENCE) < sender_age {
+            self.neighbors.next_idle_note = now;
         }
     }
 
     /// Believes another host that upstreams leave.
-    fn learn_leaving(&mut self, now: Time, note: &LoadNote, actions: &mut Vec<Action>) {
+    fn apply_leaving_notices(&mut self, now: Time, note: &LoadNote, actions: &mut Vec<Action>) {
         for upstream in &note.leaving {
             let source = NoticeSource::Host(note.host.clone());
             self.note_leaving(now, upstream, source, actions);
@@ -77,7 +81,7 @@
     /// What goes wrong without it: a document that many ask for is read by a second
     /// engine, but only one host knows; the others stay with the first engine and
     /// wait, or have it read once more each.
-    fn learn_reads(&mut self, note: &LoadNote) {
+    fn record_prompt_reads(&mut self, note: &LoadNote) {
         for read in &note.reads {
             if let Some(state) = self.pool.get_mut(&read.upstream) {
                 state.cache.note_read(read.chain, read.tokens);
--- a/crates/policy/src/hosts/mod.rs
+++ b/crates/policy/src/hosts/mod.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 mod coordinator;
-mod hearing;
 mod host_group;
+mod load_notes;
 mod member;
 mod membership;
 pub(crate) mod neighbors;
--- a/crates/policy/src/hosts/neighbors.rs
+++ b/crates/policy/src/hosts/neighbors.rs
@@ -12,18 +12,18 @@
 /// Time before the end of its knowledge of the configuration from which a host asks
 /// the others for theirs: what a host that reaches the store knows is at most 3.6 s
 /// old, so with a bound of 4.9 s it never does.
-const ASK_AHEAD: Duration = Duration::from_millis(1_200);
+const CONFIRMATION_MARGIN: Duration = Duration::from_millis(1_200);
 
 /// Time between two notes of a host that asks.
-const ASK_INTERVAL: Duration = Duration::from_millis(250);
+const CONFIRMATION_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Bytes a second that all hosts together spend on notes at the most: 24 kB a
 /// host with seven hosts, whose notes are then recent enough to place prompts by.
-const BYTES_PER_S_OF_ALL: f64 = 170_000.0;
+const TOTAL_BYTES_PER_S: f64 = 170_000.0;
 
 /// Bytes a second that a host may spend in any case: the budget of control at the
 /// size to design for.
-const MIN_BYTES_PER_S: f64 = 3_000.0;
+const MIN_HOST_BYTES_PER_S: f64 = 3_000.0;
 
 /// Bytes of a note without loads, of its headers, and of one upstream's load.
 const NOTE_BYTES: f64 = 110.0;
@@ -36,36 +36,36 @@
 const VOTE_BYTES: f64 = 4.0;
 
 /// Notes in which such a part is announced, as one of them may be lost.
-const TELL_READS: u32 = 3;
+const READ_ANNOUNCEMENTS: u32 = 3;
 
 /// Most such parts that wait to be announced: where notes are rare the oldest ones are
 /// of no use any more.
-const MAX_ANNOUNCED_READS: usize = 4 * peer::MAX_READS;
+const MAX_PENDING_READS: usize = 4 * peer::MAX_READS;
 
 /// Time for which a host's last note counts. After it the host is taken to have
 /// ended, and its load with it.
-const VALID: Duration = Duration::from_millis(2_500);
+const NOTE_VALIDITY: Duration = Duration::from_millis(2_500);
 
 /// Notes of a host that may be missing until it is taken to have ended, where notes are rare.
-const MISSING_NOTES: u32 = 4;
+const MAX_MISSED_NOTES: u32 = 4;
 
 /// Time between two notes up to which what they tell of an engine is still there when a
 /// prompt is placed: a prompt is read in some 0.1 to 0.2 s, and runs for a second.
-const TIMELY: Duration = Duration::from_millis(1_000);
+const MAX_TIMELY_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Engines among which a prompt is placed where notes come too late to tell their load: the
 /// first one is its home, the others take over in an order that is the same on all hosts.
-const CANDIDATES: usize = 3;
+const CANDIDATE_ENGINES: usize = 3;
 
 /// Hosts up to which each exchanges notes with all others. Beyond that a note to all takes over
 /// half a minute within the budget, and says nothing that still holds; hosts then exchange them
 /// with those of their group.
-const MAX_EXCHANGING: usize = 384;
+const MAX_FULL_MESH_HOSTS: usize = 384;
 
 /// Whether hosts are so many that each exchanges notes with those of its group only, and knows
 /// those of its own failure domain.
 pub const fn are_grouped(hosts: usize) -> bool {
-    hosts > MAX_EXCHANGING
+    hosts > MAX_FULL_MESH_HOSTS
 }
 
 /// Another host.
@@ -73,35 +73,35 @@
 struct Neighbor {
     address: SocketAddr,
     /// Whether it stands in this host's failure domain, as far as is known.
-    is_near: bool,
+    is_same_domain: bool,
     /// When it was observed last, and its note.
-    received: Option<(Time, LoadNote)>,
+    last_note: Option<(Time, LoadNote)>,
     /// When it was listed or observed first.
-    known: Time,
+    known_since: Time,
     /// Number that differs for each pair of hosts.
-    pair: u64,
+    pair_weight: u64,
 }
 
 impl Neighbor {
-    fn new(own: &HostId, host: &HostId, address: SocketAddr, known: Time) -> Self {
+    fn new(own: &HostId, host: &HostId, address: SocketAddr, known_since: Time) -> Self {
         Self {
             address,
-            is_near: false,
-            known,
-            pair: rendezvous_weight(own.as_str(), host),
-            received: None,
+            is_same_domain: false,
+            known_since,
+            pair_weight: rendezvous_weight(own.as_str(), host),
+            last_note: None,
         }
     }
 
     /// Its last note, while that counts.
-    fn fresh(&self, now: Time) -> Option<&(Time, LoadNote)> {
-        let received = self.received.as_ref();
-        received.filter(|(received, _)| now.since(*received) <= VALID)
+    fn fresh_note(&self, now: Time) -> Option<&(Time, LoadNote)> {
+        let received = self.last_note.as_ref();
+        received.filter(|(received, _)| now.since(*received) <= NOTE_VALIDITY)
     }
 
     /// When it was observed last.
     fn last_received(&self) -> Option<Time> {
-        self.received.as_ref().map(|(received, _)| *received)
+        self.last_note.as_ref().map(|(received, _)| *received)
     }
 }
 
@@ -121,13 +121,13 @@
     /// Those that exchange notes with this one.
     hosts: BTreeMap<HostId, Neighbor>,
     /// Hosts of the whole installation, this one included.
-    listed: usize,
-    pub(crate) next_idle: Time,
+    installation_size: usize,
+    pub(crate) next_idle_note: Time,
     next_note: Time,
     /// Shared parts that this host had read, and in how many more notes each is
     /// announced.
-    reads: VecDeque<(PromptRead, u32)>,
-    advertised: Vec<UpstreamLoad>,
+    pending_reads: VecDeque<(PromptRead, u32)>,
+    last_loads: Vec<UpstreamLoad>,
 }
 
 impl Neighbors {
@@ -138,12 +138,12 @@
         own: &HostId,
         domain: &FailureDomainId,
         peers: &[PeerHost],
-        in_all: Option<usize>,
+        installation_size: Option<usize>,
     ) {
-        self.listed = in_all.unwrap_or(peers.len());
+        self.installation_size = installation_size.unwrap_or(peers.len());
         let others = peers.iter().filter(|peer| peer.host != *own);
         self.addresses = others.clone().map(|peer| peer.address).collect();
-        let exchanging: Vec<&PeerHost> = if are_grouped(self.listed) {
+        let exchanging: Vec<&PeerHost> = if are_grouped(self.installation_size) {
             let group = own_group(own, domain, peers.iter());
             self.hosts
                 .retain(|host, _| group.iter().any(|peer| peer.host == *host));
@@ -156,12 +156,12 @@
             let neighbor =
                 neighbor.or_insert_with(|| Neighbor::new(own, &peer.host, peer.address, now));
             neighbor.address = peer.address;
-            neighbor.is_near = peer.failure_domain == *domain;
+            neighbor.is_same_domain = peer.failure_domain == *domain;
         }
     }
 
     /// Takes a note; one that was overtaken by a newer one is dropped.
-    pub(crate) fn take(
+    pub(crate) fn record_note(
         &mut self,
         now: Time,
         own: &HostId,
@@ -170,33 +170,33 @@
     ) -> bool {
         let neighbor = self.hosts.entry(note.host.clone());
         let neighbor = neighbor.or_insert_with(|| Neighbor::new(own, &note.host, from, now));
-        let overtaken = neighbor.received.as_ref().is_some_and(|(_, last)| {
+        let overtaken = neighbor.last_note.as_ref().is_some_and(|(_, last)| {
             last.incarnation == note.incarnation && last.sent_us >= note.sent_us
         });
         if overtaken {
             return false;
         }
         neighbor.address = from;
-        neighbor.received = Some((now, note));
+        neighbor.last_note = Some((now, note));
         true
     }
 
     /// The notes that count, and when they were observed.
-    fn fresh(&self, now: Time) -> impl Iterator<Item = &(Time, LoadNote)> {
+    fn fresh_notes(&self, now: Time) -> impl Iterator<Item = &(Time, LoadNote)> {
         let hosts = self.hosts.values();
-        hosts.filter_map(move |neighbor| neighbor.fresh(now))
+        hosts.filter_map(move |neighbor| neighbor.fresh_note(now))
     }
 
     /// Age of the oldest note that counts.
-    pub(crate) fn oldest_age(&self, now: Time) -> Option<Duration> {
-        self.fresh(now)
+    pub(crate) fn oldest_note_age(&self, now: Time) -> Option<Duration> {
+        self.fresh_notes(now)
             .map(|(received, _)| now.since(*received))
             .max()
     }
 
     /// Hosts whose notes count.
-    pub(crate) fn observed(&self, now: Time) -> Vec<HostId> {
-        let notes = self.fresh(now).map(|(_, note)| note);
+    pub(crate) fn hosts_with_fresh_notes(&self, now: Time) -> Vec<HostId> {
+        let notes = self.fresh_notes(now).map(|(_, note)| note);
         notes.map(|note| note.host.clone()).collect()
     }
 
@@ -206,52 +206,59 @@
     }
 
     /// Whether there are hosts that exchange no notes with this one.
-    pub(crate) fn is_part_of_all(&self) -> bool {
-        self.listed > self.hosts.len() + 1
+    pub(crate) fn exchanges_with_subset(&self) -> bool {
+        self.installation_size > self.hosts.len() + 1
     }
 
     /// Hosts of the whole installation, this one included.
-    pub(crate) const fn listed(&self) -> usize {
-        self.listed
+    pub(crate) const fn installation_size(&self) -> usize {
+        self.installation_size
     }
 
     /// All other hosts, when each was observed last, or else became known, and where it listens.
-    pub(crate) fn others(&self, own: &HostId) -> impl Iterator<Item = (&HostId, Time, SocketAddr)> {
-        self.hosts_but(own).map(|(host, neighbor)| {
-            let seen = neighbor.last_received().unwrap_or(neighbor.known);
+    pub(crate) fn others_last_seen(
+        &self,
+        own: &HostId,
+    ) -> impl Iterator<Item = (&HostId, Time, SocketAddr)> {
+        self.hosts_except(own).map(|(host, neighbor)| {
+            let seen = neighbor.last_received().unwrap_or(neighbor.known_since);
             (host, seen, neighbor.address)
         })
     }
 
     /// The other hosts that were ever observed, when last, and where each listens.
-    pub(crate) fn received_others(
+    pub(crate) fn others_with_note(
         &self,
         own: &HostId,
     ) -> impl Iterator<Item = (&HostId, Time, SocketAddr)> {
-        self.hosts_but(own).filter_map(|(host, neighbor)| {
+        self.hosts_except(own).filter_map(|(host, neighbor)| {
             Some((host, neighbor.last_received()?, neighbor.address))
         })
     }
 
-    fn hosts_but(&self, own: &HostId) -> impl Iterator<Item = (&HostId, &Neighbor)> {
+    fn hosts_except(&self, own: &HostId) -> impl Iterator<Item = (&HostId, &Neighbor)> {
         self.hosts.iter().filter(move |(host, _)| *host != own)
     }
 
     /// Hosts that may connect to upstreams of some targets for this one, by all that they say: the
     /// number of the pair, whether it stands in the same failure domain, and where it listens.
-    pub(crate) fn able_to_connect(
+    pub(crate) fn transit_candidates(
         &self,
         own: &HostId,
         targets: &[Target],
         now: Time,
     ) -> impl Iterator<Item = (u64, bool, SocketAddr)> {
-        let silence = self.longest_silence();
-        self.hosts_but(own).filter_map(move |(_, neighbor)| {
+        let silence = self.silence_timeout();
+        self.hosts_except(own).filter_map(move |(_, neighbor)| {
             let received = neighbor.last_received()?;
-            let note = neighbor.fresh(now);
-            let is_able = now.since(received) <= silence
-                && note.is_none_or(|(_, note)| reaches_for_others(&note.reach, targets));
-            is_able.then_some((neighbor.pair, neighbor.is_near, neighbor.address))
+            let note = neighbor.fresh_note(now);
+            let is_candidate = now.since(received) <= silence
+                && note.is_none_or(|(_, note)| offers_transit(&note.reach, targets));
+            is_candidate.then_some((
+                neighbor.pair_weight,
+                neighbor.is_same_domain,
+                neighbor.address,
+            ))
         })
     }
 
@@ -261,14 +268,14 @@
     }
 
     /// Time between two notes, by what was announced last.
-    pub(crate) fn usual_interval(&self) -> Duration {
-        self.interval(self.advertised.len(), 0, 0)
+    pub(crate) fn expected_note_interval(&self) -> Duration {
+        self.note_interval(self.last_loads.len(), 0, 0)
             .max(IDLE_INTERVAL)
     }
 
     /// Silence after which a host is taken to have ended.
-    pub(crate) fn longest_silence(&self) -> Duration {
-        (self.usual_interval() * MISSING_NOTES).max(VALID)
+    pub(crate) fn silence_timeout(&self) -> Duration {
+        (self.expected_note_interval() * MAX_MISSED_NOTES).max(NOTE_VALIDITY)
     }
 
     /// Where the other known hosts listen, also those that exchange no notes with this one.
@@ -278,13 +285,13 @@
 
     /// Where the hosts listen that exchange notes with this one.
     pub(crate) fn addresses(&self, own: &HostId) -> impl Iterator<Item = SocketAddr> {
-        self.hosts_but(own).map(|(_, neighbor)| neighbor.address)
+        self.hosts_except(own).map(|(_, neighbor)| neighbor.address)
     }
 
     /// The load of all other hosts on each upstream.
     fn loads(&self, now: Time) -> HashMap<UpstreamId, OthersLoad> {
         let mut loads: HashMap<UpstreamId, OthersLoad> = HashMap::default();
-        for load in self.fresh(now).flat_map(|(_, note)| &note.loads) {
+        for load in self.fresh_notes(now).flat_map(|(_, note)| &note.loads) {
             let sum = loads.entry(load.upstream.clone()).or_default();
             sum.backlog += u64::from(load.backlog.get());
             sum.in_flight += load.in_flight;
@@ -294,24 +301,24 @@
     }
 
     /// Notes shared parts to be announced to the others.
-    pub(crate) fn tell_reads(&mut self, reads: Vec<PromptRead>) {
-        let reads = reads.into_iter().map(|read| (read, TELL_READS));
-        self.reads.extend(reads);
-        let excess = self.reads.len().saturating_sub(MAX_ANNOUNCED_READS);
-        self.reads.drain(..excess);
+    pub(crate) fn queue_reads(&mut self, reads: Vec<PromptRead>) {
+        let reads = reads.into_iter().map(|read| (read, READ_ANNOUNCEMENTS));
+        self.pending_reads.extend(reads);
+        let excess = self.pending_reads.len().saturating_sub(MAX_PENDING_READS);
+        self.pending_reads.drain(..excess);
     }
 
     /// The parts for the next note.
-    fn take_reads(&mut self) -> Vec<PromptRead> {
-        let now = self.reads.len().min(peer::MAX_READS);
-        let mut advertised = Vec::new();
-        for (read, left) in self.reads.drain(..now).collect::<Vec<_>>() {
-            if left > 1 {
-                self.reads.push_back((read.clone(), left - 1));
+    fn take_due_reads(&mut self) -> Vec<PromptRead> {
+        let count = self.pending_reads.len().min(peer::MAX_READS);
+        let mut due = Vec::new();
+        for (read, remaining) in self.pending_reads.drain(..count).collect::<Vec<_>>() {
+            if remaining > 1 {
+                self.pending_reads.push_back((read.clone(), remaining - 1));
             }
-            advertised.push(read);
+            due.push(read);
         }
-        advertised
+        due
     }
 
     /// Engines to which the choice for a prompt is narrowed; `None` while notes tell the
@@ -319,32 +326,32 @@
     ///
     /// Guards against all hosts sending their overflow to the one engine that the last notes
     /// made look best: each knows only its own part of what is there.
-    pub(crate) fn candidates(&self) -> Option<usize> {
+    pub(crate) fn candidate_limit(&self) -> Option<usize> {
         if self.hosts.is_empty() {
             return None;
         }
-        let is_timely = self.interval(self.advertised.len(), 0, 0) <= TIMELY;
-        (!is_timely).then_some(CANDIDATES)
+        let is_timely = self.note_interval(self.last_loads.len(), 0, 0) <= MAX_TIMELY_INTERVAL;
+        (!is_timely).then_some(CANDIDATE_ENGINES)
     }
 
-    fn interval(&self, loads: usize, reads: usize, votes: usize) -> Duration {
+    fn note_interval(&self, loads: usize, reads: usize, votes: usize) -> Duration {
         let hosts = self.hosts.len() as f64;
-        let told = LOAD_BYTES * loads as f64 + READ_BYTES * reads as f64;
-        let contents = told + VOTE_BYTES * votes as f64;
+        let loads_and_reads = LOAD_BYTES * loads as f64 + READ_BYTES * reads as f64;
+        let contents = loads_and_reads + VOTE_BYTES * votes as f64;
         let bytes = (NOTE_BYTES + contents) * hosts;
-        let bytes_per_s = (BYTES_PER_S_OF_ALL / hosts).max(MIN_BYTES_PER_S);
+        let bytes_per_s = (TOTAL_BYTES_PER_S / hosts).max(MIN_HOST_BYTES_PER_S);
         MIN_INTERVAL.max(Duration::from_secs_f64(bytes / bytes_per_s))
     }
 }
 
 /// Whether the sender of a note may reach upstreams of some targets for others.
-fn reaches_for_others(reach: &ReachNote, targets: &[Target]) -> bool {
+fn offers_transit(reach: &ReachNote, targets: &[Target]) -> bool {
     let is_cut_off = |target: &Target| reach.cut_off.contains(&target.to_string());
     !reach.declines && (reach.cut_off.is_empty() || !targets.iter().any(is_cut_off))
 }
 
 impl Controller {
-    pub(crate) fn apply_neighbors(&mut self, now: Time) {
+    pub(crate) fn apply_neighbor_loads(&mut self, now: Time) {
         let loads = self.neighbors.loads(now);
         for state in &mut self.pool.states {
             let load = loads.get(&state.id).copied().unwrap_or_default();
@@ -361,36 +368,41 @@
             return;
         }
         let loads = self.own_loads();
-        let idle = now >= self.neighbors.next_idle;
-        let news = loads != self.neighbors.advertised || !self.neighbors.reads.is_empty();
-        if !news && !idle {
+        let is_idle_note_due = now >= self.neighbors.next_idle_note;
+        let has_changes =
+            loads != self.neighbors.last_loads || !self.neighbors.pending_reads.is_empty();
+        if !has_changes && !is_idle_note_due {
             return;
         }
-        if idle {
-            self.neighbors.next_idle = now + self.idle_interval(now);
+        if is_idle_note_due {
+            self.neighbors.next_idle_note = now + self.idle_interval(now);
             // Loads of hosts that fell silent run out.
-            self.apply_neighbors(now);
+            self.apply_neighbor_loads(now);
         }
-        let reads = self.neighbors.take_reads();
+        let reads = self.neighbors.take_due_reads();
         let speeds = self.pool.take_speed_votes(now);
         let interval = self
             .neighbors
-            .interval(loads.len(), reads.len(), speeds.len());
+            .note_interval(loads.len(), reads.len(), speeds.len());
         self.neighbors.next_note = now + interval;
-        self.neighbors.advertised.clone_from(&loads);
-        let notes = self.notes(now, &loads, &reads, &speeds, idle);
+        self.neighbors.last_loads.clone_from(&loads);
+        let notes = self.build_notes(now, &loads, &reads, &speeds, is_idle_note_due);
         actions.push(Action::SendNotes { notes });
     }
 
     /// Time between two notes when nothing changes.
     fn idle_interval(&self, now: Time) -> Duration {
         let limit = self.options.relay.as_ref().map(|relay| relay.key_knowledge);
-        let asks = match (limit, self.config_age(now)) {
-            (Some(limit), Some(age)) => age + ASK_AHEAD >= limit,
+        let needs_confirmation = match (limit, self.config_age(now)) {
+            (Some(limit), Some(age)) => age + CONFIRMATION_MARGIN >= limit,
             (Some(_), None) => true,
             (None, _) => false,
         };
-        if asks { ASK_INTERVAL } else { IDLE_INTERVAL }
+        if needs_confirmation {
+            CONFIRMATION_INTERVAL
+        } else {
+            IDLE_INTERVAL
+        }
     }
 
     fn own_loads(&self) -> Vec<UpstreamLoad> {
@@ -407,13 +419,13 @@
     }
 
     /// One note for each host; hosts that are silent get one only now and then.
-    fn notes(
+    fn build_notes(
         &self,
         now: Time,
         loads: &[UpstreamLoad],
         reads: &[PromptRead],
         speeds: &[SpeedVote],
-        to_silent: bool,
+        include_silent: bool,
     ) -> Vec<(SocketAddr, LoadNote)> {
         let leaving = self.pool.select(UpstreamState::is_said_leaving);
         let reach = self.reach_note();
@@ -422,8 +434,8 @@
         hosts
             .filter(|(host, _)| **host != self.options.host)
             .filter_map(|(_, neighbor)| {
-                let received = neighbor.received.as_ref();
-                (to_silent || neighbor.fresh(now).is_some()).then(|| {
+                let received = neighbor.last_note.as_ref();
+                (include_silent || neighbor.fresh_note(now).is_some()).then(|| {
                     let note = LoadNote {
                         confirmed_age_ms: confirmed_age,
                         echo: received.map(|(_, note)| Echo {
--- a/crates/policy/src/overload/early_refusal.rs
+++ b/crates/policy/src/overload/early_refusal.rs
@@ -189,8 +189,9 @@
 
     /// Work at the engines of each target.
     fn pool_loads(&self, now: Time) -> BTreeMap<Target, PoolLoad> {
-        let observed = self.neighbors.observed(now).len() + 1;
-        let hosts_for_each = self.neighbors.listed().max(observed) as f64 / observed as f64;
+        let observed = self.neighbors.hosts_with_fresh_notes(now).len() + 1;
+        let hosts_for_each =
+            self.neighbors.installation_size().max(observed) as f64 / observed as f64;
         let targets = self.early_refusal.classes.keys().map(|(target, _)| target);
         let loads = targets.map(|target| {
             let states = self.pool.copies(target);
--- a/crates/policy/src/prompt_transfers/starting.rs
+++ b/crates/policy/src/prompt_transfers/starting.rs
@@ -16,7 +16,7 @@
             None,
             facts.rank,
             self.stream_share(&facts.target),
-            self.neighbors.candidates(),
+            self.neighbors.candidate_limit(),
         );
         let sources = self.pool.sources(wanted.target, wanted.avoid, now);
         let engine = Pool::rendezvous_engine(sources, wanted.parts);
@@ -35,7 +35,7 @@
             }
             let reads = state.keep_prompt(&facts.parts);
             if TransferSpeed::of(state).is_none() {
-                self.neighbors.tell_reads(reads);
+                self.neighbors.queue_reads(reads);
             }
         }
         request.stage.fetch = fetch;
@@ -63,7 +63,7 @@
         if TransferSpeed::of(state).is_some() {
             let reads = state.confirm_prompt(parts);
             if !is_rendezvous {
-                self.neighbors.tell_reads(reads);
+                self.neighbors.queue_reads(reads);
             }
         }
     }
--- a/crates/policy/src/queueing/dispatch.rs
+++ b/crates/policy/src/queueing/dispatch.rs
@@ -120,7 +120,7 @@
             pace_ms,
             rank,
             self.stream_share(&facts.target),
-            self.neighbors.candidates(),
+            self.neighbors.candidate_limit(),
         );
         self.pool.choose(&wanted, now, &mut self.rng)
     }
@@ -224,7 +224,7 @@
                     fingerprint: request.facts.fingerprint,
                     in_flight: state.in_flight,
                     limit: state.limit.rate(),
-                    others_age: self.neighbors.oldest_age(now),
+                    others_age: self.neighbors.oldest_note_age(now),
                     others_backlog: state.others_backlog,
                     others_in_flight: state.others,
                     prompt: placement::shared_chain(&request.facts.parts),
--- a/crates/policy/src/reach/transit.rs
+++ b/crates/policy/src/reach/transit.rs
@@ -28,7 +28,7 @@
     fn paths_through(&self, now: Time, upstream: &UpstreamId, targets: &[Target]) -> Vec<Path> {
         let hosts = self
             .neighbors
-            .able_to_connect(&self.options.host, targets, now);
+            .transit_candidates(&self.options.host, targets, now);
         let mut hosts: Vec<(bool, bool, u64, SocketAddr)> = hosts
             .map(|(place, is_near, address)| {
                 let avoided = self.transit.is_avoided(address, now);
--- a/crates/policy/src/requests/resuming.rs
+++ b/crates/policy/src/requests/resuming.rs
@@ -79,7 +79,7 @@
             None,
             facts.rank,
             self.stream_share(&facts.target),
-            self.neighbors.candidates(),
+            self.neighbors.candidate_limit(),
         );
         let Some(upstream) = self.pool.choose(&wanted, now, &mut self.rng) else {
             return Some(request);
--- a/crates/policy/src/upstream_limits/known_hosts.rs
+++ b/crates/policy/src/upstream_limits/known_hosts.rs
@@ -11,7 +11,7 @@
     pub(crate) fn remembered(&self, own: &HostId, now: Time) -> usize {
         // Those that exchange no notes with this one send, too.
         let known = self.remembered_hosts(own, now).count();
-        known.max(self.listed().saturating_sub(1))
+        known.max(self.installation_size().saturating_sub(1))
     }
 
     /// Those of them that exchange notes with this one.
@@ -20,7 +20,7 @@
         own: &HostId,
         now: Time,
     ) -> impl Iterator<Item = &HostId> {
-        let others = self.others(own);
+        let others = self.others_last_seen(own);
         let known = others.filter(move |(_, seen, _)| now.since(*seen) < REMEMBERED);
         known.map(|(host, ..)| host)
     }
@@ -37,8 +37,8 @@
         own: &HostId,
         now: Time,
     ) -> impl Iterator<Item = (&HostId, SocketAddr)> {
-        let silence = self.longest_silence();
-        let others = self.received_others(own);
+        let silence = self.silence_timeout();
+        let others = self.others_with_note(own);
         let living = others.filter(move |(_, received, _)| now.since(*received) <= silence);
         living.map(|(host, _, address)| (host, address))
     }
