--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -179,18 +179,18 @@
             Event::ClaimAnswered { answer, request } => {
                 self.on_claim_answered(now, request, answer, actions);
             }
-            Event::ConfigurationAnnounced => self.on_announced(now, actions),
+            Event::ConfigurationAnnounced => self.on_configuration_announced(now, actions),
             Event::ConfigurationConfirmed { as_of } => {
                 self.confirmed = self.confirmed.max(Some(as_of));
                 self.newer.note_confirmed();
             }
             Event::ConfigurationElsewhere { from, version } => {
-                self.on_elsewhere(now, from, version, actions);
+                self.on_newer_at_peer(now, from, version, actions);
             }
             Event::ConfigurationFetchEnded { address, end } => {
                 self.on_fetch_ended(now, address, end, actions);
             }
-            Event::ConfigurationPacked(version) => self.tell_version(version, actions),
+            Event::ConfigurationPacked(version) => self.announce_version(version, actions),
             Event::ConfigurationRead(numbered) => self.on_configuration(now, numbered),
             Event::DirectoryReachableAgain => {
                 self.directory
@@ -340,7 +340,7 @@
     /// The host that this one asks for shares; itself, if it is the coordinator.
     pub fn coordinator(&self, now: Time) -> &HostId {
         match self.peering.members.coordinator(now) {
-            Some(member) => &member.listed.host,
+            Some(member) => &member.listing.host,
             None => &self.options.host,
         }
     }
@@ -383,7 +383,7 @@
             self.follow_limits(now);
         }
         self.limits.retain(&numbered.document);
-        self.peering.follow(&numbered.document.scheduling);
+        self.peering.apply_scheduling(&numbered.document.scheduling);
         self.configuration = Some(numbered);
         self.note_in_force();
         self.apply_shares(now);
--- a/crates/policy/src/hosts/coordinator.rs
+++ b/crates/policy/src/hosts/coordinator.rs
@@ -2,51 +2,51 @@
 
 /// Weight of the newest demand in the moving average: shares that follow each
 /// moment's demand move all the time, and slots stand idle on the way.
-const NEWEST_WEIGHT: f64 = 0.4;
+const DEMAND_SMOOTHING: f64 = 0.4;
 
 /// Slots kept free for pressing tiers, for each square root of their demand: the
 /// spread of a Poisson count is the square root of its mean.
-const HEADROOM_PER_ROOT: f64 = 1.5;
+const HEADROOM_FACTOR: f64 = 1.5;
 
 /// Part of a slot by which a host's total must be off before it is changed.
-const HYSTERESIS: f64 = 0.75;
+const HYSTERESIS_SLOTS: f64 = 0.75;
 
 type Needs = [f64; Tier::COUNT];
 
 /// What a coordinator keeps of one host.
 #[derive(Clone, Debug)]
-struct Received {
-    at: Time,
+struct HostDemand {
+    received_at: Time,
     /// Moving average of its demand by target and tier.
-    demand: BTreeMap<String, Needs>,
+    average: BTreeMap<String, Needs>,
 }
 
 /// A group of upstreams as the coordinator divides it.
 #[derive(Debug)]
-pub(crate) struct Divided {
+pub(crate) struct GroupCapacity {
     pub(crate) name: String,
     pub(crate) slots: u32,
     pub(crate) targets: Vec<String>,
 }
 
 /// The slots of one group by host, in the order of the hosts' ids.
-type Totals = BTreeMap<HostId, u32>;
+type SlotsByHost = BTreeMap<HostId, u32>;
 
 /// How one group is divided.
 #[derive(Debug, Default)]
-struct Division {
+struct GroupAllocation {
     headroom: u32,
-    totals: Totals,
+    slots_by_host: SlotsByHost,
 }
 
-impl Division {
+impl GroupAllocation {
     fn grant(&self, group: &str, host: &HostId) -> Grant {
-        let before = self.totals.range::<HostId, _>(..host);
+        let preceding = self.slots_by_host.range::<HostId, _>(..host);
         Grant {
-            first: before.map(|(_, slots)| slots).sum(),
+            first: preceding.map(|(_, slots)| slots).sum(),
             group: group.to_string(),
             headroom: self.headroom,
-            slots: self.totals.get(host).copied().unwrap_or(0),
+            slots: self.slots_by_host.get(host).copied().unwrap_or(0),
         }
     }
 }
@@ -56,10 +56,10 @@
 /// each new one changes as little of the last one as it can.
 #[derive(Debug, Default)]
 pub(crate) struct Coordinator {
-    divided: BTreeMap<String, Division>,
-    received: BTreeMap<HostId, Received>,
+    allocations: BTreeMap<String, GroupAllocation>,
+    demands: BTreeMap<HostId, HostDemand>,
     hosts: BTreeSet<HostId>,
-    made: Option<Time>,
+    allocated_at: Option<Time>,
     /// Most of the slots that are kept free.
     pub(crate) max_headroom_share: f64,
 }
@@ -72,30 +72,30 @@
         now: Time,
     ) {
         let entry = self
-            .received
+            .demands
             .entry(host.clone())
-            .or_insert_with(|| Received {
-                at: now,
-                demand: demand.iter().map(first_needs).collect(),
+            .or_insert_with(|| HostDemand {
+                received_at: now,
+                average: demand.iter().map(initial_needs).collect(),
             });
-        entry.at = now;
-        for needs in entry.demand.values_mut() {
+        entry.received_at = now;
+        for needs in entry.average.values_mut() {
             needs
                 .iter_mut()
-                .for_each(|need| *need *= 1.0 - NEWEST_WEIGHT);
+                .for_each(|need| *need *= 1.0 - DEMAND_SMOOTHING);
         }
         for (target, demand) in demand {
-            let needs = entry.demand.entry(target.clone()).or_default();
+            let needs = entry.average.entry(target.clone()).or_default();
             for (need, count) in needs.iter_mut().zip(demand.by_tier) {
-                *need += NEWEST_WEIGHT * f64::from(count);
+                *need += DEMAND_SMOOTHING * f64::from(count);
             }
         }
     }
 
     /// Forgets what is older than `valid`.
-    pub(crate) fn forget(&mut self, now: Time, valid: Duration) {
-        self.received
-            .retain(|_, received| now.since(received.at) <= valid);
+    pub(crate) fn expire(&mut self, now: Time, max_age: Duration) {
+        self.demands
+            .retain(|_, demand| now.since(demand.received_at) <= max_age);
     }
 
     /// Shares of one host in all groups. `hosts` are those that share the
@@ -106,52 +106,61 @@
         &mut self,
         host: &HostId,
         hosts: BTreeSet<HostId>,
-        groups: &[Divided],
+        groups: &[GroupCapacity],
         now: Time,
-        keep: Duration,
+        max_age: Duration,
     ) -> Vec<Grant> {
-        let fresh = self.made.is_some_and(|made| now.since(made) < keep);
+        let fresh = self.allocated_at.is_some_and(|at| now.since(at) < max_age);
         if !fresh || self.hosts != hosts {
             self.hosts = hosts;
-            self.made = Some(now);
-            self.divide(groups);
+            self.allocated_at = Some(now);
+            self.allocate(groups);
         }
-        let divided = self.divided.iter();
-        divided
-            .map(|(group, division)| division.grant(group, host))
+        let allocations = self.allocations.iter();
+        allocations
+            .map(|(group, allocation)| allocation.grant(group, host))
             .collect()
     }
 
-    fn divide(&mut self, groups: &[Divided]) {
-        let mut slots_for: BTreeMap<&str, f64> = BTreeMap::new();
+    fn allocate(&mut self, groups: &[GroupCapacity]) {
+        let mut slots_by_target: BTreeMap<&str, f64> = BTreeMap::new();
         for group in groups {
             for target in &group.targets {
-                *slots_for.entry(target).or_default() += f64::from(group.slots);
+                *slots_by_target.entry(target).or_default() += f64::from(group.slots);
             }
         }
-        self.divided = groups
+        self.allocations = groups
             .iter()
-            .map(|group| (group.name.clone(), self.divide_group(group, &slots_for)))
+            .map(|group| {
+                (
+                    group.name.clone(),
+                    self.allocate_group(group, &slots_by_target),
+                )
+            })
             .collect();
     }
 
-    fn divide_group(&self, group: &Divided, slots_for: &BTreeMap<&str, f64>) -> Division {
-        let part = |target: &str| f64::from(group.slots) / slots_for[target];
+    fn allocate_group(
+        &self,
+        group: &GroupCapacity,
+        slots_by_target: &BTreeMap<&str, f64>,
+    ) -> GroupAllocation {
+        let fraction = |target: &str| f64::from(group.slots) / slots_by_target[target];
         let mut needs: Vec<(HostId, Needs)> = Vec::new();
         for host in &self.hosts {
-            if let Some(received) = self.received.get(host) {
-                needs.push((host.clone(), needs_of(received, &group.targets, part)));
+            if let Some(demand) = self.demands.get(host) {
+                needs.push((host.clone(), group_needs(demand, &group.targets, fraction)));
             }
         }
         let headroom = self.headroom(group.slots, &needs);
         let usable = group.slots - headroom;
-        let totals = self.totals(usable, needs);
-        let none = Totals::new();
-        let before = self.divided.get(&group.name);
-        let before = before.map_or(&none, |division| &division.totals);
-        Division {
+        let ideal = self.ideal_slots(usable, needs);
+        let none = SlotsByHost::new();
+        let previous = self.allocations.get(&group.name);
+        let previous = previous.map_or(&none, |allocation| &allocation.slots_by_host);
+        GroupAllocation {
             headroom,
-            totals: whole(totals, before, usable),
+            slots_by_host: round_slots(ideal, previous, usable),
         }
     }
 
@@ -165,48 +174,48 @@
             .iter()
             .map(|(_, needs)| needs[..PRESSING_TIERS].iter().sum::<f64>())
             .sum();
-        let wanted = HEADROOM_PER_ROOT * pressing.sqrt();
+        let wanted = HEADROOM_FACTOR * pressing.sqrt();
         wanted
             .min(self.max_headroom_share * f64::from(slots))
             .round() as u32
     }
 
     /// How many slots each host should have.
-    fn totals(&self, usable: u32, mut needs: Vec<(HostId, Needs)>) -> BTreeMap<HostId, f64> {
+    fn ideal_slots(&self, usable: u32, mut needs: Vec<(HostId, Needs)>) -> BTreeMap<HostId, f64> {
         let equal = f64::from(usable) / self.hosts.len().max(1) as f64;
-        let unobserved = self
+        let without_demand = self
             .hosts
             .iter()
-            .filter(|host| !self.received.contains_key(*host));
-        let mut totals: BTreeMap<HostId, f64> =
-            unobserved.map(|host| (host.clone(), equal)).collect();
-        let mut left = f64::from(usable) - equal * totals.len() as f64;
+            .filter(|host| !self.demands.contains_key(*host));
+        let mut ideal: BTreeMap<HostId, f64> =
+            without_demand.map(|host| (host.clone(), equal)).collect();
+        let mut remaining = f64::from(usable) - equal * ideal.len() as f64;
         for tier in 0..Tier::COUNT {
-            left = fill(&mut totals, &mut needs, tier, left);
+            remaining = allocate_tier(&mut ideal, &mut needs, tier, remaining);
         }
         // What nobody asked for is left for whoever gets a burst.
-        let spare = left.max(0.0) / needs.len().max(1) as f64;
+        let spare = remaining.max(0.0) / needs.len().max(1) as f64;
         for (host, _) in needs {
-            *totals.entry(host).or_default() += spare;
+            *ideal.entry(host).or_default() += spare;
         }
-        totals
+        ideal
     }
 }
 
-fn first_needs((target, demand): (&String, &Demand)) -> (String, Needs) {
+fn initial_needs((target, demand): (&String, &Demand)) -> (String, Needs) {
     (target.clone(), demand.by_tier.map(f64::from))
 }
 
 /// What a host could use of a group of upstreams, by tier: of its demand for
 /// each target the part that falls to the group.
-fn needs_of(received: &Received, targets: &[String], part: impl Fn(&str) -> f64) -> Needs {
+fn group_needs(demand: &HostDemand, targets: &[String], fraction: impl Fn(&str) -> f64) -> Needs {
     let mut needs = Needs::default();
     for target in targets {
-        let Some(demand) = received.demand.get(target) else {
+        let Some(average) = demand.average.get(target) else {
             continue;
         };
-        for (need, count) in needs.iter_mut().zip(demand) {
-            *need += count * part(target);
+        for (need, count) in needs.iter_mut().zip(average) {
+            *need += count * fraction(target);
         }
     }
     needs
@@ -215,46 +224,49 @@
 /// Gives what is left to the needs of one tier, the smallest first, so that a
 /// host with a long queue takes nothing that a host with a short one needs.
 /// Returns what is left then.
-fn fill(
+fn allocate_tier(
     totals: &mut BTreeMap<HostId, f64>,
     needs: &mut [(HostId, Needs)],
     tier: usize,
-    mut left: f64,
+    mut remaining: f64,
 ) -> f64 {
     needs.sort_by(|a, b| a.1[tier].total_cmp(&b.1[tier]));
-    for (place, (host, need)) in needs.iter().enumerate() {
-        let most = left / (needs.len() - place) as f64;
-        let part = need[tier].min(most).max(0.0);
-        *totals.entry(host.clone()).or_default() += part;
-        left -= part;
+    for (index, (host, need)) in needs.iter().enumerate() {
+        let most = remaining / (needs.len() - index) as f64;
+        let granted = need[tier].min(most).max(0.0);
+        *totals.entry(host.clone()).or_default() += granted;
+        remaining -= granted;
     }
-    left
+    remaining
 }
 
 /// Whole slots that add up to `usable`: a host keeps what it had if that is
 /// about right, and the rest goes by largest remainder.
-fn whole(totals: BTreeMap<HostId, f64>, before: &Totals, usable: u32) -> Totals {
-    let mut wholes: Vec<(HostId, f64, u32)> = totals
+fn round_slots(totals: BTreeMap<HostId, f64>, previous: &SlotsByHost, usable: u32) -> SlotsByHost {
+    let mut rounded: Vec<(HostId, f64, u32)> = totals
         .into_iter()
         .map(|(host, total)| {
-            let had = before.get(&host).copied();
-            let keep = had.filter(|had| (f64::from(*had) - total).abs() < HYSTERESIS);
-            let whole = keep.unwrap_or(total.floor() as u32);
+            let previous_slots = previous.get(&host).copied();
+            let kept = previous_slots.filter(|previous_slots| {
+                (f64::from(*previous_slots) - total).abs() < HYSTERESIS_SLOTS
+            });
+            let whole = kept.unwrap_or(total.floor() as u32);
             (host, total, whole)
         })
         .collect();
     loop {
-        let sum: u32 = wholes.iter().map(|(_, _, whole)| whole).sum();
-        let over = |(_, total, whole): &(HostId, f64, u32)| f64::from(*whole) - total;
-        let by_excess =
-            |a: &&mut (HostId, f64, u32), b: &&mut (HostId, f64, u32)| over(a).total_cmp(&over(b));
+        let sum: u32 = rounded.iter().map(|(_, _, whole)| whole).sum();
+        let excess = |(_, total, whole): &(HostId, f64, u32)| f64::from(*whole) - total;
+        let by_excess = |a: &&mut (HostId, f64, u32), b: &&mut (HostId, f64, u32)| {
+            excess(a).total_cmp(&excess(b))
+        };
         if sum < usable {
-            let Some(least) = wholes.iter_mut().min_by(by_excess) else {
+            let Some(least) = rounded.iter_mut().min_by(by_excess) else {
                 break;
             };
             least.2 += 1;
         } else if sum > usable {
-            let holders = wholes.iter_mut().filter(|(_, _, whole)| *whole > 0);
+            let holders = rounded.iter_mut().filter(|(_, _, whole)| *whole > 0);
             let Some(most) = holders.max_by(by_excess) else {
                 break;
             };
@@ -263,7 +275,7 @@
             break;
         }
     }
-    wholes
+    rounded
         .into_iter()
         .map(|(host, _, whole)| (host, whole))
         .collect()
--- a/crates/policy/src/hosts/membership.rs
+++ b/crates/policy/src/hosts/membership.rs
@@ -14,7 +14,7 @@
     failure_domain: FailureDomainId,
     host: HostId,
     /// Hosts of other failure domains.
-    foreign: u32,
+    other_domain_hosts: u32,
     /// The other hosts of this failure domain.
     members: BTreeMap<HostId, Member>,
 }
@@ -23,7 +23,7 @@
     pub(crate) const fn new(host: HostId, failure_domain: FailureDomainId) -> Self {
         Self {
             failure_domain,
-            foreign: 0,
+            other_domain_hosts: 0,
             host,
             members: BTreeMap::new(),
         }
@@ -32,29 +32,29 @@
     /// Follows a new reading of the list; what was learned of a host is kept.
     pub(crate) fn note_listed(&mut self, hosts: Vec<PeerHost>) {
         let mut old = std::mem::take(&mut self.members);
-        self.foreign = 0;
-        for listed in hosts {
-            if listed.host == self.host {
+        self.other_domain_hosts = 0;
+        for listing in hosts {
+            if listing.host == self.host {
                 continue;
             }
-            if listed.failure_domain != self.failure_domain {
-                self.foreign += 1;
+            if listing.failure_domain != self.failure_domain {
+                self.other_domain_hosts += 1;
                 continue;
             }
-            let known = old.remove(&listed.host);
+            let known = old.remove(&listing.host);
             let member = match known {
-                Some(member) if member.listed.address == listed.address => {
-                    Member { listed, ..member }
+                Some(member) if member.listing.address == listing.address => {
+                    Member { listing, ..member }
                 }
-                _ => Member::new(listed),
+                _ => Member::new(listing),
             };
-            self.members.insert(member.listed.host.clone(), member);
+            self.members.insert(member.listing.host.clone(), member);
         }
     }
 
     /// Notes a direct sign of life, and forgets what was held against the host:
     /// it may be another one on the old one's address.
-    pub(crate) fn note_received(&mut self, host: &HostId, phase: PeerPhase) {
+    pub(crate) fn note_alive(&mut self, host: &HostId, phase: PeerPhase) {
         if let Some(member) = self.members.get_mut(host) {
             member.failures = 0;
             member.phase = phase;
@@ -63,12 +63,12 @@
     }
 
     /// Notes that a call to a host got no answer.
-    pub(crate) fn note_silent(&mut self, host: &HostId, now: Time) {
+    pub(crate) fn note_unanswered(&mut self, host: &HostId, now: Time) {
         if let Some(member) = self.members.get_mut(host) {
             let factor = 1 << member.failures.min(8);
             member.failures += 1;
-            let pause = (FIRST_SUSPICION * factor).min(MAX_SUSPICION);
-            member.suspect_until = Some(now + pause);
+            let suspicion = (FIRST_SUSPICION * factor).min(MAX_SUSPICION);
+            member.suspect_until = Some(now + suspicion);
         }
     }
 
@@ -78,30 +78,32 @@
         let best = self
             .members
             .values()
-            .filter(|member| member.is_askable(now))
-            .max_by_key(|member| rendezvous_weight(key, &member.listed.host))?;
+            .filter(|member| member.can_coordinate(now))
+            .max_by_key(|member| rendezvous_weight(key, &member.listing.host))?;
         let own = rendezvous_weight(key, &self.host);
-        (rendezvous_weight(key, &best.listed.host) > own).then_some(best)
+        (rendezvous_weight(key, &best.listing.host) > own).then_some(best)
     }
 
     /// Other hosts that share this domain's upstreams.
-    pub(crate) fn sharing(&self) -> impl Iterator<Item = &HostId> {
+    pub(crate) fn sharing_hosts(&self) -> impl Iterator<Item = &HostId> {
         let sharing = self.members.values().filter(|member| member.is_sharing());
-        sharing.map(|member| &member.listed.host)
+        sharing.map(|member| &member.listing.host)
     }
 
     /// Hosts that share this domain's upstreams, this one included.
     pub(crate) fn domain_size(&self) -> u32 {
-        self.sharing().count() as u32 + 1
+        self.sharing_hosts().count() as u32 + 1
     }
 
     /// How many of them come before this one in the order of ids.
-    pub(crate) fn place(&self) -> u32 {
-        self.sharing().filter(|host| **host < self.host).count() as u32
+    pub(crate) fn share_index(&self) -> u32 {
+        self.sharing_hosts()
+            .filter(|host| **host < self.host)
+            .count() as u32
     }
 
     /// All hosts of the list, this one included.
     pub(crate) fn total_size(&self) -> u32 {
-        self.members.len() as u32 + self.foreign + 1
+        self.members.len() as u32 + self.other_domain_hosts + 1
     }
 }
--- a/crates/policy/src/hosts/mod.rs
+++ b/crates/policy/src/hosts/mod.rs
@@ -16,7 +16,7 @@
 pub use {host_group::own_group, neighbors::are_grouped};
 
 pub(crate) use {
-    coordinator::{Coordinator, Divided},
+    coordinator::{Coordinator, GroupCapacity},
     member::Member,
     membership::Membership,
     neighbors::Neighbors,
--- a/crates/policy/src/hosts/peering.rs
+++ b/crates/policy/src/hosts/peering.rs
@@ -19,18 +19,18 @@
     pub(crate) members: Membership,
     next_heartbeat: Time,
     /// A heartbeat is under way.
-    asking: bool,
+    awaiting_answer: bool,
     pub(crate) shares: Shares,
     coordinator: Coordinator,
     /// Whether grants held at the last tick.
-    held: bool,
+    had_grants: bool,
 }
 
 impl Peering {
     pub(crate) fn new(host: HostId, failure_domain: FailureDomainId) -> Self {
         Self {
-            asking: false,
-            held: false,
+            awaiting_answer: false,
+            had_grants: false,
             members: Membership::new(host, failure_domain),
             next_heartbeat: Time::default(),
             shares: Shares::default(),
@@ -38,16 +38,16 @@
         }
     }
 
-    pub(crate) fn follow(&mut self, scheduling: &Scheduling) {
+    pub(crate) fn apply_scheduling(&mut self, scheduling: &Scheduling) {
         self.coordinator.max_headroom_share = scheduling.max_headroom_share;
     }
 
-    fn interval(&self) -> Duration {
+    fn heartbeat_interval(&self) -> Duration {
         (INTERVAL_PER_HOST * self.members.domain_size()).max(MIN_INTERVAL)
     }
 
-    fn valid(&self) -> Duration {
-        self.interval() * VALID_INTERVALS
+    fn share_validity(&self) -> Duration {
+        self.heartbeat_interval() * VALID_INTERVALS
     }
 }
 
@@ -59,30 +59,30 @@
 
     /// Sends a heartbeat when one is due, or divides the slots itself.
     pub(crate) fn tick_peering(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let held = self.peering.shares.hold(now);
-        if held != self.peering.held {
-            self.peering.held = held;
+        let has_grants = self.peering.shares.are_valid(now);
+        if has_grants != self.peering.had_grants {
+            self.peering.had_grants = has_grants;
             self.apply_shares(now);
         }
-        if now < self.peering.next_heartbeat || self.peering.asking {
+        if now < self.peering.next_heartbeat || self.peering.awaiting_answer {
             return;
         }
-        self.peering.next_heartbeat = now + self.peering.interval();
+        self.peering.next_heartbeat = now + self.peering.heartbeat_interval();
         let heartbeat = self.heartbeat();
         match self.peering.members.coordinator(now) {
             Some(member) => {
-                self.peering.asking = true;
+                self.peering.awaiting_answer = true;
                 actions.push(Action::SendHeartbeat {
-                    address: member.listed.address,
+                    address: member.listing.address,
                     heartbeat,
-                    host: member.listed.host.clone(),
+                    host: member.listing.host.clone(),
                 });
             }
             None => {
-                let valid = self.peering.valid();
-                let grants = self.divide_for(now, &heartbeat);
-                self.peering.shares.grant(grants, now + valid);
-                self.peering.held = true;
+                let validity = self.peering.share_validity();
+                let grants = self.allocate_for(now, &heartbeat);
+                self.peering.shares.grant(grants, now + validity);
+                self.peering.had_grants = true;
                 self.apply_shares(now);
             }
         }
@@ -132,18 +132,18 @@
         actions: &mut Vec<Action>,
     ) {
         let members = &mut self.peering.members;
-        members.note_received(&heartbeat.host, heartbeat.phase);
+        members.note_alive(&heartbeat.host, heartbeat.phase);
         self.note_advertised_leaving(now, &heartbeat.leaving);
-        self.follow_version(heartbeat.version, actions);
+        self.read_if_newer(heartbeat.version, actions);
         let same_domain = heartbeat.failure_domain == self.options.failure_domain;
-        let able = self.phase() == HostPhase::Serving && same_domain;
-        let grants = able.then(|| self.divide_for(now, heartbeat));
+        let can_coordinate = self.phase() == HostPhase::Serving && same_domain;
+        let grants = can_coordinate.then(|| self.allocate_for(now, heartbeat));
         let answer = HeartbeatAnswer {
             grants,
             incarnation: self.options.incarnation,
             leaving: self.pool.select(UpstreamState::is_said_leaving),
             protocol: peer::PROTOCOL,
-            valid_ms: self.peering.valid().as_millis() as u64,
+            valid_ms: self.peering.share_validity().as_millis() as u64,
             version: self.version(),
         };
         actions.push(Action::AnswerHeartbeat { answer, call });
@@ -159,29 +159,29 @@
         answer: Option<HeartbeatAnswer>,
         actions: &mut Vec<Action>,
     ) {
-        self.peering.asking = false;
+        self.peering.awaiting_answer = false;
         let Some(answer) = answer.filter(|answer| answer.grants.is_some()) else {
-            self.peering.members.note_silent(host, now);
+            self.peering.members.note_unanswered(host, now);
             // The next one in line is asked at the next tick.
             self.peering.next_heartbeat = now;
             return;
         };
         let members = &mut self.peering.members;
-        members.note_received(host, PeerPhase::Serving);
+        members.note_alive(host, PeerPhase::Serving);
         self.note_advertised_leaving(now, &answer.leaving);
-        self.follow_version(answer.version, actions);
+        self.read_if_newer(answer.version, actions);
         let until = asked.plus_ms(answer.valid_ms);
         self.peering
             .shares
             .grant(answer.grants.unwrap_or_default(), until);
-        self.peering.held = self.peering.shares.hold(now);
+        self.peering.had_grants = self.peering.shares.are_valid(now);
         self.apply_shares(now);
     }
 
     /// Believes a peer that upstreams are leaving, for as long as shares hold;
     /// it says so again with each exchange.
     fn note_advertised_leaving(&mut self, now: Time, upstreams: &[UpstreamId]) {
-        let until = now + self.peering.valid();
+        let until = now + self.peering.share_validity();
         for upstream in upstreams {
             if let Some(state) = self.pool.get_mut(upstream) {
                 state.departure.note_advertised(until);
@@ -191,45 +191,45 @@
 
     /// A newer version at a peer is a reason to read the platform at once; it
     /// is never taken from the peer's word alone.
-    fn follow_version(&self, seen: Option<ConfigVersion>, actions: &mut Vec<Action>) {
+    fn read_if_newer(&self, seen: Option<ConfigVersion>, actions: &mut Vec<Action>) {
         if seen > self.version() {
             actions.push(Action::ReadConfiguration);
         }
     }
 
-    fn divide_for(&mut self, now: Time, heartbeat: &Heartbeat) -> Vec<Grant> {
-        let valid = self.peering.valid();
+    fn allocate_for(&mut self, now: Time, heartbeat: &Heartbeat) -> Vec<Grant> {
+        let validity = self.peering.share_validity();
         let coordinator = &mut self.peering.coordinator;
         coordinator.note_demand(&heartbeat.host, &heartbeat.demand, now);
-        coordinator.forget(now, valid);
-        let mut hosts: BTreeSet<HostId> = self.peering.members.sharing().cloned().collect();
+        coordinator.expire(now, validity);
+        let mut hosts: BTreeSet<HostId> = self.peering.members.sharing_hosts().cloned().collect();
         if self.phase() != HostPhase::Draining {
             hosts.insert(self.options.host.clone());
         }
         hosts.insert(heartbeat.host.clone());
         let groups = self.pool.divided();
-        let keep = self.peering.interval() / 2;
+        let max_age = self.peering.heartbeat_interval() / 2;
         let coordinator = &mut self.peering.coordinator;
-        coordinator.grants(&heartbeat.host, hosts, &groups, now, keep)
+        coordinator.grants(&heartbeat.host, hosts, &groups, now, max_age)
     }
 
     /// Puts the shares, or equal parts without them, in force.
     pub(crate) fn apply_shares(&mut self, now: Time) {
         let domain_size = self.peering.members.domain_size();
         let total_size = self.peering.members.total_size();
-        let place = self.peering.members.place();
+        let share_index = self.peering.members.share_index();
         let shares = &self.peering.shares;
-        let hold = shares.hold(now);
+        let valid = shares.are_valid(now);
         let own = |group: &str, slots: u32| {
-            let granted = shares.of(group).filter(|_| hold);
-            granted.unwrap_or_else(|| Share::equal(slots, domain_size, place))
+            let granted = shares.get(group).filter(|_| valid);
+            granted.unwrap_or_else(|| Share::equal(slots, domain_size, share_index))
         };
         self.pool
-            .set_shares(own, |slots| equal_part(slots, total_size));
+            .set_shares(own, |slots| equal_share(slots, total_size));
     }
 }
 
 /// At least one slot, so that no host is cut off from an upstream.
-fn equal_part(slots: u32, hosts: u32) -> u32 {
+fn equal_share(slots: u32, hosts: u32) -> u32 {
     (slots / hosts.max(1)).max(1)
 }
--- a/crates/policy/src/hosts/share.rs
+++ b/crates/policy/src/hosts/share.rs
@@ -10,10 +10,10 @@
 impl Share {
     /// The part of a line of `slots` that falls to one of `hosts` hosts when
     /// all get the same; at least one slot, so that no host is cut off.
-    pub(crate) fn equal(slots: u32, hosts: u32, place: u32) -> Self {
+    pub(crate) fn equal(slots: u32, hosts: u32, index: u32) -> Self {
         let hosts = hosts.max(1);
-        let first = slots * place / hosts;
-        let end = slots * (place + 1) / hosts;
+        let first = slots * index / hosts;
+        let end = slots * (index + 1) / hosts;
         Self {
             first: first.min(slots.saturating_sub(1)),
             headroom: 0,
--- a/crates/policy/src/hosts/shares.rs
+++ b/crates/policy/src/hosts/shares.rs
@@ -5,11 +5,11 @@
 pub(crate) struct Shares {
     granted: BTreeMap<String, Share>,
     /// Until when the grants hold.
-    until: Time,
+    valid_until: Time,
 }
 
 impl Shares {
-    pub(crate) fn grant(&mut self, grants: Vec<Grant>, until: Time) {
+    pub(crate) fn grant(&mut self, grants: Vec<Grant>, valid_until: Time) {
         self.granted = grants
             .into_iter()
             .map(|grant| {
@@ -21,19 +21,19 @@
                 (grant.group, share)
             })
             .collect();
-        self.until = until;
+        self.valid_until = valid_until;
     }
 
     /// Whether grants hold. Without them each host takes an equal part: what
     /// goes wrong otherwise is that a host without news keeps slots that were
     /// given to others since.
-    pub(crate) fn hold(&self, now: Time) -> bool {
-        now < self.until
+    pub(crate) fn are_valid(&self, now: Time) -> bool {
+        now < self.valid_until
     }
 
     /// The granted share of a group; `None` for one that the coordinator did not
     /// name, since its configuration is older or newer.
-    pub(crate) fn of(&self, group: &str) -> Option<Share> {
+    pub(crate) fn get(&self, group: &str) -> Option<Share> {
         self.granted.get(group).copied()
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -78,7 +78,7 @@
     brittleness::Brittleness,
     crashes::Crashes,
     duties::Reporting,
-    hosts::{Divided, Neighbors, NewerConfiguration, Peering, Share},
+    hosts::{GroupCapacity, Neighbors, NewerConfiguration, Peering, Share},
     overload::{Congestion, EarlyRefusal},
     prompt_transfers::{PromptCopies, PromptFetch, TransferLink},
     queueing::{Lane, LengthEstimate, PRESSING_TIERS, QueuedItem, Rank, TeamLimits, Urgency},
--- a/crates/policy/src/upstreams/pool.rs
+++ b/crates/policy/src/upstreams/pool.rs
@@ -118,10 +118,10 @@
     }
 
     /// The groups of the own domain, as its coordinator divides them.
-    pub(crate) fn divided(&self) -> Vec<Divided> {
+    pub(crate) fn divided(&self) -> Vec<GroupCapacity> {
         let groups = self.groups.iter();
         groups
-            .map(|group| Divided {
+            .map(|group| GroupCapacity {
                 name: group.name.clone(),
                 slots: group.slots,
                 targets: group.name.split(',').map(str::to_string).collect(),
