--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -115,7 +115,7 @@
     /// Log and count a change of the limit that an upstream names.
     NoteLimit(LimitNoted),
     /// Log a change of what is believed of the own path to an upstream.
-    NoteReach(ReachNoted),
+    NoteReach(PathChange),
     /// Log a change of what an engine is believed to do.
     NoteSpeed(SpeedNoted),
     /// Ask an ejected upstream whether it is well.
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -245,7 +245,7 @@
                 tries,
                 upstream,
             } => {
-                self.note_path_of(request, &tries);
+                self.note_request_path(request, &tries);
                 self.on_paths_tried(now, &upstream, tries, actions);
             }
             Event::PeersListed { in_all, peers } => {
@@ -516,7 +516,7 @@
         self.tick_speeds(now, actions);
         self.tick_peering(now, actions);
         self.tick_brittleness(now);
-        self.tick_reach(now, actions);
+        self.tick_paths(now, actions);
         self.tick_neighbors(now, actions);
         self.tick_crashes(now, actions);
         self.tick_congestion(now);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -61,7 +61,7 @@
     hosts::{are_grouped, own_group},
     overload::AdmissionNoted,
     queueing::{Overdraft, RoomRules},
-    reach::ReachNoted,
+    reach::PathChange,
     relay_rules::RelayRules,
     requests::{
         Arrival, AttemptEnd, ClaimAnswer, ClaimRequest, Outcome, OutcomeEnd, PrefixHash, Refusal,
--- a/crates/policy/src/reach/mod.rs
+++ b/crates/policy/src/reach/mod.rs
@@ -9,14 +9,14 @@
 
 use super::*;
 
-mod abandoning;
-mod checking;
 mod lost_path;
 mod own_paths;
-mod reach_noted;
+mod path_change;
+mod path_checks;
+mod stalled_attempts;
 mod transit;
 mod transit_hosts;
 
-pub use reach_noted::ReachNoted;
+pub use path_change::PathChange;
 
 pub(crate) use {lost_path::LostPath, own_paths::OwnPaths, transit_hosts::TransitHosts};
--- a/crates/policy/src/reach/own_paths.rs
+++ b/crates/policy/src/reach/own_paths.rs
@@ -2,7 +2,7 @@
 
 /// Upstreams of a target to which the paths must be lost for all of its upstreams to count as out
 /// of reach; all of them where there are fewer.
-const MIN_LOST: usize = 2;
+const MIN_LOST_PATHS: usize = 2;
 
 /// Time between two checks of whether a lost path is restored.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -13,7 +13,7 @@
     /// Targets none of whose upstreams it reaches.
     cut_off: BTreeSet<Target>,
     /// When an upstream of each target was last observed over a path of its own.
-    direct: HashMap<Target, Time>,
+    last_direct: HashMap<Target, Time>,
     lost: BTreeMap<UpstreamId, LostPath>,
     next_check: Time,
 }
@@ -26,7 +26,7 @@
     }
 
     /// Whether any path is known to be lost.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn all_open(&self) -> bool {
         self.lost.is_empty()
     }
 
@@ -45,10 +45,10 @@
     /// out.
     pub(crate) fn note_direct(&mut self, upstream: &UpstreamId, targets: &[Target], now: Time) {
         for target in targets {
-            match self.direct.get_mut(target) {
+            match self.last_direct.get_mut(target) {
                 Some(observed) => *observed = now,
                 None => {
-                    self.direct.insert(target.clone(), now);
+                    self.last_direct.insert(target.clone(), now);
                 }
             }
             if self.cut_off.remove(target) {
@@ -73,7 +73,7 @@
         };
         self.lost.insert(upstream.clone(), path);
         for (target, copies) in targets {
-            if self.lost_since_direct(&target) >= MIN_LOST.min(copies) {
+            if self.lost_since_direct(&target) >= MIN_LOST_PATHS.min(copies) {
                 self.cut_off.insert(target);
             }
         }
@@ -87,7 +87,7 @@
     }
 
     /// The path to be checked now, if one is due: the one that was checked longest ago.
-    pub(crate) fn take_check(&mut self, now: Time) -> Option<UpstreamId> {
+    pub(crate) fn take_due_check(&mut self, now: Time) -> Option<UpstreamId> {
         if now < self.next_check {
             return None;
         }
@@ -99,7 +99,7 @@
     }
 
     /// Forgets upstreams that are gone.
-    pub(crate) fn retain(&mut self, is_known: impl Fn(&UpstreamId) -> bool) {
+    pub(crate) fn retain_known(&mut self, is_known: impl Fn(&UpstreamId) -> bool) {
         self.lost.retain(|upstream, _| is_known(upstream));
         let lost = &self.lost;
         self.cut_off.retain(|target| {
@@ -109,9 +109,10 @@
     }
 
     fn lost_since_direct(&self, target: &Target) -> usize {
-        let direct = self.direct.get(target).copied().unwrap_or_default();
+        let last_direct = self.last_direct.get(target).copied().unwrap_or_default();
         let paths = self.lost.values();
-        let lost = paths.filter(|path| path.targets.contains(target) && path.observed_at > direct);
+        let lost =
+            paths.filter(|path| path.targets.contains(target) && path.observed_at > last_direct);
         lost.count()
     }
 }
--- a/crates/policy/src/reach/reach_noted.rs
+++ b/crates/policy/src/reach/path_change.rs
@@ -2,7 +2,7 @@
 
 /// A change of what a host believes of its own path to an upstream.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReachNoted {
+pub struct PathChange {
     /// Targets none of whose upstreams it reaches by itself now.
     pub cut_off: Vec<Target>,
     /// Whether the path is open.
--- a/crates/policy/src/reach/checking.rs
+++ b/crates/policy/src/reach/path_checks.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 /// Time between two checks of a host that observes no upstream any more.
-const SUSPICION_INTERVAL: Duration = Duration::from_millis(500);
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Upstreams of each target that such a host checks.
-const SUSPECTED: usize = 2;
+const CHECKS_PER_TARGET: usize = 2;
 
 impl Controller {
     pub(crate) fn on_paths_tried(
@@ -16,7 +16,7 @@
         tries: Vec<PathTry>,
         actions: &mut Vec<Action>,
     ) {
-        self.transit.note(&tries, now);
+        self.transit.note_tries(&tries, now);
         let Some(state) = self.pool.get(upstream) else {
             return;
         };
@@ -39,7 +39,7 @@
         }
         let is_open = self.own_paths.is_open(upstream, &targets);
         if is_open != was_open {
-            actions.push(Action::NoteReach(ReachNoted {
+            actions.push(Action::NoteReach(PathChange {
                 cut_off: self.own_paths.cut_off().iter().cloned().collect(),
                 is_open,
                 lost: self.own_paths.lost().count(),
@@ -50,7 +50,7 @@
     }
 
     /// Notes that a request goes through another host.
-    pub(crate) fn note_path_of(&mut self, request: Option<RequestId>, tries: &[PathTry]) {
+    pub(crate) fn note_request_path(&mut self, request: Option<RequestId>, tries: &[PathTry]) {
         let is_through = tries
             .iter()
             .any(|tried| tried.end == PathEnd::Connected && matches!(tried.path, Path::Through(_)));
@@ -64,7 +64,7 @@
 
     /// Notes that an upstream answered a request that was sent over a path of this host's own.
     pub(crate) fn note_path_answered(&mut self, now: Time, upstream: &UpstreamId, is_direct: bool) {
-        if !is_direct || self.own_paths.is_whole() {
+        if !is_direct || self.own_paths.all_open() {
             return;
         }
         let targets = self.pool.targets_of(upstream);
@@ -81,14 +81,14 @@
     }
 
     /// Checks whether lost paths are restored, and for lost ones where no upstream is observed.
-    pub(crate) fn tick_reach(&mut self, now: Time, actions: &mut Vec<Action>) {
-        self.transit.forget(now);
-        if !self.own_paths.is_whole() {
+    pub(crate) fn tick_paths(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.transit.expire(now);
+        if !self.own_paths.all_open() {
             let pool = &self.pool;
             self.own_paths
-                .retain(|upstream| pool.get(upstream).is_some_and(|state| !state.removed));
+                .retain_known(|upstream| pool.get(upstream).is_some_and(|state| !state.removed));
         }
-        if let Some(upstream) = self.own_paths.take_check(now)
+        if let Some(upstream) = self.own_paths.take_due_check(now)
             && let Some(state) = self.pool.get(&upstream)
         {
             actions.push(Action::CheckPath {
@@ -102,18 +102,18 @@
             && now >= self.next_suspicion
             && self.pool.silent.is_all_silent(&self.pool.states, now)
         {
-            self.next_suspicion = now + SUSPICION_INTERVAL;
-            self.check_suspected(now, actions);
+            self.next_suspicion = now + SILENCE_CHECK_INTERVAL;
+            self.check_silent_upstreams(now, actions);
         }
     }
 
     /// Checks the paths to some upstreams that should be observed and are not.
-    fn check_suspected(&self, now: Time, actions: &mut Vec<Action>) {
+    fn check_silent_upstreams(&self, now: Time, actions: &mut Vec<Action>) {
         for target in self.pool.targets.keys() {
             let busy = self.pool.copies(target).filter(|state| {
                 state.in_flight > 0 && !state.removed && self.own_paths.is_open(&state.id, &[])
             });
-            actions.extend(busy.take(SUSPECTED).map(|state| Action::CheckPath {
+            actions.extend(busy.take(CHECKS_PER_TARGET).map(|state| Action::CheckPath {
                 address: state.definition.address(),
                 paths: self.paths_to(now, state),
                 upstream: state.id.clone(),
--- a/crates/policy/src/reach/abandoning.rs
+++ b/crates/policy/src/reach/stalled_attempts.rs
@@ -4,19 +4,19 @@
 
 /// Time without a sign of an upstream after which a request there is given up, if the path to it is
 /// known to be lost. Connections established before may go on.
-const STALLED: Duration = Duration::from_millis(500);
+const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time between two looks for such requests.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+const SCAN_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Controller {
     /// Gives up attempts that can be made again elsewhere without harm. Without it they would last
     /// until the kernel takes the peer for dead.
     pub(crate) fn abandon_stalled(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if self.own_paths.is_whole() || now < self.next_abandon {
+        if self.own_paths.all_open() || now < self.next_abandon {
             return;
         }
-        self.next_abandon = now + LOOK_INTERVAL;
+        self.next_abandon = now + SCAN_INTERVAL;
         let (pool, own_paths) = (&self.pool, &self.own_paths);
         for stage in self.requests.values_mut() {
             let Stage::Running(request) = stage else {
@@ -24,7 +24,7 @@
             };
             let running = &request.stage;
             let is_repeatable = request.facts.idempotent || request.facts.resumable;
-            let is_stalled = now.since(running.last_progress) >= STALLED;
+            let is_stalled = now.since(running.last_progress) >= STALL_TIMEOUT;
             let is_lost =
                 || !own_paths.is_open(&running.upstream, &pool.targets_of(&running.upstream));
             if running.is_direct
--- a/crates/policy/src/reach/transit.rs
+++ b/crates/policy/src/reach/transit.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// Hosts through which one request may be sent.
-const MAX_THROUGH: usize = 3;
+const MAX_TRANSIT_HOSTS: usize = 3;
 
 impl Controller {
     /// The paths to an upstream, in the order in which they are tried.
@@ -13,38 +13,38 @@
             return vec![Path::Direct];
         }
         let targets = pool::targets_of(&state.definition);
-        let mut paths = self.paths_through(now, &state.id, &targets);
-        let place = if self.own_paths.is_open(&state.id, &targets) {
+        let mut paths = self.transit_paths(now, &state.id, &targets);
+        let index = if self.own_paths.is_open(&state.id, &targets) {
             0
         } else {
             paths.len()
         };
-        paths.insert(place, Path::Direct);
+        paths.insert(index, Path::Direct);
         paths
     }
 
     /// Paths through other hosts, those of the own failure domain first. Which of them is the first
     /// for an upstream differs by host and upstream, so that each carries a part.
-    fn paths_through(&self, now: Time, upstream: &UpstreamId, targets: &[Target]) -> Vec<Path> {
+    fn transit_paths(&self, now: Time, upstream: &UpstreamId, targets: &[Target]) -> Vec<Path> {
         let hosts = self
             .neighbors
             .transit_candidates(&self.options.host, targets, now);
         let mut hosts: Vec<(bool, bool, u64, SocketAddr)> = hosts
-            .map(|(place, is_near, address)| {
+            .map(|(pair_weight, is_same_domain, address)| {
                 let avoided = self.transit.is_avoided(address, now);
-                let weight = placement::weight_of(upstream, place);
-                (avoided, !is_near, weight, address)
+                let weight = placement::weight_of(upstream, pair_weight);
+                (avoided, !is_same_domain, weight, address)
             })
             .collect();
         hosts.sort_unstable();
         // A whole failure domain may have lost its paths, and not know it yet.
-        let far = hosts
+        let position = hosts
             .iter()
-            .position(|(avoided, is_far, ..)| !avoided && *is_far);
-        if let Some(far) = far.filter(|far| *far >= MAX_THROUGH) {
-            hosts.swap(far, MAX_THROUGH - 1);
+            .position(|(avoided, is_other_domain, ..)| !avoided && *is_other_domain);
+        if let Some(position) = position.filter(|position| *position >= MAX_TRANSIT_HOSTS) {
+            hosts.swap(position, MAX_TRANSIT_HOSTS - 1);
         }
-        let hosts = hosts.into_iter().take(MAX_THROUGH);
+        let hosts = hosts.into_iter().take(MAX_TRANSIT_HOSTS);
         hosts.map(|(.., address)| Path::Through(address)).collect()
     }
 
--- a/crates/router/src/decision_log.rs
+++ b/crates/router/src/decision_log.rs
@@ -138,7 +138,7 @@
     }
 
     /// The own path to an upstream was found lost, or restored.
-    pub(crate) fn reach_noted(&mut self, now: Time, noted: &ReachNoted) {
+    pub(crate) fn reach_noted(&mut self, now: Time, noted: &PathChange) {
         let change = if noted.is_open { "regained" } else { "lost" };
         counter!("rhubarbcove_own_paths_noted_total", "change" => change).increment(1);
         if !self.budget.take(LineKind::Important, now) {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -38,7 +38,7 @@
     policy::{
         Action, AdmissionNoted, Arrival, AttemptEnd, BrittleNoted, ClaimAnswer, ClaimRequest,
         Controller, ControllerOptions, CrashNoted, CrashSource, Event, FetchEnd, HostPhase,
-        LeavingNoted, LimitNoted, Outcome, OutcomeEnd, PrefixHash, ReachNoted, Refusal,
+        LeavingNoted, LimitNoted, Outcome, OutcomeEnd, PathChange, PrefixHash, Refusal,
         RefusalReason, RelayRules, Repeatability, RoomRules, Routed, SendOrder, Settlement,
         SpeedNoted, StoredAnswer, Target, TransferSlots, WasteCause, WorkingSet,
     },
