--- a/crates/policy/src/hosts/coordinator.rs
+++ b/crates/policy/src/hosts/coordinator.rs
@@ -1,27 +1,31 @@
 use super::*;
 
-/// Weight of the newest demand in the moving average: shares that follow each
-/// moment's demand move all the time, and slots stand idle on the way.
+/// Weight of the newest demand in the exponential moving average. If the shares followed the
+/// momentary demand, they would change all the time, and slots would be idle while they move from
+/// one host to another.
 const DEMAND_SMOOTHING: f64 = 0.4;
 
-/// Slots kept free for pressing tiers, for each square root of their demand: the
-/// spread of a Poisson count is the square root of its mean.
+/// Ratio of the slots kept free for the most urgent tiers to the square root of their demand. The
+/// standard deviation of a Poisson distribution is the square root of its mean.
 const HEADROOM_FACTOR: f64 = 1.5;
 
-/// Part of a slot by which a host's total must be off before it is changed.
+/// Difference between a host's number of slots and its ideal number, in slots, from which the
+/// number is changed.
 const HYSTERESIS_SLOTS: f64 = 0.75;
 
+/// Slots that a host could use, by tier.
 type Needs = [f64; Tier::COUNT];
 
-/// What a coordinator keeps of one host.
+/// The demand of one host, as received by the coordinator.
 #[derive(Clone, Debug)]
 struct HostDemand {
+    /// When the newest demand was received.
     received_at: Time,
-    /// Moving average of its demand by target and tier.
+    /// Moving average of the demand by target and tier.
     average: BTreeMap<String, Needs>,
 }
 
-/// A group of upstreams as the coordinator divides it.
+/// The slots of an upstream group, to be allocated to hosts, and the targets that it serves.
 #[derive(Debug)]
 pub(crate) struct GroupCapacity {
     pub(crate) name: String,
@@ -29,12 +33,13 @@
     pub(crate) targets: Vec<String>,
 }
 
-/// The slots of one group by host, in the order of the hosts' ids.
+/// The slots of one group by host, in the order of host ids.
 type SlotsByHost = BTreeMap<HostId, u32>;
 
-/// How one group is divided.
+/// How the slots of one group are allocated.
 #[derive(Debug, Default)]
 struct GroupAllocation {
+    /// Slots that are granted to no host.
     headroom: u32,
     slots_by_host: SlotsByHost,
 }
@@ -51,16 +56,16 @@
     }
 }
 
-/// The demands that a coordinator has received, and the division of the domain's
-/// slots by them. The division is made once for all hosts and kept for a while;
-/// each new one changes as little of the last one as it can.
+/// The demands that a coordinator has received, and the allocation of the domain's slots by them.
+/// An allocation is computed once for all hosts and kept for a while. Each new allocation changes
+/// the previous one as little as possible.
 #[derive(Debug, Default)]
 pub(crate) struct Coordinator {
     allocations: BTreeMap<String, GroupAllocation>,
     demands: BTreeMap<HostId, HostDemand>,
     hosts: BTreeSet<HostId>,
     allocated_at: Option<Time>,
-    /// Most of the slots that are kept free.
+    /// Upper bound of the headroom, as a share of the group's slots.
     pub(crate) max_headroom_share: f64,
 }
 
@@ -92,25 +97,27 @@
         }
     }
 
-    /// Forgets what is older than `valid`.
+    /// Drops demands that were received longer than `max_age` ago.
     pub(crate) fn expire(&mut self, now: Time, max_age: Duration) {
         self.demands
             .retain(|_, demand| now.since(demand.received_at) <= max_age);
     }
 
-    /// Shares of one host in all groups. `hosts` are those that share the
-    /// domain; one of which nothing has been observed is left its equal part,
-    /// since it may have fallen back to it or have another coordinator. A division
-    /// is kept for `keep`.
+    /// Returns the shares of one host in all groups. `hosts` are the hosts that share the domain. A
+    /// host without a known demand is granted an equal share, because it may have fallen back to
+    /// that share or may use another coordinator. An allocation is reused until it is
+    /// `max_allocation_age` old or the hosts change.
     pub(crate) fn grants(
         &mut self,
         host: &HostId,
         hosts: BTreeSet<HostId>,
         groups: &[GroupCapacity],
         now: Time,
-        max_age: Duration,
+        max_allocation_age: Duration,
     ) -> Vec<Grant> {
-        let fresh = self.allocated_at.is_some_and(|at| now.since(at) < max_age);
+        let fresh = self
+            .allocated_at
+            .is_some_and(|at| now.since(at) < max_allocation_age);
         if !fresh || self.hosts != hosts {
             self.hosts = hosts;
             self.allocated_at = Some(now);
@@ -164,8 +171,8 @@
         }
     }
 
-    /// Slots that are granted to nobody. With a single host there are none: its
-    /// own strict order does better.
+    /// Number of slots that are granted to no host. A single host needs no headroom: its own strict
+    /// priority order serves urgent requests better.
     fn headroom(&self, slots: u32, needs: &[(HostId, Needs)]) -> u32 {
         if self.hosts.len() < 2 {
             return 0;
@@ -180,7 +187,7 @@
             .round() as u32
     }
 
-    /// How many slots each host should have.
+    /// The number of slots that each host should have, before rounding.
     fn ideal_slots(&self, usable: u32, mut needs: Vec<(HostId, Needs)>) -> BTreeMap<HostId, f64> {
         let equal = f64::from(usable) / self.hosts.len().max(1) as f64;
         let without_demand = self
@@ -193,7 +200,7 @@
         for tier in 0..Tier::COUNT {
             remaining = allocate_tier(&mut ideal, &mut needs, tier, remaining);
         }
-        // What nobody asked for is left for whoever gets a burst.
+        // Slots beyond the demand are divided equally, for hosts that get a burst of requests.
         let spare = remaining.max(0.0) / needs.len().max(1) as f64;
         for (host, _) in needs {
             *ideal.entry(host).or_default() += spare;
@@ -206,8 +213,8 @@
     (target.clone(), demand.by_tier.map(f64::from))
 }
 
-/// What a host could use of a group of upstreams, by tier: of its demand for
-/// each target the part that falls to the group.
+/// The slots that a host could use in a group, by tier. Of the demand for each target, the group
+/// gets the fraction that it has of all slots for the target.
 fn group_needs(demand: &HostDemand, targets: &[String], fraction: impl Fn(&str) -> f64) -> Needs {
     let mut needs = Needs::default();
     for target in targets {
@@ -221,9 +228,9 @@
     needs
 }
 
-/// Gives what is left to the needs of one tier, the smallest first, so that a
-/// host with a long queue takes nothing that a host with a short one needs.
-/// Returns what is left then.
+/// Allocates the remaining slots to the needs of one tier by max-min fairness: the smallest needs
+/// come first, so that a host with a long queue takes no slots that a host with a short queue
+/// needs. Returns the slots that remain afterwards.
 fn allocate_tier(
     totals: &mut BTreeMap<HostId, f64>,
     needs: &mut [(HostId, Needs)],
@@ -240,8 +247,9 @@
     remaining
 }
 
-/// Whole slots that add up to `usable`: a host keeps what it had if that is
-/// about right, and the rest goes by largest remainder.
+/// Rounds the slots of each host to whole numbers with the sum `usable`. A host keeps its previous
+/// number if that is close to the ideal one. The other slots are assigned by the largest remainder
+/// method.
 fn round_slots(totals: BTreeMap<HostId, f64>, previous: &SlotsByHost, usable: u32) -> SlotsByHost {
     let mut rounded: Vec<(HostId, f64, u32)> = totals
         .into_iter()
--- a/crates/policy/src/hosts/host_group.rs
+++ b/crates/policy/src/hosts/host_group.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// Hosts of a failure domain that act as one group: they exchange notes, and one of them asks the
-/// installation's store for the others. That one has a moment for the answers to all of them, and
-/// a note to all takes some 1.5 s within the budget.
+/// Maximum number of hosts in a group. The hosts of a group exchange load notes, and one of them
+/// queries the installation's store for the others. That host has only a short time to answer all
+/// others, and sending a note to the whole group takes some 1.5 s within the bandwidth budget.
 const MAX_GROUP_HOSTS: usize = 40;
 
-/// Key by which the hosts of a domain are divided.
+/// Rendezvous hashing key that assigns the hosts of a domain to groups.
 const GROUP_KEY: &str = "group";
 
-/// The hosts of a host's own group, itself left out. A domain of more hosts than a group has
-/// at most is divided, alike on all of its hosts; groups are about as large.
+/// Returns the other hosts of the host's own group. A domain with more hosts than a group may have
+/// is divided into groups of similar size, and every host of the domain computes the same groups.
 pub fn own_group<'a>(
     own: &HostId,
     domain: &FailureDomainId,
@@ -25,7 +25,7 @@
     others
 }
 
-/// Group of a host among so many of its domain.
+/// The group of a host, if its domain is divided into `groups` groups.
 fn group_of(host: &HostId, groups: usize) -> u64 {
     rendezvous_weight(GROUP_KEY, host) % groups as u64
 }
--- a/crates/policy/src/hosts/load_notes.rs
+++ b/crates/policy/src/hosts/load_notes.rs
@@ -1,8 +1,9 @@
-//! What a host learns from the notes of the others.
+//! Handling of load notes received from other hosts.
 
 use super::*;
 
-/// How much younger a host's knowledge must be to be sent at once to one that asks.
+/// How much older the sender's confirmation of its configuration must be than this host's for this
+/// host to send its next note immediately.
 const MIN_AGE_DIFFERENCE: Duration = Duration::from_millis(200);
 
 impl Controller {
@@ -32,10 +33,13 @@
         }
     }
 
-    /// Learns from another host that the configuration in force here is still
-    /// the newest. Its word counts from the moment at which this host sent the
-    /// note that it answers, so that a note that was long under way, or waited
-    /// while this host was frozen, makes nothing look newer than it is.
+    /// Updates the time at which the configuration in force here was last known to be the newest,
+    /// if the sender has the same version.
+    ///
+    /// The age that the sender reports is counted back from the time at which this host sent the
+    /// note that the sender echoes. A note that was delayed in the network, or waited while this
+    /// host was frozen, therefore never makes the configuration look more recently confirmed than
+    /// it is.
     fn update_confirmed(&mut self, note: &LoadNote) {
         let own_echo = note
             .echo
@@ -50,13 +54,14 @@
         self.confirmed = self.confirmed.max(Some(as_of));
     }
 
-    /// Lets the next note go out at once if the sender's knowledge is much older.
+    /// Makes the next note due immediately if the sender's configuration was confirmed much longer
+    /// ago than this host's.
     ///
-    /// What goes wrong otherwise: a host that the store turns away and that has
-    /// little to do observes the others once a second, and counts their word from the
-    /// note of its own that they answer, which is up to a second older. Together
-    /// with the 3.6 s of the others' knowledge that is more than keys may be taken
-    /// for, and it refuses them now and then.
+    /// An idle host that the store refuses to serve receives the notes of other hosts only once a
+    /// second. It counts their confirmations from the time of its own note that they echo, which is
+    /// up to a second older. On top of the up to 3.6 s for which the other hosts' configuration has
+    /// been unconfirmed, this would exceed the time for which API keys may be accepted without a
+    /// confirmation, and the host would reject valid keys from time to time.
     fn expedite_next_note(&mut self, now: Time, note: &LoadNote) {
         let Some(own_age) = self.config_age(now) else {
             return;
@@ -68,7 +73,7 @@
         }
     }
 
-    /// Believes another host that upstreams leave.
+    /// Marks the upstreams as leaving that the sender reports as leaving.
     fn apply_leaving_notices(&mut self, now: Time, note: &LoadNote, actions: &mut Vec<Action>) {
         for upstream in &note.leaving {
             let source = NoticeSource::Host(note.host.clone());
@@ -76,11 +81,11 @@
         }
     }
 
-    /// Takes over what engines keep of other hosts' prompts.
+    /// Records which prompt prefixes engines have cached for requests of the sender.
     ///
-    /// What goes wrong without it: a document that many ask for is read by a second
-    /// engine, but only one host knows; the others stay with the first engine and
-    /// wait, or have it read once more each.
+    /// Without this, only one host knows that a second engine has read a popular document. The
+    /// other hosts keep sending requests for it to the first engine, where they wait, or have each
+    /// a further engine read the document again.
     fn record_prompt_reads(&mut self, note: &LoadNote) {
         for read in &note.reads {
             if let Some(state) = self.pool.get_mut(&read.upstream) {
--- a/crates/policy/src/hosts/membership.rs
+++ b/crates/policy/src/hosts/membership.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-/// First time for which a host that gave no answer is taken for gone; doubled
-/// with each further call that gets none.
+/// How long a host is assumed to be down after a call without an answer. The time doubles with each
+/// further call that gets no answer.
 const FIRST_SUSPICION: Duration = Duration::from_secs(1);
 
-/// Longest such time.
+/// Upper bound of the time for which a host is assumed to be down.
 const MAX_SUSPICION: Duration = Duration::from_secs(16);
 
-/// The other hosts, from the platform's lagging list and from direct signs. A
-/// wrong view costs shares that do not fit, and never a promise.
+/// The other hosts, as known from the platform's host list, which lags behind, and from messages
+/// received directly. A wrong view makes the slot shares fit badly, but violates no guarantee.
 #[derive(Debug)]
 pub(crate) struct Membership {
     failure_domain: FailureDomainId,
     host: HostId,
-    /// Hosts of other failure domains.
+    /// Number of hosts in other failure domains.
     other_domain_hosts: u32,
     /// The other hosts of this failure domain.
     members: BTreeMap<HostId, Member>,
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Follows a new reading of the list; what was learned of a host is kept.
+    /// Applies a new version of the host list. What this host has learned about a member is kept
+    /// while the address of the member stays the same.
     pub(crate) fn note_listed(&mut self, hosts: Vec<PeerHost>) {
         let mut old = std::mem::take(&mut self.members);
         self.other_domain_hosts = 0;
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Notes a direct sign of life, and forgets what was held against the host:
-    /// it may be another one on the old one's address.
+    /// Records a message from a host, and clears its failures: a new process may have taken over
+    /// the address of the one that failed.
     pub(crate) fn note_alive(&mut self, host: &HostId, phase: PeerPhase) {
         if let Some(member) = self.members.get_mut(host) {
             member.failures = 0;
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Notes that a call to a host got no answer.
+    /// Records that a call to a host got no answer.
     pub(crate) fn note_unanswered(&mut self, host: &HostId, now: Time) {
         if let Some(member) = self.members.get_mut(host) {
             let factor = 1 << member.failures.min(8);
@@ -72,7 +73,8 @@
         }
     }
 
-    /// The host of this domain to ask for shares: `None` is this host itself.
+    /// The coordinator of this domain, which is asked for shares. `None` if this host is the
+    /// coordinator.
     pub(crate) fn coordinator(&self, now: Time) -> Option<&Member> {
         let key = self.failure_domain.as_str();
         let best = self
@@ -84,25 +86,25 @@
         (rendezvous_weight(key, &best.listing.host) > own).then_some(best)
     }
 
-    /// Other hosts that share this domain's upstreams.
+    /// The other hosts that share this domain's upstreams.
     pub(crate) fn sharing_hosts(&self) -> impl Iterator<Item = &HostId> {
         let sharing = self.members.values().filter(|member| member.is_sharing());
         sharing.map(|member| &member.listing.host)
     }
 
-    /// Hosts that share this domain's upstreams, this one included.
+    /// Number of hosts that share this domain's upstreams, including this host.
     pub(crate) fn domain_size(&self) -> u32 {
         self.sharing_hosts().count() as u32 + 1
     }
 
-    /// How many of them come before this one in the order of ids.
+    /// Position of this host among the hosts that share this domain's upstreams, ordered by id.
     pub(crate) fn share_index(&self) -> u32 {
         self.sharing_hosts()
             .filter(|host| **host < self.host)
             .count() as u32
     }
 
-    /// All hosts of the list, this one included.
+    /// Number of hosts in all failure domains, including this host.
     pub(crate) fn total_size(&self) -> u32 {
         self.members.len() as u32 + self.other_domain_hosts + 1
     }
--- a/crates/policy/src/hosts/mod.rs
+++ b/crates/policy/src/hosts/mod.rs
@@ -1,4 +1,5 @@
-//! What hosts do together: membership, shares of slots, notes of load, newer configurations.
+//! Cooperation between hosts: domain membership, shares of upstream slots, load gossip, and
+//! fetching newer configurations from other hosts.
 
 use super::*;
 
--- a/crates/policy/src/hosts/neighbors.rs
+++ b/crates/policy/src/hosts/neighbors.rs
@@ -1,84 +1,89 @@
-//! What the hosts tell each other of the load on the upstreams.
+//! Load gossip: the notes in which hosts tell each other the load that they put on upstreams.
 
 use super::*;
 
-/// Shortest time between two notes. Prompts take some 150 ms each, so older
-/// news would not tell the load that is there.
+/// Minimum time between two notes. Reading a prompt takes some 150 ms, so notes that are much rarer
+/// would not show the current load.
 const MIN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two notes when nothing changes, and to hosts that are silent.
+/// Time between two notes while nothing changes, and between two notes to silent hosts.
 const IDLE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Time before the end of its knowledge of the configuration from which a host asks
-/// the others for theirs: what a host that reaches the store knows is at most 3.6 s
-/// old, so with a bound of 4.9 s it never does.
+/// Remaining time until a host's confirmation of its configuration expires, from which the host
+/// sends notes more often to get confirmations from other hosts. A host that reaches the store has
+/// a confirmation that is at most 3.6 s old. With a limit of 4.9 s such a host never comes within
+/// this margin.
 const CONFIRMATION_MARGIN: Duration = Duration::from_millis(1_200);
 
-/// Time between two notes of a host that asks.
+/// Time between two notes of a host that needs a confirmation of its configuration.
 const CONFIRMATION_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Bytes a second that all hosts together spend on notes at the most: 24 kB a
-/// host with seven hosts, whose notes are then recent enough to place prompts by.
+/// Maximum rate of notes that all hosts together send, in bytes per second. With seven hosts this
+/// is 24 kB/s per host, and the notes are recent enough to base the placement of prompts on them.
 const TOTAL_BYTES_PER_S: f64 = 170_000.0;
 
-/// Bytes a second that a host may spend in any case: the budget of control at the
-/// size to design for.
+/// Rate of notes that a host may always send, in bytes per second. This is the budget for control
+/// traffic in the largest installation that the router is designed for.
 const MIN_HOST_BYTES_PER_S: f64 = 3_000.0;
 
-/// Bytes of a note without loads, of its headers, and of one upstream's load.
+/// Size of a note without loads, including packet headers.
 const NOTE_BYTES: f64 = 110.0;
+
+/// Size of one upstream's load in a note.
 const LOAD_BYTES: f64 = 17.0;
 
-/// Bytes of a shared part that was read.
+/// Size of one announcement of a cached prompt prefix.
 const READ_BYTES: f64 = 26.0;
 
-/// Bytes of a vote on an engine's speed.
+/// Size of one vote on an engine's speed.
 const VOTE_BYTES: f64 = 4.0;
 
-/// Notes in which such a part is announced, as one of them may be lost.
+/// Number of notes in which a cached prompt prefix is announced, because a note may be lost.
 const READ_ANNOUNCEMENTS: u32 = 3;
 
-/// Most such parts that wait to be announced: where notes are rare the oldest ones are
-/// of no use any more.
+/// Maximum number of cached prompt prefixes that wait to be announced. Where notes are rare, the
+/// oldest announcements are no longer useful.
 const MAX_PENDING_READS: usize = 4 * peer::MAX_READS;
 
-/// Time for which a host's last note counts. After it the host is taken to have
-/// ended, and its load with it.
+/// How long a host's last note is valid. After that the host is assumed to be down, and its load to
+/// be gone.
 const NOTE_VALIDITY: Duration = Duration::from_millis(2_500);
 
-/// Notes of a host that may be missing until it is taken to have ended, where notes are rare.
+/// Number of consecutive notes of a host that may be missing before the host is assumed to be down,
+/// where notes are rare.
 const MAX_MISSED_NOTES: u32 = 4;
 
-/// Time between two notes up to which what they tell of an engine is still there when a
-/// prompt is placed: a prompt is read in some 0.1 to 0.2 s, and runs for a second.
+/// Maximum time between two notes for the load that they report to still be there when a prompt is
+/// placed. An engine reads a prompt in some 0.1 to 0.2 s, and a request runs for a second.
 const MAX_TIMELY_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Engines among which a prompt is placed where notes come too late to tell their load: the
-/// first one is its home, the others take over in an order that is the same on all hosts.
+/// Number of engines to choose from for a prompt where notes are too rare to show the current load.
+/// The first engine is the preferred one for the prompt. The others take over in an order that is
+/// the same on all hosts.
 const CANDIDATE_ENGINES: usize = 3;
 
-/// Hosts up to which each exchanges notes with all others. Beyond that a note to all takes over
-/// half a minute within the budget, and says nothing that still holds; hosts then exchange them
-/// with those of their group.
+/// Maximum number of hosts for each to exchange notes with all others. With more hosts, a host
+/// could send a note to all others only every half minute within the budget, and the notes would be
+/// outdated. Hosts then exchange notes only within their group.
 const MAX_FULL_MESH_HOSTS: usize = 384;
 
-/// Whether hosts are so many that each exchanges notes with those of its group only, and knows
-/// those of its own failure domain.
+/// Whether the installation has so many hosts that each exchanges notes only with the hosts of its
+/// group, and knows only the hosts of its own failure domain.
 pub const fn are_grouped(hosts: usize) -> bool {
     hosts > MAX_FULL_MESH_HOSTS
 }
 
-/// Another host.
+/// What this host knows about another host.
 #[derive(Debug)]
 struct Neighbor {
     address: SocketAddr,
-    /// Whether it stands in this host's failure domain, as far as is known.
+    /// Whether the host is known to be in this host's failure domain.
     is_same_domain: bool,
-    /// When it was observed last, and its note.
+    /// The last note from the host, and when it was received.
     last_note: Option<(Time, LoadNote)>,
-    /// When it was listed or observed first.
+    /// When the host was first listed or a note from it was first received.
     known_since: Time,
-    /// Number that differs for each pair of hosts.
+    /// Rendezvous weight computed from the ids of both hosts, so that it differs for each pair.
     pair_weight: u64,
 }
 
@@ -93,19 +98,19 @@
         }
     }
 
-    /// Its last note, while that counts.
+    /// The last note, if it is still valid, and when it was received.
     fn fresh_note(&self, now: Time) -> Option<&(Time, LoadNote)> {
         let received = self.last_note.as_ref();
         received.filter(|(received, _)| now.since(*received) <= NOTE_VALIDITY)
     }
 
-    /// When it was observed last.
+    /// When the last note was received.
     fn last_received(&self) -> Option<Time> {
         self.last_note.as_ref().map(|(received, _)| *received)
     }
 }
 
-/// What all other hosts together have on one upstream.
+/// The load of all other hosts together on one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 struct OthersLoad {
     backlog: u64,
@@ -113,25 +118,29 @@
     pause_bound: u32,
 }
 
-/// The other hosts and what they said last.
+/// The other hosts and their last notes.
 #[derive(Debug, Default)]
 pub(crate) struct Neighbors {
-    /// Where the other known hosts listen, also those that exchange no notes with this one.
+    /// Addresses of all other known hosts, including those that exchange no notes with this host.
     addresses: Vec<SocketAddr>,
-    /// Those that exchange notes with this one.
+    /// The hosts that exchange notes with this host.
     hosts: BTreeMap<HostId, Neighbor>,
-    /// Hosts of the whole installation, this one included.
+    /// Number of hosts in the whole installation, including this host.
     installation_size: usize,
+    /// When the next note is due even if nothing has changed.
     pub(crate) next_idle_note: Time,
+    /// Earliest time of the next note.
     next_note: Time,
-    /// Shared parts that this host had read, and in how many more notes each is
-    /// announced.
+    /// Prompt prefixes that engines have cached for requests of this host, and the number of
+    /// further notes in which each is announced.
     pending_reads: VecDeque<(PromptRead, u32)>,
+    /// The loads in the last notes sent.
     last_loads: Vec<UpstreamLoad>,
 }
 
 impl Neighbors {
-    /// Takes a list of hosts; those that are missing may just not be listed.
+    /// Applies a new host list. Unless hosts are grouped, those that are missing from the list are
+    /// kept, because a running host may not be listed.
     pub(crate) fn note_listed(
         &mut self,
         now: Time,
@@ -160,7 +169,7 @@
         }
     }
 
-    /// Takes a note; one that was overtaken by a newer one is dropped.
+    /// Records a note. Returns `false` for a note that arrives after a newer one, which is dropped.
     pub(crate) fn record_note(
         &mut self,
         now: Time,
@@ -181,41 +190,42 @@
         true
     }
 
-    /// The notes that count, and when they were observed.
+    /// The notes that are still valid, and when they were received.
     fn fresh_notes(&self, now: Time) -> impl Iterator<Item = &(Time, LoadNote)> {
         let hosts = self.hosts.values();
         hosts.filter_map(move |neighbor| neighbor.fresh_note(now))
     }
 
-    /// Age of the oldest note that counts.
+    /// Time since the oldest valid note was received.
     pub(crate) fn oldest_note_age(&self, now: Time) -> Option<Duration> {
         self.fresh_notes(now)
             .map(|(received, _)| now.since(*received))
             .max()
     }
 
-    /// Hosts whose notes count.
+    /// The hosts whose last note is still valid.
     pub(crate) fn hosts_with_fresh_notes(&self, now: Time) -> Vec<HostId> {
         let notes = self.fresh_notes(now).map(|(_, note)| note);
         notes.map(|note| note.host.clone()).collect()
     }
 
-    /// Hosts that exchange notes with this one, as far as they were listed or observed.
+    /// Number of hosts that exchange notes with this host and were listed or have sent a note.
     pub(crate) fn len(&self) -> usize {
         self.hosts.len()
     }
 
-    /// Whether there are hosts that exchange no notes with this one.
+    /// Whether this host exchanges notes with only some of the hosts in the installation.
     pub(crate) fn exchanges_with_subset(&self) -> bool {
         self.installation_size > self.hosts.len() + 1
     }
 
-    /// Hosts of the whole installation, this one included.
+    /// Number of hosts in the whole installation, including this host.
     pub(crate) const fn installation_size(&self) -> usize {
         self.installation_size
     }
 
-    /// All other hosts, when each was observed last, or else became known, and where it listens.
+    /// The other hosts, with the address of each and the time at which its last note was received
+    /// or, without a note, the host became known.
     pub(crate) fn others_last_seen(
         &self,
         own: &HostId,
@@ -226,7 +236,8 @@
         })
     }
 
-    /// The other hosts that were ever observed, when last, and where each listens.
+    /// The other hosts that have ever sent a note, with the address of each and the time at which
+    /// its last note was received.
     pub(crate) fn others_with_note(
         &self,
         own: &HostId,
@@ -240,8 +251,9 @@
         self.hosts.iter().filter(move |(host, _)| *host != own)
     }
 
-    /// Hosts that may connect to upstreams of some targets for this one, by all that they say: the
-    /// number of the pair, whether it stands in the same failure domain, and where it listens.
+    /// Hosts that, according to their notes, can connect to upstreams of the targets on behalf of
+    /// this host. Returns the rendezvous weight of each, whether it is in the same failure domain,
+    /// and its address.
     pub(crate) fn transit_candidates(
         &self,
         own: &HostId,
@@ -262,33 +274,34 @@
         })
     }
 
-    /// When a host was observed last.
+    /// When the last note from a host was received.
     pub(crate) fn last_received(&self, host: &HostId) -> Option<Time> {
         self.hosts.get(host)?.last_received()
     }
 
-    /// Time between two notes, by what was announced last.
+    /// Expected time between two notes of a host, estimated from the loads in this host's last
+    /// note.
     pub(crate) fn expected_note_interval(&self) -> Duration {
         self.note_interval(self.last_loads.len(), 0, 0)
             .max(IDLE_INTERVAL)
     }
 
-    /// Silence after which a host is taken to have ended.
+    /// Time without a note after which a host is assumed to be down.
     pub(crate) fn silence_timeout(&self) -> Duration {
         (self.expected_note_interval() * MAX_MISSED_NOTES).max(NOTE_VALIDITY)
     }
 
-    /// Where the other known hosts listen, also those that exchange no notes with this one.
+    /// Addresses of all other known hosts, including those that exchange no notes with this host.
     pub(crate) fn all_addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Where the hosts listen that exchange notes with this one.
+    /// Addresses of the other hosts that exchange notes with this host.
     pub(crate) fn addresses(&self, own: &HostId) -> impl Iterator<Item = SocketAddr> {
         self.hosts_except(own).map(|(_, neighbor)| neighbor.address)
     }
 
-    /// The load of all other hosts on each upstream.
+    /// The load of all other hosts together on each upstream, by their valid notes.
     fn loads(&self, now: Time) -> HashMap<UpstreamId, OthersLoad> {
         let mut loads: HashMap<UpstreamId, OthersLoad> = HashMap::default();
         for load in self.fresh_notes(now).flat_map(|(_, note)| &note.loads) {
@@ -300,7 +313,7 @@
         loads
     }
 
-    /// Notes shared parts to be announced to the others.
+    /// Queues cached prompt prefixes to be announced to the other hosts.
     pub(crate) fn queue_reads(&mut self, reads: Vec<PromptRead>) {
         let reads = reads.into_iter().map(|read| (read, READ_ANNOUNCEMENTS));
         self.pending_reads.extend(reads);
@@ -308,7 +321,8 @@
         self.pending_reads.drain(..excess);
     }
 
-    /// The parts for the next note.
+    /// Takes the cached prompt prefixes for the next note. Those that must be announced again
+    /// return to the end of the queue.
     fn take_due_reads(&mut self) -> Vec<PromptRead> {
         let count = self.pending_reads.len().min(peer::MAX_READS);
         let mut due = Vec::new();
@@ -321,11 +335,11 @@
         due
     }
 
-    /// Engines to which the choice for a prompt is narrowed; `None` while notes tell the
-    /// load of all of them in time.
+    /// Number of engines to which the choice for a prompt is limited. `None` while notes are
+    /// frequent enough to show the load of all engines.
     ///
-    /// Guards against all hosts sending their overflow to the one engine that the last notes
-    /// made look best: each knows only its own part of what is there.
+    /// Without the limit, all hosts would send their overflow to the one engine that has the least
+    /// load by the last notes, because each host only knows its own current part of the load there.
     pub(crate) fn candidate_limit(&self) -> Option<usize> {
         if self.hosts.is_empty() {
             return None;
@@ -334,6 +348,8 @@
         (!is_timely).then_some(CANDIDATE_ENGINES)
     }
 
+    /// Time between two notes with so many loads, cached prompt prefixes and speed votes, within
+    /// the bandwidth budget.
     fn note_interval(&self, loads: usize, reads: usize, votes: usize) -> Duration {
         let hosts = self.hosts.len() as f64;
         let loads_and_reads = LOAD_BYTES * loads as f64 + READ_BYTES * reads as f64;
@@ -344,13 +360,14 @@
     }
 }
 
-/// Whether the sender of a note may reach upstreams of some targets for others.
+/// Whether the sender of a note connects to upstreams of the targets on behalf of other hosts.
 fn offers_transit(reach: &ReachNote, targets: &[Target]) -> bool {
     let is_cut_off = |target: &Target| reach.cut_off.contains(&target.to_string());
     !reach.declines && (reach.cut_off.is_empty() || !targets.iter().any(is_cut_off))
 }
 
 impl Controller {
+    /// Updates the load of the other hosts on each upstream.
     pub(crate) fn apply_neighbor_loads(&mut self, now: Time) {
         let loads = self.neighbors.loads(now);
         for state in &mut self.pool.states {
@@ -361,8 +378,8 @@
         }
     }
 
-    /// Tells the other hosts this one's load, when it has changed or a while has
-    /// passed.
+    /// Sends this host's load to the other hosts if the load has changed or the next idle note is
+    /// due.
     pub(crate) fn tick_neighbors(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.neighbors.hosts.is_empty() || now < self.neighbors.next_note {
             return;
@@ -376,7 +393,7 @@
         }
         if is_idle_note_due {
             self.neighbors.next_idle_note = now + self.idle_interval(now);
-            // Loads of hosts that fell silent run out.
+            // The loads of hosts that have stopped sending notes expire.
             self.apply_neighbor_loads(now);
         }
         let reads = self.neighbors.take_due_reads();
@@ -390,7 +407,7 @@
         actions.push(Action::SendNotes { notes });
     }
 
-    /// Time between two notes when nothing changes.
+    /// Time between two notes while nothing changes.
     fn idle_interval(&self, now: Time) -> Duration {
         let limit = self.options.relay.as_ref().map(|relay| relay.key_knowledge);
         let needs_confirmation = match (limit, self.config_age(now)) {
@@ -418,7 +435,8 @@
             .collect()
     }
 
-    /// One note for each host; hosts that are silent get one only now and then.
+    /// Builds one note for each host. Hosts without a valid note are left out unless
+    /// `include_silent` is set.
     fn build_notes(
         &self,
         now: Time,
--- a/crates/policy/src/hosts/newer_configuration.rs
+++ b/crates/policy/src/hosts/newer_configuration.rs
@@ -1,72 +1,75 @@
-//! Versions of the configuration beyond the one in force that this host has learned of, and
-//! who can hand them over.
+//! Configuration versions newer than the one in force that this host has learned of, and the hosts
+//! from which they can be fetched.
 
 use super::*;
 
-/// Age of the configuration from which a newer one is fetched from another host, although
-/// the store does not send one. Before that the store is expected to: it is asked every
-/// 1.8 s at the latest, and tells a change at once.
+/// Time since the last confirmation of the configuration in force after which a newer one is
+/// fetched from another host. Before that, the newer configuration is expected from the store,
+/// which is queried at least every 1.8 s and reports a change immediately.
 const MIN_FETCH_AGE: Duration = Duration::from_millis(2_200);
 
-/// Pause before a host that is handing the configuration to others is asked again: about
-/// the time in which it hands 0.13 MB over a link of 10 Mbit/s.
+/// Delay before retrying a host that is busy sending the configuration to other hosts. In this time
+/// the host sends about 0.13 MB over a 10 Mbit/s link.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Pause before a host that gave none is asked again.
+/// Delay before asking a host again that sent no newer configuration, or whose transfer ended.
 const FAILED_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Time in which a configuration that was handed over is taken: a document of 1.9 MB is
-/// unpacked and read in some 0.1 s on 0.12 of a core. Until then no other host is asked,
-/// which would hand over the same.
+/// How long to wait for a fetched configuration to be put in force before another host is asked,
+/// which would send the same configuration. Unpacking and parsing a document of 1.9 MB takes some
+/// 0.1 s on 0.12 of a core.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Hosts that are notified of a version by each host that gets it. Every host that gets it
-/// tells as many others, drawn anew, so with `n` hosts one learns of it from 8 on average,
-/// and from none once in 3,000 times; that one gets it by the load notes or the store. At
-/// 380 hosts 8 datagrams of some 80 bytes for each of 1,900 changes a day are 14 bytes a
-/// second.
+/// Number of hosts that a host notifies of a version that it has received. Every host that receives
+/// the version notifies as many randomly chosen hosts, so a host gets 8 notifications on average,
+/// regardless of the number of hosts. One in 3,000 hosts gets none, and learns of the version
+/// through load notes or from the store. With 380 hosts, 8 datagrams of some 80 bytes for each of
+/// 1,900 changes a day come to 14 bytes a second.
 const VERSION_FANOUT: usize = 8;
 
-/// Most versions that are kept; a host is never so many behind for long.
+/// Maximum number of newer versions to keep. A host is never so many versions behind for long.
 const MAX_KNOWN_VERSIONS: usize = 64;
 
-/// Most hosts that are kept.
+/// Maximum number of hosts to keep that have a newer version.
 const MAX_SOURCES: usize = 64;
 
-/// What is known of newer versions.
+/// What this host knows of newer versions of the configuration.
 #[derive(Debug, Default)]
 pub(crate) struct NewerConfiguration {
-    /// Whether the store begins to send one that takes long to read.
+    /// Whether to fetch from another host without waiting for the store: the store has begun to
+    /// send a large answer, or the host that is queried in place of the store has a newer version.
     fetch_immediately: bool,
-    /// When each of them was learned of first.
+    /// When this host first learned of each newer version.
     first_seen: BTreeMap<ConfigVersion, Time>,
+    /// Hosts that have a newer version, by address.
     sources: BTreeMap<SocketAddr, VersionSource>,
-    /// Whether a host is being asked: one at a time, as each answer takes a part of the
-    /// same link.
+    /// Whether a fetch is in progress. Hosts are asked one at a time, because parallel answers
+    /// would share the bandwidth of one link.
     is_fetching: bool,
-    /// Until when one that was handed over may still be taken.
+    /// Until when to wait for a fetched configuration to be put in force.
     applying_until: Time,
 }
 
-/// A host that can hand a version over.
+/// A host from which a newer version can be fetched.
 #[derive(Debug)]
 struct VersionSource {
+    /// When the host may be asked next.
     not_before: Time,
     version: ConfigVersion,
 }
 
 impl NewerConfiguration {
-    /// Since when a newer version has been known to exist.
+    /// When this host first learned of a version newer than the one in force.
     pub(crate) fn behind_since(&self) -> Option<Time> {
         self.first_seen.values().min().copied()
     }
 
-    /// Notes that the store has nothing newer, as it said a moment ago.
+    /// Records that the store has confirmed the configuration in force as the newest.
     pub(crate) fn note_confirmed(&mut self) {
         self.fetch_immediately = false;
     }
 
-    /// Notes the version that was put in force.
+    /// Records the version that was put in force, and drops it and older versions.
     fn note_in_force(&mut self, version: Option<ConfigVersion>) {
         self.fetch_immediately = false;
         self.applying_until = Time::default();
@@ -105,12 +108,11 @@
         };
     }
 
-    /// A host to be asked, drawn from those that have a newer version.
+    /// Chooses a random host among those that have a newer version and may be asked now.
     ///
-    /// What goes wrong if it is the one of which it learned first: all hosts ask the same
-    /// one, and its link, which may be a thin one, carries the document as many times. One
-    /// would notice fetches that fail on most hosts while one of them sends all that its
-    /// link takes.
+    /// If each host asked the first source that it learned of, all hosts would ask the same one.
+    /// Its link, which may be slow, would carry the document once for each of them. This shows as
+    /// fetches that fail on most hosts while one host saturates its link.
     fn choose_source(&mut self, now: Time, rng: &mut SmallRng) -> Option<SocketAddr> {
         let available = self.sources.iter();
         let available = available.filter(|(_, source)| source.not_before <= now);
@@ -121,15 +123,15 @@
 }
 
 impl Controller {
-    /// A large answer of the store begins to arrive: other hosts may hand over the same
-    /// in a tenth of the bytes.
+    /// Handles the start of a large answer from the store. Other hosts may be able to send the same
+    /// configuration in a tenth of the bytes.
     pub(crate) fn on_configuration_announced(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.newer.fetch_immediately = true;
         self.fetch_newer(now, actions);
     }
 
-    /// The host that this one asks in place of the store has a newer version: the store
-    /// does not send it here, so it is fetched at once.
+    /// Handles the report of a newer version by the host that is queried in place of the store. The
+    /// store does not send the version to this host, so it is fetched immediately.
     pub(crate) fn on_newer_at_peer(
         &mut self,
         now: Time,
@@ -166,7 +168,7 @@
         self.fetch_newer(now, actions);
     }
 
-    /// Tells some other hosts that this one can hand the configuration over.
+    /// Notifies some other hosts that the configuration can be fetched from this host.
     pub(crate) fn announce_version(&mut self, version: ConfigVersion, actions: &mut Vec<Action>) {
         let others = self.neighbors.addresses(&self.options.host);
         let to = others.choose_multiple(&mut self.rng, VERSION_FANOUT);
@@ -183,8 +185,8 @@
         self.newer.note_in_force(version);
     }
 
-    /// Asks another host for its newer configuration, if the store does not bring it or
-    /// is slow to.
+    /// Fetches a newer configuration from another host, if the store does not send it or is slow to
+    /// send it.
     pub(crate) fn fetch_newer(&mut self, now: Time, actions: &mut Vec<Action>) {
         let busy = self.newer.is_fetching || now < self.newer.applying_until;
         if busy || self.newer.sources.is_empty() {
@@ -202,13 +204,12 @@
         }
     }
 
-    /// Whether this host may answer by its configuration. One that has known for some time
-    /// that a newer one exists may not, whoever asks.
+    /// Whether this host has known of a newer configuration for too long to serve any request by
+    /// the one in force.
     ///
-    /// What goes wrong otherwise: a host that does not get a new version serves requests
-    /// without a key by routes that were moved or removed, for as long as that lasts. One
-    /// would notice requests that an older version handled seconds after the operator's
-    /// change was acknowledged.
+    /// Without this limit, a host that cannot get a new version would keep serving requests without
+    /// an API key by routes that have been moved or removed. This shows as requests handled by an
+    /// older version seconds after the operator's change was acknowledged.
     pub(crate) fn is_outdated(&self, now: Time) -> bool {
         let limit = self.options.relay.as_ref().map(|relay| relay.apply_limit);
         let (Some(limit), Some(since)) = (limit, self.newer.behind_since()) else {
--- a/crates/policy/src/hosts/peering.rs
+++ b/crates/policy/src/hosts/peering.rs
@@ -1,28 +1,28 @@
-//! How hosts act together: one heartbeat an interval from each host to the
-//! coordinator of its failure domain, answered with shares.
+//! The exchange between a host and the coordinator of its failure domain: each host sends the
+//! coordinator one heartbeat per interval, and the answer contains the host's shares.
 
 use super::*;
 
-/// Interval for each host of the domain: the coordinator's work and traffic stay
-/// the same as the domain grows.
+/// Heartbeat interval per host of the domain. The interval grows with the domain, so that the load
+/// and the traffic of the coordinator stay constant.
 const INTERVAL_PER_HOST: Duration = Duration::from_millis(100);
 
-/// Shortest interval.
+/// Minimum heartbeat interval.
 const MIN_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Intervals for which shares hold without news.
+/// Number of heartbeat intervals for which shares are valid if they are not renewed.
 const VALID_INTERVALS: u32 = 3;
 
-/// State of the joint work with other hosts.
+/// State of the exchange with the other hosts of the failure domain.
 #[derive(Debug)]
 pub(crate) struct Peering {
     pub(crate) members: Membership,
     next_heartbeat: Time,
-    /// A heartbeat is under way.
+    /// Whether a heartbeat was sent that has not been answered yet.
     awaiting_answer: bool,
     pub(crate) shares: Shares,
     coordinator: Coordinator,
-    /// Whether grants held at the last tick.
+    /// Whether the grants were valid when they were last checked.
     had_grants: bool,
 }
 
@@ -57,7 +57,8 @@
         self.apply_shares(now);
     }
 
-    /// Sends a heartbeat when one is due, or divides the slots itself.
+    /// When a heartbeat is due, sends it to the coordinator, or allocates the slots if this host is
+    /// the coordinator. Falls back to equal shares when the grants have expired.
     pub(crate) fn tick_peering(&mut self, now: Time, actions: &mut Vec<Action>) {
         let has_grants = self.peering.shares.are_valid(now);
         if has_grants != self.peering.had_grants {
@@ -121,9 +122,9 @@
         }
     }
 
-    /// Answers a host of the same domain that takes this one for the coordinator.
-    /// A host that asks is served even if this one would name another coordinator:
-    /// two coordinators divide less well, and nothing worse.
+    /// Answers a heartbeat. A host of the same domain gets shares even if this host considers
+    /// another host the coordinator: with two coordinators the slots are allocated less well, but
+    /// nothing breaks.
     pub(crate) fn on_heartbeat(
         &mut self,
         now: Time,
@@ -149,8 +150,8 @@
         actions.push(Action::AnswerHeartbeat { answer, call });
     }
 
-    /// Takes the shares of an answer; they hold from the moment at which they
-    /// were asked for, so a late answer gives no more time than a prompt one.
+    /// Applies the shares in an answer. Their validity starts when the heartbeat was sent, so that
+    /// a late answer is not valid for longer than a prompt one.
     pub(crate) fn on_heartbeat_answered(
         &mut self,
         now: Time,
@@ -162,7 +163,7 @@
         self.peering.awaiting_answer = false;
         let Some(answer) = answer.filter(|answer| answer.grants.is_some()) else {
             self.peering.members.note_unanswered(host, now);
-            // The next one in line is asked at the next tick.
+            // The next candidate for the coordinator is asked at the next tick.
             self.peering.next_heartbeat = now;
             return;
         };
@@ -178,8 +179,8 @@
         self.apply_shares(now);
     }
 
-    /// Believes a peer that upstreams are leaving, for as long as shares hold;
-    /// it says so again with each exchange.
+    /// Marks upstreams as leaving that a peer reports as leaving. The mark expires like shares,
+    /// because the peer repeats the report with each exchange.
     fn note_advertised_leaving(&mut self, now: Time, upstreams: &[UpstreamId]) {
         let until = now + self.peering.share_validity();
         for upstream in upstreams {
@@ -189,8 +190,8 @@
         }
     }
 
-    /// A newer version at a peer is a reason to read the platform at once; it
-    /// is never taken from the peer's word alone.
+    /// Reads the configuration from the platform immediately if a peer has a newer version. The
+    /// peer's message only triggers the read; it does not change the configuration by itself.
     fn read_if_newer(&self, seen: Option<ConfigVersion>, actions: &mut Vec<Action>) {
         if seen > self.version() {
             actions.push(Action::ReadConfiguration);
@@ -213,7 +214,7 @@
         coordinator.grants(&heartbeat.host, hosts, &groups, now, max_age)
     }
 
-    /// Puts the shares, or equal parts without them, in force.
+    /// Applies the granted shares, or equal shares while no grants are valid.
     pub(crate) fn apply_shares(&mut self, now: Time) {
         let domain_size = self.peering.members.domain_size();
         let total_size = self.peering.members.total_size();
@@ -229,7 +230,8 @@
     }
 }
 
-/// At least one slot, so that no host is cut off from an upstream.
+/// The share of one host if all get the same. It has at least one slot, so that every host can use
+/// the upstream.
 fn equal_share(slots: u32, hosts: u32) -> u32 {
     (slots / hosts.max(1)).max(1)
 }
--- a/crates/policy/src/hosts/share.rs
+++ b/crates/policy/src/hosts/share.rs
@@ -1,15 +1,18 @@
-/// A host's share of a group: a range of the line of its slots.
+/// A host's share of an upstream group: a range of the group's slots. The slots are numbered
+/// through all upstreams of the group in the order of the upstreams' ids, without the headroom.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Share {
+    /// Number of the first slot in the range.
     pub(crate) first: u32,
-    /// Slots of the group that are on nobody's range.
+    /// Slots of the group that are in no host's range.
     pub(crate) headroom: u32,
+    /// Length of the range.
     pub(crate) slots: u32,
 }
 
 impl Share {
-    /// The part of a line of `slots` that falls to one of `hosts` hosts when
-    /// all get the same; at least one slot, so that no host is cut off.
+    /// The share of the host at position `index` if `slots` slots are divided equally among `hosts`
+    /// hosts. It has at least one slot, so that every host can use the group.
     pub(crate) fn equal(slots: u32, hosts: u32, index: u32) -> Self {
         let hosts = hosts.max(1);
         let first = slots * index / hosts;
@@ -21,7 +24,7 @@
         }
     }
 
-    /// How many of its slots lie on a part of the line.
+    /// Number of slots of this share in the range of `slots` slots that starts at `first`.
     pub(crate) fn overlap(self, first: u32, slots: u32) -> u32 {
         let end = (self.first + self.slots).min(first + slots);
         end.saturating_sub(self.first.max(first))
--- a/crates/policy/src/hosts/shares.rs
+++ b/crates/policy/src/hosts/shares.rs
@@ -1,10 +1,11 @@
 use super::*;
 
-/// This host's shares of its domain's groups of upstreams.
+/// The shares of its domain's upstream groups that the coordinator has granted to this host.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
+    /// Shares by the name of the group.
     granted: BTreeMap<String, Share>,
-    /// Until when the grants hold.
+    /// When the grants expire.
     valid_until: Time,
 }
 
@@ -24,15 +25,15 @@
         self.valid_until = valid_until;
     }
 
-    /// Whether grants hold. Without them each host takes an equal part: what
-    /// goes wrong otherwise is that a host without news keeps slots that were
-    /// given to others since.
+    /// Whether the grants are still valid. Without valid grants each host takes an equal share. If
+    /// grants did not expire, a host that is cut off from the coordinator would keep slots that
+    /// have been granted to other hosts since.
     pub(crate) fn are_valid(&self, now: Time) -> bool {
         now < self.valid_until
     }
 
-    /// The granted share of a group; `None` for one that the coordinator did not
-    /// name, since its configuration is older or newer.
+    /// The granted share of a group. `None` if the coordinator granted none because its
+    /// configuration, which is older or newer, does not have the group.
     pub(crate) fn get(&self, group: &str) -> Option<Share> {
         self.granted.get(group).copied()
     }
