--- a/crates/policy/src/reach/lost_path.rs
+++ b/crates/policy/src/reach/lost_path.rs
@@ -7,6 +7,6 @@
     pub(crate) checked_at: Time,
     /// When the loss was last observed.
     pub(crate) observed_at: Time,
-    /// What the upstream serves.
+    /// The targets that the upstream serves.
     pub(crate) targets: Vec<Target>,
 }
--- a/crates/policy/src/reach/mod.rs
+++ b/crates/policy/src/reach/mod.rs
@@ -1,11 +1,12 @@
-//! Which upstreams this host reaches by itself, and the other hosts through which it reaches the
-//! rest.
+//! Reachability of upstreams: which upstreams this host can connect to directly, and through which
+//! other hosts it reaches the rest.
 //!
-//! What goes wrong without it: a host loses its paths to the upstreams while callers still reach
-//! it. Each request is tried at one upstream after the other, by connections that cannot be made,
-//! and nobody is served there although every other host reaches the same upstreams. One would
-//! notice `connect` as the cause of all failed attempts of a few hosts. That another host connects
-//! to an upstream at the same moment tells a lost path from an upstream that has ended.
+//! A host can lose its network paths to upstreams while callers still reach it. Without transit
+//! through other hosts, it would try each request at one upstream after another, could not connect
+//! to any, and would serve no caller, although every other host reaches the same upstreams. This
+//! shows as `connect` being the cause of all failed attempts of a few hosts. A path counts as lost
+//! only if another host connects to the upstream at the same time, which distinguishes a lost path
+//! from an upstream that is down.
 
 use super::*;
 
--- a/crates/policy/src/reach/own_paths.rs
+++ b/crates/policy/src/reach/own_paths.rs
@@ -1,48 +1,48 @@
 use super::*;
 
-/// Upstreams of a target to which the paths must be lost for all of its upstreams to count as out
-/// of reach; all of them where there are fewer.
+/// Number of lost paths to upstreams of a target from which all upstreams of the target count as
+/// unreachable. If the target has fewer upstreams, the paths to all of them must be lost.
 const MIN_LOST_PATHS: usize = 2;
 
 /// Time between two checks of whether a lost path is restored.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a host knows of its own paths to upstreams.
+/// What a host knows about its own, direct paths to upstreams.
 #[derive(Debug, Default)]
 pub(crate) struct OwnPaths {
-    /// Targets none of whose upstreams it reaches.
+    /// Targets for which no upstream can be reached directly.
     cut_off: BTreeSet<Target>,
-    /// When an upstream of each target was last observed over a path of its own.
+    /// When an upstream of each target last connected or answered over a direct path.
     last_direct: HashMap<Target, Time>,
     lost: BTreeMap<UpstreamId, LostPath>,
     next_check: Time,
 }
 
 impl OwnPaths {
-    /// Whether a path of its own leads to an upstream that serves a target, as far as is known.
+    /// Whether the direct path to an upstream that serves the targets is open, as far as is known.
     pub(crate) fn is_open(&self, upstream: &UpstreamId, targets: &[Target]) -> bool {
         !self.lost.contains_key(upstream)
             && !targets.iter().any(|target| self.cut_off.contains(target))
     }
 
-    /// Whether any path is known to be lost.
+    /// Whether no path is known to be lost.
     pub(crate) fn all_open(&self) -> bool {
         self.lost.is_empty()
     }
 
-    /// Targets none of whose upstreams are reached.
+    /// Targets for which no upstream can be reached directly.
     pub(crate) const fn cut_off(&self) -> &BTreeSet<Target> {
         &self.cut_off
     }
 
-    /// Upstreams to which the paths were found lost.
+    /// Upstreams to which the direct path is lost.
     pub(crate) fn lost(&self) -> impl Iterator<Item = &UpstreamId> {
         self.lost.keys()
     }
 
-    /// Notes that an upstream was observed over a path of its own. Where all of a target's
-    /// upstreams were out of reach, none is taken to be any more: the next request to each finds
-    /// out.
+    /// Records that an upstream connected or answered over a direct path. If a target of the
+    /// upstream was cut off, the paths to all upstreams of the target count as open again. The next
+    /// request to each of these upstreams shows whether its path is open.
     pub(crate) fn note_direct(&mut self, upstream: &UpstreamId, targets: &[Target], now: Time) {
         for target in targets {
             match self.last_direct.get_mut(target) {
@@ -58,8 +58,8 @@
         self.lost.remove(upstream);
     }
 
-    /// Notes that another host connected to an upstream while this one could not. `copies` counts
-    /// the upstreams of each of its targets.
+    /// Records that another host connected to an upstream while this host could not. `targets` has
+    /// the number of upstreams for each target that the upstream serves.
     pub(crate) fn note_lost(
         &mut self,
         upstream: &UpstreamId,
@@ -79,14 +79,15 @@
         }
     }
 
-    /// Notes that a lost path was still not open.
+    /// Records that a lost path was checked and is still lost.
     pub(crate) fn note_still_lost(&mut self, upstream: &UpstreamId, now: Time) {
         if let Some(path) = self.lost.get_mut(upstream) {
             path.observed_at = now;
         }
     }
 
-    /// The path to be checked now, if one is due: the one that was checked longest ago.
+    /// If a check is due, returns the upstream whose lost path was checked longest ago, and records
+    /// the check.
     pub(crate) fn take_due_check(&mut self, now: Time) -> Option<UpstreamId> {
         if now < self.next_check {
             return None;
@@ -98,7 +99,7 @@
         Some(upstream.clone())
     }
 
-    /// Forgets upstreams that are gone.
+    /// Drops upstreams that no longer exist, and targets that have no lost path left.
     pub(crate) fn retain_known(&mut self, is_known: impl Fn(&UpstreamId) -> bool) {
         self.lost.retain(|upstream, _| is_known(upstream));
         let lost = &self.lost;
@@ -108,6 +109,8 @@
         });
     }
 
+    /// Number of lost paths to upstreams of a target that were observed lost since the last success
+    /// over a direct path to the target.
     fn lost_since_direct(&self, target: &Target) -> usize {
         let last_direct = self.last_direct.get(target).copied().unwrap_or_default();
         let paths = self.lost.values();
--- a/crates/policy/src/reach/path_change.rs
+++ b/crates/policy/src/reach/path_change.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// A change of what a host believes of its own path to an upstream.
+/// A change in whether a host considers its own path to an upstream open.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PathChange {
-    /// Targets none of whose upstreams it reaches by itself now.
+    /// Targets for which the host can now connect to no upstream directly.
     pub cut_off: Vec<Target>,
     /// Whether the path is open.
     pub is_open: bool,
-    /// Upstreams to which the paths are lost now.
+    /// Number of upstreams to which the path is now lost.
     pub lost: usize,
-    /// What showed it.
+    /// The connection attempts that revealed the change.
     pub tries: Vec<PathTry>,
     /// The upstream.
     pub upstream: UpstreamId,
--- a/crates/policy/src/reach/path_checks.rs
+++ b/crates/policy/src/reach/path_checks.rs
@@ -1,14 +1,16 @@
-//! How a host learns that a path is lost or restored.
+//! Detection of lost and restored paths to upstreams.
 
 use super::*;
 
-/// Time between two checks of a host that observes no upstream any more.
+/// Time between two checks while this host receives nothing from any upstream.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Upstreams of each target that such a host checks.
+/// Number of upstreams per target that are checked while no upstream responds.
 const CHECKS_PER_TARGET: usize = 2;
 
 impl Controller {
+    /// Updates the known lost paths by the connection attempts to an upstream. A path counts as
+    /// lost if the direct attempt failed while another host connected.
     pub(crate) fn on_paths_tried(
         &mut self,
         now: Time,
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Notes that a request goes through another host.
+    /// Records that a request goes through another host, if the connection was made that way.
     pub(crate) fn note_request_path(&mut self, request: Option<RequestId>, tries: &[PathTry]) {
         let is_through = tries
             .iter()
@@ -62,25 +64,27 @@
         }
     }
 
-    /// Notes that an upstream answered a request that was sent over a path of this host's own.
+    /// Records that an upstream answered a request. Only a direct path counts.
     pub(crate) fn note_path_answered(&mut self, now: Time, upstream: &UpstreamId, is_direct: bool) {
         if !is_direct || self.own_paths.all_open() {
             return;
         }
         let targets = self.pool.targets_of(upstream);
-        // A connection established before its path was lost may live on.
+        // An answer does not show that a lost path is restored: a connection that was established
+        // before the loss may still work.
         if self.own_paths.is_open(upstream, &targets) {
             self.own_paths.note_direct(upstream, &targets, now);
         }
     }
 
-    /// Whether the path that a request took to its upstream has been found lost since.
+    /// Whether the direct path that a request took to its upstream has since been found lost.
     pub(crate) fn is_path_lost(&self, request: &Running) -> bool {
         let targets = self.pool.targets_of(&request.upstream);
         request.is_direct && !self.own_paths.is_open(&request.upstream, &targets)
     }
 
-    /// Checks whether lost paths are restored, and for lost ones where no upstream is observed.
+    /// Checks whether lost paths are restored, and abandons attempts that are stalled on lost
+    /// paths. If no upstream responds, also checks for further lost paths.
     pub(crate) fn tick_paths(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.transit.expire(now);
         if !self.own_paths.all_open() {
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Checks the paths to some upstreams that should be observed and are not.
+    /// Checks the paths to some upstreams that have requests in flight but do not respond.
     fn check_silent_upstreams(&self, now: Time, actions: &mut Vec<Action>) {
         for target in self.pool.targets.keys() {
             let busy = self.pool.copies(target).filter(|state| {
--- a/crates/policy/src/reach/stalled_attempts.rs
+++ b/crates/policy/src/reach/stalled_attempts.rs
@@ -1,17 +1,18 @@
-//! Requests that wait for an upstream over a path that is lost.
+//! Abandons attempts that wait for an upstream over a lost path.
 
 use super::*;
 
-/// Time without a sign of an upstream after which a request there is given up, if the path to it is
-/// known to be lost. Connections established before may go on.
+/// Time without progress after which an attempt is abandoned if the path to its upstream is lost.
+/// An attempt that makes progress continues, because connections that were established before the
+/// loss may keep working.
 const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time between two looks for such requests.
+/// Time between two scans for such attempts.
 const SCAN_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Controller {
-    /// Gives up attempts that can be made again elsewhere without harm. Without it they would last
-    /// until the kernel takes the peer for dead.
+    /// Abandons stalled attempts of requests that can safely be retried on another upstream.
+    /// Otherwise these attempts would last until the kernel considers the connection dead.
     pub(crate) fn abandon_stalled(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.own_paths.all_open() || now < self.next_abandon {
             return;
--- a/crates/policy/src/reach/transit.rs
+++ b/crates/policy/src/reach/transit.rs
@@ -1,13 +1,14 @@
-//! The choice of paths to an upstream, and what other hosts are answered that want to reach one
-//! through this host.
+//! Chooses the paths to an upstream, and answers other hosts that want to reach an upstream through
+//! this host.
 
 use super::*;
 
-/// Hosts through which one request may be sent.
+/// Maximum number of other hosts through which a request tries to reach an upstream.
 const MAX_TRANSIT_HOSTS: usize = 3;
 
 impl Controller {
-    /// The paths to an upstream, in the order in which they are tried.
+    /// The paths to an upstream, in the order in which they are tried. The direct path comes first
+    /// unless it is lost.
     pub(crate) fn paths_to(&self, now: Time, state: &UpstreamState) -> Vec<Path> {
         if self.options.relay.is_none() {
             return vec![Path::Direct];
@@ -23,8 +24,9 @@
         paths
     }
 
-    /// Paths through other hosts, those of the own failure domain first. Which of them is the first
-    /// for an upstream differs by host and upstream, so that each carries a part.
+    /// The paths through other hosts. Hosts that are not avoided come first, and among them those
+    /// in this host's failure domain. Beyond that, the order differs by host and upstream, which
+    /// spreads the traffic over the transit hosts.
     fn transit_paths(&self, now: Time, upstream: &UpstreamId, targets: &[Target]) -> Vec<Path> {
         let hosts = self
             .neighbors
@@ -37,7 +39,8 @@
             })
             .collect();
         hosts.sort_unstable();
-        // A whole failure domain may have lost its paths, and not know it yet.
+        // All hosts of the failure domain may have lost their paths without knowing it yet, so at
+        // least one host of another domain is tried.
         let position = hosts
             .iter()
             .position(|(avoided, is_other_domain, ..)| !avoided && *is_other_domain);
@@ -48,7 +51,8 @@
         hosts.map(|(.., address)| Path::Through(address)).collect()
     }
 
-    /// Answers a host that wants to reach an upstream through this one: where to connect.
+    /// Answers a host that wants to reach an upstream through this host. The answer has the address
+    /// to connect to, or none if this host does not provide the connection.
     pub(crate) fn on_transit_asked(
         &self,
         now: Time,
@@ -68,7 +72,7 @@
         });
     }
 
-    /// What other hosts are told of reaching upstreams through this one.
+    /// What load notes tell other hosts about reaching upstreams through this host.
     pub(crate) fn reach_note(&self) -> ReachNote {
         let cut_off = self.own_paths.cut_off().iter();
         ReachNote {
--- a/crates/policy/src/reach/transit_hosts.rs
+++ b/crates/policy/src/reach/transit_hosts.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// Time for which a host gets no further requests to pass on after it took none, or did not
-/// answer.
+/// How long a host is avoided after it declined or refused a transit connection, or did not answer.
 const AVOID_TIME: Duration = Duration::from_secs(1);
 
-/// Time after it could not reach an upstream that a third host reached.
+/// How long a host is avoided after it could not reach an upstream that was reached over another
+/// path.
 const AVOID_UNREACHED_TIME: Duration = Duration::from_millis(300);
 
-/// Other hosts through which upstreams can be reached.
+/// Records which of the hosts through which upstreams can be reached are avoided for now.
 #[derive(Debug, Default)]
 pub(crate) struct TransitHosts {
-    /// Until when each is avoided.
+    /// Until when each host is avoided, by address.
     avoided: HashMap<SocketAddr, Time>,
 }
 
@@ -19,7 +19,7 @@
         self.avoided.get(&host).is_some_and(|until| now < *until)
     }
 
-    /// Notes how the attempts ended that were made together for one upstream.
+    /// Records how the connection attempts ended that were made for one upstream at the same time.
     pub(crate) fn note_tries(&mut self, tries: &[PathTry], now: Time) {
         let is_reached = tries.iter().any(|tried| tried.end == PathEnd::Connected);
         for tried in tries {
