--- a/crates/policy/src/hosts/mod.rs
+++ b/crates/policy/src/hosts/mod.rs
@@ -1,10 +1,11 @@
-//! What hosts do together: membership, shares of slots, notes of load, newer configurations.
+//! Cooperation between hosts: domain membership, shares of upstream slots, load gossip, and
+//! fetching newer configurations from other hosts.
 
 use super::*;
 
 mod coordinator;
-mod hearing;
 mod host_group;
+mod load_notes;
 mod member;
 mod membership;
 pub(crate) mod neighbors;
@@ -16,7 +17,7 @@
 pub use {host_group::own_group, neighbors::are_grouped};
 
 pub(crate) use {
-    coordinator::{Coordinator, Divided},
+    coordinator::{Coordinator, GroupCapacity},
     member::Member,
     membership::Membership,
     neighbors::Neighbors,
--- a/crates/policy/src/hosts/shares.rs
+++ b/crates/policy/src/hosts/shares.rs
@@ -1,15 +1,16 @@
 use super::*;
 
-/// This host's shares of its domain's groups of upstreams.
+/// The shares of its domain's upstream groups that the coordinator has granted to this host.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
+    /// Shares by the name of the group.
     granted: BTreeMap<String, Share>,
-    /// Until when the grants hold.
-    until: Time,
+    /// When the grants expire.
+    valid_until: Time,
 }
 
 impl Shares {
-    pub(crate) fn grant(&mut self, grants: Vec<Grant>, until: Time) {
+    pub(crate) fn grant(&mut self, grants: Vec<Grant>, valid_until: Time) {
         self.granted = grants
             .into_iter()
             .map(|grant| {
@@ -21,19 +22,19 @@
                 (grant.group, share)
             })
             .collect();
-        self.until = until;
+        self.valid_until = valid_until;
     }
 
-    /// Whether grants hold. Without them each host takes an equal part: what
-    /// goes wrong otherwise is that a host without news keeps slots that were
-    /// given to others since.
-    pub(crate) fn hold(&self, now: Time) -> bool {
-        now < self.until
+    /// Whether the grants are still valid. Without valid grants each host takes an equal share. If
+    /// grants did not expire, a host that is cut off from the coordinator would keep slots that
+    /// have been granted to other hosts since.
+    pub(crate) fn are_valid(&self, now: Time) -> bool {
+        now < self.valid_until
     }
 
-    /// The granted share of a group; `None` for one that the coordinator did not
-    /// name, since its configuration is older or newer.
-    pub(crate) fn of(&self, group: &str) -> Option<Share> {
+    /// The granted share of a group. `None` if the coordinator granted none because its
+    /// configuration, which is older or newer, does not have the group.
+    pub(crate) fn get(&self, group: &str) -> Option<Share> {
         self.granted.get(group).copied()
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -61,7 +61,7 @@
     hosts::{are_grouped, own_group},
     overload::AdmissionNoted,
     queueing::{Overdraft, RoomRules},
-    reach::ReachNoted,
+    reach::PathChange,
     relay_rules::RelayRules,
     requests::{
         Arrival, AttemptEnd, ClaimAnswer, ClaimRequest, Outcome, OutcomeEnd, PrefixHash, Refusal,
@@ -78,7 +78,7 @@
     brittleness::Brittleness,
     crashes::Crashes,
     duties::Reporting,
-    hosts::{Divided, Neighbors, NewerConfiguration, Peering, Share},
+    hosts::{GroupCapacity, Neighbors, NewerConfiguration, Peering, Share},
     overload::{Congestion, EarlyRefusal},
     prompt_transfers::{PromptCopies, PromptFetch, TransferLink},
     queueing::{Lane, LengthEstimate, PRESSING_TIERS, QueuedItem, Rank, TeamLimits, Urgency},
--- a/crates/policy/src/reach/checking.rs
+++ b/crates/policy/src/reach/path_checks.rs
@@ -1,14 +1,16 @@
-//! How a host learns that a path is lost or restored.
+//! Detection of lost and restored paths to upstreams.
 
 use super::*;
 
-/// Time between two checks of a host that observes no upstream any more.
-const SUSPICION_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two checks while this host receives nothing from any upstream.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Upstreams of each target that such a host checks.
-const SUSPECTED: usize = 2;
+/// Number of upstreams per target that are checked while no upstream responds.
+const CHECKS_PER_TARGET: usize = 2;
 
 impl Controller {
+    /// Updates the known lost paths by the connection attempts to an upstream. A path counts as
+    /// lost if the direct attempt failed while another host connected.
     pub(crate) fn on_paths_tried(
         &mut self,
         now: Time,
@@ -16,7 +18,7 @@
         tries: Vec<PathTry>,
         actions: &mut Vec<Action>,
     ) {
-        self.transit.note(&tries, now);
+        self.transit.note_tries(&tries, now);
         let Some(state) = self.pool.get(upstream) else {
             return;
         };
@@ -39,7 +41,7 @@
         }
         let is_open = self.own_paths.is_open(upstream, &targets);
         if is_open != was_open {
-            actions.push(Action::NoteReach(ReachNoted {
+            actions.push(Action::NoteReach(PathChange {
                 cut_off: self.own_paths.cut_off().iter().cloned().collect(),
                 is_open,
                 lost: self.own_paths.lost().count(),
@@ -49,8 +51,8 @@
         }
     }
 
-    /// Notes that a request goes through another host.
-    pub(crate) fn note_path_of(&mut self, request: Option<RequestId>, tries: &[PathTry]) {
+    /// Records that a request goes through another host, if the connection was made that way.
+    pub(crate) fn note_request_path(&mut self, request: Option<RequestId>, tries: &[PathTry]) {
         let is_through = tries
             .iter()
             .any(|tried| tried.end == PathEnd::Connected && matches!(tried.path, Path::Through(_)));
@@ -62,33 +64,35 @@
         }
     }
 
-    /// Notes that an upstream answered a request that was sent over a path of this host's own.
+    /// Records that an upstream answered a request. Only a direct path counts.
     pub(crate) fn note_path_answered(&mut self, now: Time, upstream: &UpstreamId, is_direct: bool) {
-        if !is_direct || self.own_paths.is_whole() {
+        if !is_direct || self.own_paths.all_open() {
             return;
         }
         let targets = self.pool.targets_of(upstream);
-        // A connection established before its path was lost may live on.
+        // An answer does not show that a lost path is restored: a connection that was established
+        // before the loss may still work.
         if self.own_paths.is_open(upstream, &targets) {
             self.own_paths.note_direct(upstream, &targets, now);
         }
     }
 
-    /// Whether the path that a request took to its upstream has been found lost since.
+    /// Whether the direct path that a request took to its upstream has since been found lost.
     pub(crate) fn is_path_lost(&self, request: &Running) -> bool {
         let targets = self.pool.targets_of(&request.upstream);
         request.is_direct && !self.own_paths.is_open(&request.upstream, &targets)
     }
 
-    /// Checks whether lost paths are restored, and for lost ones where no upstream is observed.
-    pub(crate) fn tick_reach(&mut self, now: Time, actions: &mut Vec<Action>) {
-        self.transit.forget(now);
-        if !self.own_paths.is_whole() {
+    /// Checks whether lost paths are restored, and abandons attempts that are stalled on lost
+    /// paths. If no upstream responds, also checks for further lost paths.
+    pub(crate) fn tick_paths(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.transit.expire(now);
+        if !self.own_paths.all_open() {
             let pool = &self.pool;
             self.own_paths
-                .retain(|upstream| pool.get(upstream).is_some_and(|state| !state.removed));
+                .retain_known(|upstream| pool.get(upstream).is_some_and(|state| !state.removed));
         }
-        if let Some(upstream) = self.own_paths.take_check(now)
+        if let Some(upstream) = self.own_paths.take_due_check(now)
             && let Some(state) = self.pool.get(&upstream)
         {
             actions.push(Action::CheckPath {
@@ -102,18 +106,18 @@
             && now >= self.next_suspicion
             && self.pool.silent.is_all_silent(&self.pool.states, now)
         {
-            self.next_suspicion = now + SUSPICION_INTERVAL;
-            self.check_suspected(now, actions);
+            self.next_suspicion = now + SILENCE_CHECK_INTERVAL;
+            self.check_silent_upstreams(now, actions);
         }
     }
 
-    /// Checks the paths to some upstreams that should be observed and are not.
-    fn check_suspected(&self, now: Time, actions: &mut Vec<Action>) {
+    /// Checks the paths to some upstreams that have requests in flight but do not respond.
+    fn check_silent_upstreams(&self, now: Time, actions: &mut Vec<Action>) {
         for target in self.pool.targets.keys() {
             let busy = self.pool.copies(target).filter(|state| {
                 state.in_flight > 0 && !state.removed && self.own_paths.is_open(&state.id, &[])
             });
-            actions.extend(busy.take(SUSPECTED).map(|state| Action::CheckPath {
+            actions.extend(busy.take(CHECKS_PER_TARGET).map(|state| Action::CheckPath {
                 address: state.definition.address(),
                 paths: self.paths_to(now, state),
                 upstream: state.id.clone(),
--- a/crates/policy/src/reach/transit.rs
+++ b/crates/policy/src/reach/transit.rs
@@ -1,54 +1,58 @@
-//! The choice of paths to an upstream, and what other hosts are answered that want to reach one
-//! through this host.
+//! Chooses the paths to an upstream, and answers other hosts that want to reach an upstream through
+//! this host.
 
 use super::*;
 
-/// Hosts through which one request may be sent.
-const MAX_THROUGH: usize = 3;
+/// Maximum number of other hosts through which a request tries to reach an upstream.
+const MAX_TRANSIT_HOSTS: usize = 3;
 
 impl Controller {
-    /// The paths to an upstream, in the order in which they are tried.
+    /// The paths to an upstream, in the order in which they are tried. The direct path comes first
+    /// unless it is lost.
     pub(crate) fn paths_to(&self, now: Time, state: &UpstreamState) -> Vec<Path> {
         if self.options.relay.is_none() {
             return vec![Path::Direct];
         }
         let targets = pool::targets_of(&state.definition);
-        let mut paths = self.paths_through(now, &state.id, &targets);
-        let place = if self.own_paths.is_open(&state.id, &targets) {
+        let mut paths = self.transit_paths(now, &state.id, &targets);
+        let index = if self.own_paths.is_open(&state.id, &targets) {
             0
         } else {
             paths.len()
         };
-        paths.insert(place, Path::Direct);
+        paths.insert(index, Path::Direct);
         paths
     }
 
-    /// Paths through other hosts, those of the own failure domain first. Which of them is the first
-    /// for an upstream differs by host and upstream, so that each carries a part.
-    fn paths_through(&self, now: Time, upstream: &UpstreamId, targets: &[Target]) -> Vec<Path> {
+    /// The paths through other hosts. Hosts that are not avoided come first, and among them those
+    /// in this host's failure domain. Beyond that, the order differs by host and upstream, which
+    /// spreads the traffic over the transit hosts.
+    fn transit_paths(&self, now: Time, upstream: &UpstreamId, targets: &[Target]) -> Vec<Path> {
         let hosts = self
             .neighbors
-            .able_to_connect(&self.options.host, targets, now);
+            .transit_candidates(&self.options.host, targets, now);
         let mut hosts: Vec<(bool, bool, u64, SocketAddr)> = hosts
-            .map(|(place, is_near, address)| {
+            .map(|(pair_weight, is_same_domain, address)| {
                 let avoided = self.transit.is_avoided(address, now);
-                let weight = placement::weight_of(upstream, place);
-                (avoided, !is_near, weight, address)
+                let weight = placement::weight_of(upstream, pair_weight);
+                (avoided, !is_same_domain, weight, address)
             })
             .collect();
         hosts.sort_unstable();
-        // A whole failure domain may have lost its paths, and not know it yet.
-        let far = hosts
+        // All hosts of the failure domain may have lost their paths without knowing it yet, so at
+        // least one host of another domain is tried.
+        let position = hosts
             .iter()
-            .position(|(avoided, is_far, ..)| !avoided && *is_far);
-        if let Some(far) = far.filter(|far| *far >= MAX_THROUGH) {
-            hosts.swap(far, MAX_THROUGH - 1);
+            .position(|(avoided, is_other_domain, ..)| !avoided && *is_other_domain);
+        if let Some(position) = position.filter(|position| *position >= MAX_TRANSIT_HOSTS) {
+            hosts.swap(position, MAX_TRANSIT_HOSTS - 1);
         }
-        let hosts = hosts.into_iter().take(MAX_THROUGH);
+        let hosts = hosts.into_iter().take(MAX_TRANSIT_HOSTS);
         hosts.map(|(.., address)| Path::Through(address)).collect()
     }
 
-    /// Answers a host that wants to reach an upstream through this one: where to connect.
+    /// Answers a host that wants to reach an upstream through this host. The answer has the address
+    /// to connect to, or none if this host does not provide the connection.
     pub(crate) fn on_transit_asked(
         &self,
         now: Time,
@@ -68,7 +72,7 @@
         });
     }
 
-    /// What other hosts are told of reaching upstreams through this one.
+    /// What load notes tell other hosts about reaching upstreams through this host.
     pub(crate) fn reach_note(&self) -> ReachNote {
         let cut_off = self.own_paths.cut_off().iter();
         ReachNote {
