--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -107,7 +107,7 @@
     /// Log a change of what an upstream says of the rejections that it bears.
     NoteBrittle(BrittleNoted),
     /// Log and show a change of the part of a class that is taken.
-    NoteAdmission(AdmissionNoted),
+    NoteAdmission(AdmissionChange),
     /// Log and count an upstream that ended under a request.
     NoteCrash(CrashNoted),
     /// Log and count an upstream that is newly known to leave.
--- a/crates/policy/src/overload/congestion.rs
+++ b/crates/policy/src/overload/congestion_control.rs
@@ -1,15 +1,15 @@
 use super::*;
 
 /// Time for which a class counts as asked for.
-const ASKED_FOR: Duration = Duration::from_secs(10);
+const CLASS_ACTIVITY_WINDOW: Duration = Duration::from_secs(10);
 
 /// Share of refused attempts that upstreams may come to. With the attempts that a request
 /// has, few urgent ones are then refused by all of them, and the upstreams stay full.
-const MAX_REFUSED: f64 = 0.45;
+const MAX_REFUSED_SHARE: f64 = 0.45;
 
 /// Time over which attempts are counted between two changes of the limit, if they are
 /// enough …
-const WINDOW: Duration = Duration::from_millis(500);
+const MIN_WINDOW: Duration = Duration::from_millis(500);
 
 /// … to tell a share from chance; a host with few requests waits longer, …
 const MIN_ATTEMPTS: u32 = 6;
@@ -19,7 +19,7 @@
 
 /// Part of the refused share by which the limit is cut, and the most that is cut at a time:
 /// what was just sent shows only in the next window.
-const CUT_BY: f64 = 0.5;
+const CUT_FACTOR: f64 = 0.5;
 const MAX_CUT: f64 = 0.3;
 
 /// Growth of the limit in a window in which nothing was refused, and in one in which little
@@ -31,12 +31,12 @@
 const MIN_LIMIT: f64 = 1.0;
 
 /// A limit that is so many times what is there is none.
-const NO_LIMIT: f64 = 3.0;
+const UNLIMITED_FACTOR: f64 = 3.0;
 
 /// A class that was asked for.
 #[derive(Debug)]
-struct Asked {
-    at: Time,
+struct ActiveClass {
+    last_requested: Time,
     /// The most urgent priority that it came with.
     priority: u8,
 }
@@ -53,33 +53,39 @@
 /// of the least urgent class through while too large a share of its attempts is refused, and
 /// more again as less is: together they keep the upstreams just full.
 #[derive(Debug, Default)]
-pub(crate) struct Congestion {
-    asked: BTreeMap<ClassId, Asked>,
+pub(crate) struct CongestionControl {
+    active_classes: BTreeMap<ClassId, ActiveClass>,
     /// Attempts since the last change that upstreams refused or began to answer.
     attempts: u32,
-    changed: Time,
+    updated_at: Time,
     limit: Option<f64>,
     /// Refused ones among them.
     refused: u32,
 }
 
-impl Congestion {
+impl CongestionControl {
     /// A request came.
-    pub(crate) fn note_asked(&mut self, now: Time, class: &ClassId, priority: u8) {
-        self.asked
-            .retain(|_, asked| now.since(asked.at) < ASKED_FOR);
-        let asked = self.asked.entry(class.clone());
-        let asked = asked.or_insert(Asked { at: now, priority });
-        asked.at = now;
-        asked.priority = asked.priority.min(priority);
+    pub(crate) fn note_request(&mut self, now: Time, class: &ClassId, priority: u8) {
+        self.active_classes
+            .retain(|_, active| now.since(active.last_requested) < CLASS_ACTIVITY_WINDOW);
+        let entry = self.active_classes.entry(class.clone());
+        let active = entry.or_insert(ActiveClass {
+            last_requested: now,
+            priority,
+        });
+        active.last_requested = now;
+        active.priority = active.priority.min(priority);
     }
 
     /// The class that yields to others; none if all are as urgent.
-    pub(crate) fn least_urgent(&self) -> Option<&ClassId> {
-        let (class, least) = self.asked.iter().max_by_key(|(_, asked)| asked.priority)?;
-        let mut others = self.asked.values();
-        let yields = others.any(|other| other.priority < least.priority);
-        yields.then_some(class)
+    pub(crate) fn least_urgent_class(&self) -> Option<&ClassId> {
+        let (class, least_urgent) = self
+            .active_classes
+            .iter()
+            .max_by_key(|(_, active)| active.priority)?;
+        let mut others = self.active_classes.values();
+        let has_more_urgent = others.any(|other| other.priority < least_urgent.priority);
+        has_more_urgent.then_some(class)
     }
 
     /// An upstream refused an attempt, or began to answer it.
@@ -89,21 +95,21 @@
     }
 
     /// Whether the limit is to be looked at now.
-    pub(crate) fn is_due(&self, now: Time) -> bool {
-        let lasted = now.since(self.changed);
-        let is_enough = self.attempts >= MIN_ATTEMPTS || lasted >= MAX_WINDOW;
-        lasted >= WINDOW && is_enough
+    pub(crate) fn is_update_due(&self, now: Time) -> bool {
+        let elapsed = now.since(self.updated_at);
+        let has_enough_attempts = self.attempts >= MIN_ATTEMPTS || elapsed >= MAX_WINDOW;
+        elapsed >= MIN_WINDOW && has_enough_attempts
     }
 
     /// Changes the limit, given what this host has of the class at upstreams.
-    pub(crate) fn change(&mut self, now: Time, there: usize) {
-        self.changed = now;
+    pub(crate) fn update_limit(&mut self, now: Time, in_flight: usize) {
+        self.updated_at = now;
         let attempts = std::mem::take(&mut self.attempts).max(MIN_ATTEMPTS);
         let refused = f64::from(std::mem::take(&mut self.refused)) / f64::from(attempts);
-        let there = (there as f64).max(MIN_LIMIT);
-        if refused > MAX_REFUSED {
-            let cut = 1.0 - (CUT_BY * refused).min(MAX_CUT);
-            let limit = self.limit.unwrap_or(there).min(there) * cut;
+        let in_flight = (in_flight as f64).max(MIN_LIMIT);
+        if refused > MAX_REFUSED_SHARE {
+            let factor = 1.0 - (CUT_FACTOR * refused).min(MAX_CUT);
+            let limit = self.limit.unwrap_or(in_flight).min(in_flight) * factor;
             self.limit = Some(limit.max(MIN_LIMIT));
             return;
         }
@@ -113,16 +119,16 @@
             FAST_GROWTH
         };
         let limit = self.limit.map(|limit| limit * growth);
-        self.limit = limit.filter(|limit| *limit <= NO_LIMIT * there);
+        self.limit = limit.filter(|limit| *limit <= UNLIMITED_FACTOR * in_flight);
     }
 
     /// Whether one more may be sent while so many are there.
-    pub(crate) fn has_room(&self, there: usize) -> bool {
-        self.limit.is_none_or(|limit| (there as f64) < limit)
+    pub(crate) fn has_room(&self, in_flight: usize) -> bool {
+        self.limit.is_none_or(|limit| (in_flight as f64) < limit)
     }
 
     /// Whether a class is the one that is limited.
-    pub(crate) fn yields(&self, class: &ClassId) -> bool {
-        self.limit.is_some() && self.least_urgent() == Some(class)
+    pub(crate) fn is_limited(&self, class: &ClassId) -> bool {
+        self.limit.is_some() && self.least_urgent_class() == Some(class)
     }
 }
--- a/crates/policy/src/overload/expected_end.rs
+++ b/crates/policy/src/overload/expected_end.rs
@@ -2,27 +2,27 @@
 
 /// Weight of the newest limit in the usual one, if it is longer, and if it is shorter: callers
 /// that come back have less than is usual.
-const LONGER_WEIGHT: f64 = 0.3;
-const SHORTER_WEIGHT: f64 = 0.01;
+const LONGER_LIMIT_WEIGHT: f64 = 0.3;
+const SHORTER_LIMIT_WEIGHT: f64 = 0.01;
 
 /// Part of the usual limit below which a caller is taken for one that came back.
-const MOST_OF_LIMIT: f64 = 0.85;
+const SHORT_LIMIT_SHARE: f64 = 0.85;
 
 /// Weight of the newest request in the part of those with a short limit, and the part beyond which
 /// a short limit does not show that a caller came back.
-const SHORT_WEIGHT: f64 = 0.05;
-const MAX_SHORT: f64 = 0.2;
+const SHORT_SAMPLE_WEIGHT: f64 = 0.05;
+const MAX_SHORT_SHARE: f64 = 0.2;
 
 /// Requests that must wait before their wait says anything.
 const MIN_WAITING: usize = 6;
 
 /// How many times as long as what was seen a wait is expected to become.
-const MOST_GROWTH: u32 = 3;
+const MAX_WAIT_GROWTH: u32 = 3;
 
 /// How long this host's requests of a class that are at upstreams have waited for their first
 /// token, and how long ago others got theirs.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct GoingOn {
+pub(crate) struct InFlightDurations {
     pub(crate) answering: Vec<Duration>,
     pub(crate) waiting: Vec<Duration>,
 }
@@ -30,28 +30,28 @@
 /// When requests of a class are expected to end, by those of this host.
 #[derive(Debug, Default)]
 pub(crate) struct ExpectedEnd {
-    answers: RecentTimes,
-    first_tokens: RecentTimes,
+    answers: RecentDurations,
+    first_tokens: RecentDurations,
     /// Part of the requests with a short limit while none of the class was refused.
-    short: f64,
-    usual_limit: Option<Duration>,
+    short_share: f64,
+    usual_time_limit: Option<Duration>,
 }
 
 impl ExpectedEnd {
     /// A request came whose caller waits for so long, while all of the class were taken or not.
-    pub(crate) fn note_limit(&mut self, limit: Duration, are_all_taken: bool) {
-        if are_all_taken {
+    pub(crate) fn note_time_limit(&mut self, limit: Duration, is_fully_admitted: bool) {
+        if is_fully_admitted {
             let is_short = f64::from(u8::from(self.is_short(limit)));
-            self.short += SHORT_WEIGHT * (is_short - self.short);
+            self.short_share += SHORT_SAMPLE_WEIGHT * (is_short - self.short_share);
         }
-        let usual = self.usual_limit.unwrap_or(limit).as_secs_f64();
-        let change = limit.as_secs_f64() - usual;
-        let weight = if change > 0.0 {
-            LONGER_WEIGHT
+        let usual = self.usual_time_limit.unwrap_or(limit).as_secs_f64();
+        let difference = limit.as_secs_f64() - usual;
+        let weight = if difference > 0.0 {
+            LONGER_LIMIT_WEIGHT
         } else {
-            SHORTER_WEIGHT
+            SHORTER_LIMIT_WEIGHT
         };
-        self.usual_limit = Some(Duration::from_secs_f64(usual + weight * change));
+        self.usual_time_limit = Some(Duration::from_secs_f64(usual + weight * difference));
     }
 
     /// A first token came, or did not come within its caller's limit.
@@ -60,62 +60,62 @@
     }
 
     /// An answer ended, or did not end within its caller's limit.
-    pub(crate) fn note_answer(&mut self, now: Time, took: Duration) {
-        self.answers.note(now, took);
+    pub(crate) fn note_answer(&mut self, now: Time, duration: Duration) {
+        self.answers.note(now, duration);
     }
 
     /// How long callers usually wait.
-    pub(crate) const fn usual_limit(&self) -> Option<Duration> {
-        self.usual_limit
+    pub(crate) const fn usual_time_limit(&self) -> Option<Duration> {
+        self.usual_time_limit
     }
 
     /// Whether a caller with so much time left has spent some of it: it came back. Nothing tells
     /// where callers' limits differ anyway.
-    pub(crate) fn came_back(&self, left: Duration) -> bool {
-        self.short < MAX_SHORT && self.is_short(left)
+    pub(crate) fn is_retry(&self, time_left: Duration) -> bool {
+        self.short_share < MAX_SHORT_SHARE && self.is_short(time_left)
     }
 
-    fn is_short(&self, left: Duration) -> bool {
-        let usual = self.usual_limit.unwrap_or(left);
-        left < usual.mul_f64(MOST_OF_LIMIT)
+    fn is_short(&self, time_left: Duration) -> bool {
+        let usual = self.usual_time_limit.unwrap_or(time_left);
+        time_left < usual.mul_f64(SHORT_LIMIT_SHARE)
     }
 
     /// Requests that begin within a span.
-    pub(crate) fn begun_in(&mut self, now: Time, span: Duration) -> f64 {
-        self.first_tokens.per_s(now) * span.as_secs_f64()
+    pub(crate) fn expected_first_tokens(&mut self, now: Time, span: Duration) -> f64 {
+        self.first_tokens.rate_per_s(now) * span.as_secs_f64()
     }
 
     /// The wait for a first token: the time in which as many begin as wait, if waits already
     /// grow that long.
-    fn wait(&mut self, now: Time, going_on: &GoingOn) -> Duration {
-        let Some(seen) = upper_quartile(&going_on.waiting) else {
+    fn expected_wait(&mut self, now: Time, in_flight: &InFlightDurations) -> Duration {
+        let Some(observed_wait) = upper_quartile(&in_flight.waiting) else {
             return Duration::ZERO;
         };
-        let per_s = self.first_tokens.per_s(now).max(f64::MIN_POSITIVE);
-        let queued_s = going_on.waiting.len() as f64 / per_s;
-        let most_s = (seen * MOST_GROWTH).as_secs_f64();
-        Duration::from_secs_f64(queued_s.min(most_s))
+        let rate_per_s = self.first_tokens.rate_per_s(now).max(f64::MIN_POSITIVE);
+        let backlog_s = in_flight.waiting.len() as f64 / rate_per_s;
+        let max_wait_s = (observed_wait * MAX_WAIT_GROWTH).as_secs_f64();
+        Duration::from_secs_f64(backlog_s.min(max_wait_s))
     }
 
     /// Time from now to the first token and from there to the end of a request, before which so
     /// much work waits.
-    pub(crate) fn expected(
+    pub(crate) fn estimate(
         &mut self,
         now: Time,
-        ahead: Duration,
-        going_on: &GoingOn,
+        queue_wait: Duration,
+        in_flight: &InFlightDurations,
     ) -> (Duration, Duration) {
-        let answer = self.answers.median(now, &going_on.answering);
+        let answer = self.answers.median(now, &in_flight.answering);
         (
-            self.wait(now, going_on).max(ahead),
+            self.expected_wait(now, in_flight).max(queue_wait),
             answer.unwrap_or_default(),
         )
     }
 }
 
 /// What a quarter of some times exceed; `None` for too few.
-fn upper_quartile(times: &[Duration]) -> Option<Duration> {
-    let mut times = times.to_vec();
-    let place = times.len() * 3 / 4;
-    (times.len() >= MIN_WAITING).then(|| *times.select_nth_unstable(place).1)
+fn upper_quartile(durations: &[Duration]) -> Option<Duration> {
+    let mut durations = durations.to_vec();
+    let index = durations.len() * 3 / 4;
+    (durations.len() >= MIN_WAITING).then(|| *durations.select_nth_unstable(index).1)
 }
--- a/crates/policy/src/overload/mod.rs
+++ b/crates/policy/src/overload/mod.rs
@@ -5,26 +5,26 @@
 
 use super::*;
 
+mod admission_change;
 mod admission_level;
-mod admission_noted;
 mod class_admission;
-mod congestion;
+mod congestion_control;
 mod early_refusal;
 mod expected_end;
 mod pool_load;
-mod recent_times;
-mod return_schedule;
+mod recent_durations;
+mod retry_schedule;
 mod shedding;
 
-pub use admission_noted::AdmissionNoted;
+pub use admission_change::AdmissionChange;
 
-pub(crate) use {congestion::Congestion, early_refusal::EarlyRefusal};
+pub(crate) use {congestion_control::CongestionControl, early_refusal::EarlyRefusal};
 
 use {
     admission_level::{AdmissionLevel, MIN_LEVEL},
     class_admission::ClassAdmission,
-    expected_end::{ExpectedEnd, GoingOn},
+    expected_end::{ExpectedEnd, InFlightDurations},
     pool_load::PoolLoad,
-    recent_times::RecentTimes,
-    return_schedule::ReturnSchedule,
+    recent_durations::RecentDurations,
+    retry_schedule::RetrySchedule,
 };
--- a/crates/policy/src/overload/shedding.rs
+++ b/crates/policy/src/overload/shedding.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Shortest advice to retry: upstreams need a moment to become free.
-const SHED_RETURN: Duration = Duration::from_secs(1);
+const SHED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Controller {
     /// Refuses a request of the least urgent class while upstreams refuse much.
@@ -17,52 +17,52 @@
         if self.options.relay.is_none() {
             return Ok(());
         }
-        let lane = self.lanes.entry(target.clone()).or_default();
-        lane.congestion.note_asked(now, class, priority);
-        if !lane.congestion.yields(class) {
+        let queues = self.lanes.entry(target.clone()).or_default();
+        queues.congestion.note_request(now, class, priority);
+        if !queues.congestion.is_limited(class) {
             return Ok(());
         }
-        let there = self.running_of(target, class);
-        let lane = self.lanes.get(target);
-        if lane.is_none_or(|lane| lane.congestion.has_room(there)) {
+        let in_flight = self.count_running(target, class);
+        let queues = self.lanes.get(target);
+        if queues.is_none_or(|queues| queues.congestion.has_room(in_flight)) {
             return Ok(());
         }
         Err(Refusal {
-            retry_after: Some(self.spread(SHED_RETURN)),
+            retry_after: Some(self.spread(SHED_RETRY_AFTER)),
             ..Refusal::not_run(RefusalReason::UpstreamsFull)
         })
     }
 
     /// Whether requests of a class leave retries to more urgent ones, as upstreams refuse much.
-    pub(crate) fn yields(&self, target: &Target, class: &ClassId) -> bool {
-        let lane = self.lanes.get(target);
-        lane.is_some_and(|lane| lane.congestion.yields(class))
+    pub(crate) fn is_congestion_limited(&self, target: &Target, class: &ClassId) -> bool {
+        let queues = self.lanes.get(target);
+        queues.is_some_and(|queues| queues.congestion.is_limited(class))
     }
 
     /// An upstream refused an attempt, or began to answer it.
     pub(crate) fn note_congestion(&mut self, target: &Target, is_refused: bool) {
-        if let Some(lane) = self.lanes.get_mut(target) {
-            lane.congestion.note_attempt(is_refused);
+        if let Some(queues) = self.lanes.get_mut(target) {
+            queues.congestion.note_attempt(is_refused);
         }
     }
 
     /// Follows what upstreams refuse.
     pub(crate) fn tick_congestion(&mut self, now: Time) {
-        let due = self.lanes.iter().filter_map(|(target, lane)| {
-            let class = lane.congestion.least_urgent()?;
-            let is_due = lane.congestion.is_due(now);
+        let due = self.lanes.iter().filter_map(|(target, queues)| {
+            let class = queues.congestion.least_urgent_class()?;
+            let is_due = queues.congestion.is_update_due(now);
             is_due.then(|| (target.clone(), class.clone()))
         });
         for (target, class) in due.collect::<Vec<_>>() {
-            let there = self.running_of(&target, &class);
-            if let Some(lane) = self.lanes.get_mut(&target) {
-                lane.congestion.change(now, there);
+            let in_flight = self.count_running(&target, &class);
+            if let Some(queues) = self.lanes.get_mut(&target) {
+                queues.congestion.update_limit(now, in_flight);
             }
         }
     }
 
     /// Requests of a class that this host has at upstreams of a target.
-    fn running_of(&self, target: &Target, class: &ClassId) -> usize {
+    fn count_running(&self, target: &Target, class: &ClassId) -> usize {
         let running = self.requests.values().filter(|stage| {
             let facts = stage.facts();
             matches!(stage, Stage::Running(_)) && facts.class == *class && facts.target == *target
--- a/crates/policy/src/queueing/admission.rs
+++ b/crates/policy/src/queueing/admission.rs
@@ -75,7 +75,7 @@
         }
         let request = self.new_request(now, arrival, resolved, rank);
         let admitted = self
-            .check_time(now, &request)
+            .check_expected_end(now, &request)
             .and_then(|()| self.make_room(now, rank, actions));
         match admitted {
             Ok(()) => self.enqueue(now, request),
--- a/crates/policy/src/queueing/lane.rs
+++ b/crates/policy/src/queueing/lane.rs
@@ -13,7 +13,7 @@
 /// The queues of one target, a model or a service.
 #[derive(Debug)]
 pub(crate) struct Lane {
-    pub(crate) congestion: Congestion,
+    pub(crate) congestion: CongestionControl,
     pub(crate) minimum_share: MinimumShare,
     pub(crate) long_prompts: LongPrompts,
     pub(crate) rate: ServiceRate,
@@ -26,7 +26,7 @@
 impl Default for Lane {
     fn default() -> Self {
         Self {
-            congestion: Congestion::default(),
+            congestion: CongestionControl::default(),
             minimum_share: MinimumShare::default(),
             long_prompts: LongPrompts::default(),
             rate: ServiceRate::default(),
--- a/crates/policy/src/requests/attempts.rs
+++ b/crates/policy/src/requests/attempts.rs
@@ -237,7 +237,9 @@
     /// again only if running twice does no harm.
     fn may_retry(&mut self, now: Time, request: &Request<Running>, failure: &Failure) -> bool {
         let facts = &request.facts;
-        if failure.cause == FailureCause::Busy && self.yields(&facts.target, &facts.class) {
+        if failure.cause == FailureCause::Busy
+            && self.is_congestion_limited(&facts.target, &facts.class)
+        {
             return false;
         }
         let harmless = facts.idempotent || request.verdict == Verdict::NotRun;
--- a/crates/policy/src/requests/refusing.rs
+++ b/crates/policy/src/requests/refusing.rs
@@ -72,7 +72,7 @@
         });
         let outcome = request.outcome(refusal.reason.end(), refusal.verdict, None, now);
         let is_early = refusal.reason == RefusalReason::NoTimeLeft;
-        let expected = is_early.then(|| self.expected_end(&request.facts));
+        let expected = is_early.then(|| self.expected_duration(&request.facts));
         actions.push(Action::Record(Outcome {
             expected: expected.flatten(),
             reason: Some(refusal.reason),
--- a/crates/router/src/decision_log.rs
+++ b/crates/router/src/decision_log.rs
@@ -190,7 +190,7 @@
     }
 
     /// The part of a class that is taken changed.
-    pub(crate) fn admission_noted(&mut self, now: Time, noted: &AdmissionNoted) {
+    pub(crate) fn admission_noted(&mut self, now: Time, noted: &AdmissionChange) {
         let class = noted.class.to_string();
         gauge!("rhubarbcove_admission_level", "class" => class).set(noted.level);
         if self.budget.take(LineKind::Important, now) {
@@ -198,8 +198,8 @@
                 "class" => %noted.class,
                 "target" => %noted.target,
                 "level" => format!("{:.2}", noted.level),
-                "expected_ms" => millis(noted.expected),
-                "limit_ms" => millis(noted.limit),
+                "expected_ms" => millis(noted.expected_duration),
+                "limit_ms" => millis(noted.usual_time_limit),
             );
         }
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -36,7 +36,7 @@
         TablesNews, TablesQuestion, TokenAsk, TokenGrant, UpstreamNote, UsageNote, VersionNote,
     },
     policy::{
-        Action, AdmissionNoted, Arrival, AttemptEnd, BrittleNoted, ClaimAnswer, ClaimRequest,
+        Action, AdmissionChange, Arrival, AttemptEnd, BrittleNoted, ClaimAnswer, ClaimRequest,
         Controller, ControllerOptions, CrashNoted, CrashSource, Event, FetchEnd, HostPhase,
         LeavingNoted, LimitNoted, Outcome, OutcomeEnd, PrefixHash, ReachNoted, Refusal,
         RefusalReason, RelayRules, Repeatability, RoomRules, Routed, SendOrder, Settlement,
