--- a/crates/policy/benches/decision/main.rs
+++ b/crates/policy/benches/decision/main.rs
@@ -11,7 +11,7 @@
     peer::{Demand, Heartbeat, PeerHost, PeerPhase},
     policy::{
         Action, Arrival, AttemptEnd, Controller, ControllerOptions, Event, Repeatability,
-        RoomRules, Target,
+        SlotRules, Target,
     },
     serde_json::{Map, json},
     std::{
--- a/crates/policy/benches/overload/controllers.rs
+++ b/crates/policy/benches/overload/controllers.rs
@@ -25,7 +25,7 @@
 const FREEZE_S: u64 = 5;
 
 impl Controllers {
-    pub fn new(site: &Site, rules: &RoomRules, peering: Peering, headroom: f64, seed: u64) -> Self {
+    pub fn new(site: &Site, rules: &SlotRules, peering: Peering, headroom: f64, seed: u64) -> Self {
         let numbered = Arc::new(Numbered {
             document: class::document(site, headroom),
             version: ConfigVersion::new(1),
--- a/crates/policy/benches/overload/main.rs
+++ b/crates/policy/benches/overload/main.rs
@@ -10,8 +10,8 @@
     config::{Document, Numbered},
     peer::PeerHost,
     policy::{
-        Action, Arrival, AttemptEnd, Controller, ControllerOptions, Event, Overdraft,
-        Repeatability, RoomRules, Target,
+        Action, Arrival, AttemptEnd, Controller, ControllerOptions, Event, Repeatability,
+        ShareOverrun, SlotRules, Target,
     },
     rand::{Rng, SeedableRng, rngs::SmallRng},
     rand_distr::{Distribution, Exp, LogNormal},
@@ -59,10 +59,10 @@
     }
 }
 
-fn rules(headroom_share: f64, overdraft: Overdraft) -> RoomRules {
-    RoomRules {
+fn rules(headroom_share: f64, share_overrun: ShareOverrun) -> SlotRules {
+    SlotRules {
         headroom_share,
-        overdraft,
+        share_overrun,
         trial_share: 0.5,
     }
 }
@@ -88,7 +88,7 @@
         for headroom in [0.0, 0.125, 0.25] {
             let name = format!("controller, headroom {headroom}");
             add(&name, &|seed| {
-                let rules = rules(headroom, Overdraft::None);
+                let rules = rules(headroom, ShareOverrun::None);
                 Box::new(Controllers::new(&site, &rules, Peering::Off, 0.0, seed))
             });
         }
@@ -113,48 +113,48 @@
         add("choice of two", &|seed| {
             Box::new(ChoiceOfTwo::new(&site, seed))
         });
-        for (name, peering, headroom, overdraft) in [
-            ("equal split", Peering::Off, 0.0, Overdraft::None),
-            ("shares", Peering::On, 0.0, Overdraft::None),
+        for (name, peering, headroom, share_overrun) in [
+            ("equal split", Peering::Off, 0.0, ShareOverrun::None),
+            ("shares", Peering::On, 0.0, ShareOverrun::None),
             (
                 "shares, overdraft",
                 Peering::On,
                 0.0,
-                Overdraft::ReportedFree,
+                ShareOverrun::ReportedFreeSlot,
             ),
             (
                 "shares, overdraft, 5 % headroom",
                 Peering::On,
                 0.05,
-                Overdraft::ReportedFree,
+                ShareOverrun::ReportedFreeSlot,
             ),
             (
                 "shares, overdraft, 10 % headroom",
                 Peering::On,
                 0.1,
-                Overdraft::ReportedFree,
+                ShareOverrun::ReportedFreeSlot,
             ),
             (
                 "shares, overdraft, 20 % headroom",
                 Peering::On,
                 0.2,
-                Overdraft::ReportedFree,
+                ShareOverrun::ReportedFreeSlot,
             ),
             (
                 "the same, also into engines' queues",
                 Peering::On,
                 0.2,
-                Overdraft::EngineQueue,
+                ShareOverrun::EngineQueue,
             ),
             (
                 "10 %, coordinator frozen half the time",
                 Peering::Frozen,
                 0.1,
-                Overdraft::ReportedFree,
+                ShareOverrun::ReportedFreeSlot,
             ),
         ] {
             add(name, &|seed| {
-                let rules = rules(0.0, overdraft);
+                let rules = rules(0.0, share_overrun);
                 Box::new(Controllers::new(&site, &rules, peering, headroom, seed))
             });
         }
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -14,7 +14,7 @@
     /// Figures of an installation, for a host that relays requests in one.
     pub relay: Option<RelayRules>,
     /// Rules by which slots are given to ranks.
-    pub room: RoomRules,
+    pub room: SlotRules,
     /// Seed of the controller's random numbers.
     pub seed: u64,
 }
@@ -47,7 +47,7 @@
     pub(crate) early_refusal: EarlyRefusal,
     /// Whether any upstream is brittle.
     pub(crate) has_brittle: bool,
-    pub(crate) lanes: BTreeMap<Target, Lane>,
+    pub(crate) lanes: BTreeMap<Target, TargetQueues>,
     pub(crate) length: LengthEstimate,
     pub(crate) limits: TeamLimits,
     /// Whether the platform's list was read.
@@ -313,7 +313,7 @@
     /// Whether this host knows that its configuration is the newest, so that it
     /// can tell which keys are valid.
     pub fn is_current(&self, now: Time) -> bool {
-        self.configuration.is_some() && self.knows_configuration(now)
+        self.configuration.is_some() && self.is_configuration_fresh(now)
     }
 
     /// Whether no request is queued or running.
@@ -375,7 +375,7 @@
             .collect();
         let classes = numbered.document.classes.values();
         self.shortest_pause_ms = classes.filter_map(|class| class.pause_target_ms).min();
-        self.urgency = Urgency::of(&numbered.document);
+        self.urgency = Urgency::new(&numbered.document);
         self.pool.room.trial_share = numbered.document.trial.max_slot_share;
         if self.directory.is_none() {
             let domain = &self.options.failure_domain;
--- a/crates/policy/src/hosts/coordinator.rs
+++ b/crates/policy/src/hosts/coordinator.rs
@@ -163,7 +163,7 @@
         }
         let pressing: f64 = needs
             .iter()
-            .map(|(_, needs)| needs[..PRESSING_TIERS].iter().sum::<f64>())
+            .map(|(_, needs)| needs[..URGENT_TIERS].iter().sum::<f64>())
             .sum();
         let wanted = HEADROOM_PER_ROOT * pressing.sqrt();
         wanted
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -60,7 +60,7 @@
     host_phase::HostPhase,
     hosts::{are_grouped, own_group},
     overload::AdmissionChange,
-    queueing::{Overdraft, RoomRules},
+    queueing::{ShareOverrun, SlotRules},
     reach::ReachNoted,
     relay_rules::RelayRules,
     requests::{
@@ -81,7 +81,7 @@
     hosts::{Divided, Neighbors, NewerConfiguration, Peering, Share},
     overload::{CongestionControl, EarlyRefusal},
     prompt_transfers::{PromptCopies, PromptFetch, TransferLink},
-    queueing::{Lane, LengthEstimate, PRESSING_TIERS, QueuedItem, Rank, TeamLimits, Urgency},
+    queueing::{LengthEstimate, QueuedItem, Rank, TargetQueues, TeamLimits, URGENT_TIERS, Urgency},
     reach::{OwnPaths, TransitHosts},
     requests::{Claiming, Failure, Queued, Request, RequestFacts, RetryBudgets, Running, Stage},
     upstream_limits::{UpstreamLimit, UpstreamLimits},
--- a/crates/policy/src/overload/shedding.rs
+++ b/crates/policy/src/overload/shedding.rs
@@ -28,7 +28,7 @@
             return Ok(());
         }
         Err(Refusal {
-            retry_after: Some(self.spread(SHED_RETRY_AFTER)),
+            retry_after: Some(self.jittered_retry_after(SHED_RETRY_AFTER)),
             ..Refusal::not_run(RefusalReason::UpstreamsFull)
         })
     }
--- a/crates/policy/src/queueing/admission.rs
+++ b/crates/policy/src/queueing/admission.rs
@@ -4,17 +4,17 @@
 
 /// Refused work is asked to return after the estimated wait, spread over up to
 /// twice that, so that it does not return all at once.
-const RETURN_SPREAD: f64 = 1.0;
+const RETRY_AFTER_JITTER: f64 = 1.0;
 
 /// Shortest advice to retry after a full queue.
-const MIN_RETURN: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Longest advice to retry.
-const MAX_RETURN: Duration = Duration::from_secs(300);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(300);
 
 /// Advice to retry for a host that cannot tell whether a key is still valid:
 /// about the time in which the balancer moves callers to another host.
-const STALE_RETURN: Duration = Duration::from_millis(500);
+const STALE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Prompt tokens that cost an engine as much as one output token.
 const PROMPT_TOKENS_PER_OUTPUT_TOKEN: u64 = 16;
@@ -23,7 +23,7 @@
 const PUBLIC_TEAM: &str = "public";
 
 /// What the configuration says of an arrival.
-struct Resolved {
+struct ResolvedArrival {
     class: Class,
     class_id: ClassId,
     engine_priority: u8,
@@ -39,7 +39,7 @@
         let request = arrival.request;
         if let Err(refusal) = self.admit(now, arrival, actions) {
             actions.push(Action::Refuse { refusal, request });
-            actions.push(Action::Record(refused_unknown(refusal, request)));
+            actions.push(Action::Record(refusal_outcome(refusal, request)));
         }
     }
 
@@ -55,21 +55,21 @@
         let admitted = self
             .check_barred(&fingerprint, now)
             .and_then(|()| {
-                let Resolved {
+                let ResolvedArrival {
                     class_id,
                     engine_priority,
                     ..
                 } = &resolved;
                 self.check_congestion(now, &arrival.target, class_id, *engine_priority)
             })
-            .and_then(|()| self.check_wait(&arrival.target, rank, &resolved.class));
+            .and_then(|()| self.check_queue_wait(&arrival.target, rank, &resolved.class));
         if let Err(refusal) = admitted {
             self.limits.release(&resolved.team_id);
             actions.push(Action::Refuse {
                 refusal,
                 request: arrival.request,
             });
-            let outcome = refused_known(refusal, arrival.request, &resolved);
+            let outcome = resolved_refusal_outcome(refusal, arrival.request, &resolved);
             actions.push(Action::Record(outcome));
             return Ok(());
         }
@@ -88,12 +88,12 @@
     }
 
     /// Finds team and class, and checks that the team may send this now.
-    fn resolve(&mut self, arrival: &Arrival, now: Time) -> Result<Resolved, Refusal> {
-        let refuse = Refusal::not_run;
+    fn resolve(&mut self, arrival: &Arrival, now: Time) -> Result<ResolvedArrival, Refusal> {
+        let not_run = Refusal::not_run;
         let Some(numbered) = self.configuration.clone() else {
             return Err(Refusal {
-                retry_after: Some(MIN_RETURN),
-                ..refuse(RefusalReason::NotReady)
+                retry_after: Some(MIN_RETRY_AFTER),
+                ..not_run(RefusalReason::NotReady)
             });
         };
         let document = &numbered.document;
@@ -103,24 +103,24 @@
         let team_id = arrival
             .key_hash
             .and_then(|key_hash| self.teams_by_key.get(&key_hash))
-            .ok_or(refuse(RefusalReason::UnknownKey))?;
+            .ok_or(not_run(RefusalReason::UnknownKey))?;
         let team = &document.teams[team_id];
         let class_id = arrival.class.as_ref().unwrap_or(&team.default_class);
         let class = document
             .classes
             .get(class_id)
-            .ok_or(refuse(RefusalReason::UnknownClass))?;
+            .ok_or(not_run(RefusalReason::UnknownClass))?;
         if !team.classes.contains(class_id) {
-            return Err(refuse(RefusalReason::ClassNotAllowed));
+            return Err(not_run(RefusalReason::ClassNotAllowed));
         }
         let service_idempotent = self.check_target(document, &arrival.target)?;
-        let asked = arrival.repeatability == Repeatability::AsConfigured;
+        let is_as_configured = arrival.repeatability == Repeatability::AsConfigured;
         let tier = team.tier.unwrap_or(class.tier);
-        let resolved = Resolved {
+        let resolved = ResolvedArrival {
             class: class.clone(),
             class_id: class_id.clone(),
             engine_priority: u8::from(tier),
-            idempotent: class.idempotent && service_idempotent && asked,
+            idempotent: class.idempotent && service_idempotent && is_as_configured,
             plan: team.plan,
             team_id: team_id.clone(),
             tier,
@@ -138,12 +138,12 @@
         arrival: &Arrival,
         routed: &Routed,
         now: Time,
-    ) -> Result<Resolved, Refusal> {
+    ) -> Result<ResolvedArrival, Refusal> {
         let class_id = arrival.class.as_ref();
         let (class_id, class) = class_id
             .and_then(|id| document.classes.get_key_value(id))
             .ok_or(Refusal::not_run(RefusalReason::UnknownClass))?;
-        let resolved = Resolved {
+        let resolved = ResolvedArrival {
             class: class.clone(),
             class_id: class_id.clone(),
             engine_priority: self.urgency.engine_priority(None, class.tier),
@@ -154,19 +154,19 @@
             weight: 1,
         };
         if self.is_outdated(now) {
-            return Err(stale());
+            return Err(stale_configuration());
         }
         if routed.public {
             return Ok(resolved);
         }
-        self.check_knowledge(now)?;
+        self.check_configuration_freshness(now)?;
         let team_id = arrival
             .key_hash
             .and_then(|key_hash| self.teams_by_key.get(&key_hash))
-            .ok_or_else(|| self.unknown_key())?;
+            .ok_or_else(|| self.unknown_key_refusal())?;
         let team = &document.teams[team_id];
         self.limits.admit(team_id, team, now)?;
-        Ok(Resolved {
+        Ok(ResolvedArrival {
             engine_priority: self.urgency.engine_priority(team.tier, class.tier),
             plan: team.plan,
             team_id: team_id.clone(),
@@ -177,9 +177,9 @@
     }
 
     /// A key that a newer version may have added is not denied.
-    fn unknown_key(&self) -> Refusal {
+    fn unknown_key_refusal(&self) -> Refusal {
         if self.is_behind() {
-            stale()
+            stale_configuration()
         } else {
             Refusal::not_run(RefusalReason::UnknownKey)
         }
@@ -191,16 +191,16 @@
     /// from the store, and the host goes on taking it for valid. One would
     /// notice requests that run long after their key was removed. The bound
     /// holds for every host, so one that cannot know refuses.
-    fn check_knowledge(&self, now: Time) -> Result<(), Refusal> {
-        if self.knows_configuration(now) {
+    fn check_configuration_freshness(&self, now: Time) -> Result<(), Refusal> {
+        if self.is_configuration_fresh(now) {
             return Ok(());
         }
-        Err(stale())
+        Err(stale_configuration())
     }
 
     /// Whether the configuration is known to have been the newest one a short
     /// while ago.
-    pub(crate) fn knows_configuration(&self, now: Time) -> bool {
+    pub(crate) fn is_configuration_fresh(&self, now: Time) -> bool {
         if self.is_outdated(now) {
             return false;
         }
@@ -226,22 +226,30 @@
 
     /// Refuses at once what could not start in time anyway. Only work of the
     /// same or a more urgent rank is counted as going before it.
-    fn check_wait(&mut self, target: &Target, rank: Rank, class: &Class) -> Result<(), Refusal> {
-        let Some(lane) = self.lanes.get(target) else {
+    fn check_queue_wait(
+        &mut self,
+        target: &Target,
+        rank: Rank,
+        class: &Class,
+    ) -> Result<(), Refusal> {
+        let Some(queues) = self.lanes.get(target) else {
             return Ok(());
         };
-        let ahead = lane.cost_ahead(rank) as f64;
-        let Some(tokens_per_s) = lane.rate.tokens_per_s(self.pool.slots_for(target)) else {
+        let cost_ahead = queues.cost_ahead(rank) as f64;
+        let Some(tokens_per_s) = queues
+            .service_rate
+            .tokens_per_s(self.pool.slots_for(target))
+        else {
             return Ok(());
         };
-        let wait_s = ahead / tokens_per_s;
+        let wait_s = cost_ahead / tokens_per_s;
         let deadline_s = class.deadline_ms as f64 / 1_000.0;
         if wait_s <= deadline_s {
             return Ok(());
         }
         let excess = Duration::from_secs_f64(wait_s - deadline_s);
         Err(Refusal {
-            retry_after: Some(self.spread(excess)),
+            retry_after: Some(self.jittered_retry_after(excess)),
             ..Refusal::not_run(RefusalReason::DeadlineUnreachable)
         })
     }
@@ -260,7 +268,7 @@
         let victim = self
             .lanes
             .values()
-            .filter_map(|lane| lane.worst_below(rank))
+            .filter_map(|queues| queues.eviction_candidate_below(rank))
             .max_by_key(|(rank, item)| (*rank, item.due, item.seq));
         match victim {
             Some((_, item)) => {
@@ -268,7 +276,7 @@
                 Ok(())
             }
             None => Err(Refusal {
-                retry_after: Some(self.spread(MIN_RETURN)),
+                retry_after: Some(self.jittered_retry_after(MIN_RETRY_AFTER)),
                 ..Refusal::not_run(RefusalReason::QueueFull)
             }),
         }
@@ -278,7 +286,7 @@
         &mut self,
         now: Time,
         arrival: Arrival,
-        resolved: Resolved,
+        resolved: ResolvedArrival,
         rank: Rank,
     ) -> Request<Queued> {
         let output =
@@ -303,21 +311,21 @@
             Some(routed) => (routed.parts, routed.public, routed.time_limit),
             None => (Vec::new(), false, None),
         };
-        let longest = Duration::from_millis(resolved.class.deadline_ms);
-        let lane = self.lanes.entry(arrival.target.clone()).or_default();
-        let is_long = lane.long_prompts.note(prompt_cache::tokens(&parts));
+        let max_duration = Duration::from_millis(resolved.class.deadline_ms);
+        let queues = self.lanes.entry(arrival.target.clone()).or_default();
+        let is_long = queues.long_prompts.note(prompt_cache::tokens(&parts));
         let pause_target_ms = resolved.class.pause_target_ms;
         let pause_bound = pause_target_ms.is_some() && pause_target_ms == self.shortest_pause_ms;
-        if let Some(own) = parts.last() {
-            let read = u64::from(own.tokens.get()) / PROMPT_TOKENS_PER_OUTPUT_TOKEN;
-            let work = (u64::from(output.get()) + read) as f64;
-            lane.partition.note(now, pause_bound, work);
+        if let Some(last_part) = parts.last() {
+            let prompt_work = u64::from(last_part.tokens.get()) / PROMPT_TOKENS_PER_OUTPUT_TOKEN;
+            let work = (u64::from(output.get()) + prompt_work) as f64;
+            queues.partition.note(now, pause_bound, work);
         }
         let facts = RequestFacts {
             arrived: now,
             between_token_target_ms: resolved.class.between_token_target_ms,
             class: resolved.class_id,
-            deadline: now + time_limit.unwrap_or(longest).min(longest),
+            deadline: now + time_limit.unwrap_or(max_duration).min(max_duration),
             due,
             engine_priority: resolved.engine_priority,
             fingerprint: arrival.fingerprint.of_team(&resolved.team_id),
@@ -342,20 +350,20 @@
     pub(crate) fn enqueue(&mut self, now: Time, request: Request<Queued>) {
         let facts = &request.facts;
         self.deadlines.insert((facts.deadline, request.id));
-        let lane = self.lanes.entry(facts.target.clone()).or_default();
-        lane.push(facts.rank, request.item.clone(), now);
+        let queues = self.lanes.entry(facts.target.clone()).or_default();
+        queues.push(facts.rank, request.item.clone(), now);
         self.queued += 1;
         self.requests.insert(request.id, Stage::Queued(request));
     }
 
     /// Takes a request out of its queue, if it is queued.
-    pub(crate) fn unqueue(&mut self, now: Time, id: RequestId) -> Option<Request<Queued>> {
+    pub(crate) fn remove_queued(&mut self, now: Time, id: RequestId) -> Option<Request<Queued>> {
         match self.requests.remove(&id)? {
             Stage::Queued(request) => {
                 let facts = &request.facts;
                 self.deadlines.remove(&(facts.deadline, id));
-                if let Some(lane) = self.lanes.get_mut(&facts.target) {
-                    lane.remove(facts.rank, &request.item, now);
+                if let Some(queues) = self.lanes.get_mut(&facts.target) {
+                    queues.remove(facts.rank, &request.item, now);
                 }
                 self.queued -= 1;
                 Some(request)
@@ -375,27 +383,29 @@
         reason: RefusalReason,
         actions: &mut Vec<Action>,
     ) {
-        if let Some(request) = self.unqueue(now, id) {
+        if let Some(request) = self.remove_queued(now, id) {
             self.refuse(now, request, reason, actions);
         }
     }
 
     /// A moment to return, spread at random.
-    pub(crate) fn spread(&mut self, wait: Duration) -> Duration {
-        let factor = 1.0 + RETURN_SPREAD * self.rng.random::<f64>();
-        wait.max(MIN_RETURN).mul_f64(factor).min(MAX_RETURN)
+    pub(crate) fn jittered_retry_after(&mut self, wait: Duration) -> Duration {
+        let factor = 1.0 + RETRY_AFTER_JITTER * self.rng.random::<f64>();
+        wait.max(MIN_RETRY_AFTER)
+            .mul_f64(factor)
+            .min(MAX_RETRY_AFTER)
     }
 }
 
 /// The configuration may be outdated: another host can tell, and soon this one.
-fn stale() -> Refusal {
+fn stale_configuration() -> Refusal {
     Refusal {
-        retry_after: Some(STALE_RETURN),
+        retry_after: Some(STALE_RETRY_AFTER),
         ..Refusal::not_run(RefusalReason::ConfigurationStale)
     }
 }
 
-fn refused_unknown(refusal: Refusal, request: RequestId) -> Outcome {
+fn refusal_outcome(refusal: Refusal, request: RequestId) -> Outcome {
     Outcome {
         attempts: 0,
         class: None,
@@ -417,11 +427,15 @@
     }
 }
 
-fn refused_known(refusal: Refusal, request: RequestId, resolved: &Resolved) -> Outcome {
+fn resolved_refusal_outcome(
+    refusal: Refusal,
+    request: RequestId,
+    resolved: &ResolvedArrival,
+) -> Outcome {
     Outcome {
         class: Some(resolved.class_id.clone()),
         team: Some(resolved.team_id.clone()),
         tier: Some(resolved.tier),
-        ..refused_unknown(refusal, request)
+        ..refusal_outcome(refusal, request)
     }
 }
--- a/crates/policy/src/queueing/dispatch.rs
+++ b/crates/policy/src/queueing/dispatch.rs
@@ -12,25 +12,27 @@
     pub(crate) fn dispatch(
         &mut self,
         now: Time,
-        only: Option<&[Target]>,
+        only_targets: Option<&[Target]>,
         actions: &mut Vec<Action>,
     ) {
         if self.queued == 0 {
             return;
         }
-        self.dispatch_minimum_shares(now, only, actions);
-        let mut full: BTreeSet<Target> = BTreeSet::new();
+        self.dispatch_minimum_shares(now, only_targets, actions);
+        let mut full_targets: BTreeSet<Target> = BTreeSet::new();
         for rank in Rank::all() {
             let targets: Vec<Target> = self
                 .lanes
                 .iter()
-                .filter(|(target, _)| only.is_none_or(|only| only.contains(target)))
-                .filter(|(target, lane)| lane.has_work(rank) && !full.contains(target))
+                .filter(|(target, _)| {
+                    only_targets.is_none_or(|only_targets| only_targets.contains(target))
+                })
+                .filter(|(target, queues)| queues.has_work(rank) && !full_targets.contains(target))
                 .map(|(target, _)| target.clone())
                 .collect();
             for target in targets {
-                if !self.drain_rank(now, &target, rank, actions) {
-                    full.insert(target);
+                if !self.dispatch_rank(now, &target, rank, actions) {
+                    full_targets.insert(target);
                 }
             }
         }
@@ -38,7 +40,7 @@
 
     /// Sends what a rank of a target has; false once there is no room for it
     /// at all, so that no lesser rank need be tried.
-    fn drain_rank(
+    fn dispatch_rank(
         &mut self,
         now: Time,
         target: &Target,
@@ -50,10 +52,10 @@
                 return true;
             };
             let priority = request.facts.engine_priority;
-            let pace_ms = self.pace_wanted(now, request);
-            match self.choose(now, item.request, pace_ms, rank) {
+            let pace_ms = self.required_pace_ms(now, request);
+            match self.choose_upstream(now, item.request, pace_ms, rank) {
                 Some(upstream) => {
-                    self.start(now, &item, upstream, priority, actions);
+                    self.start_attempt(now, &item, upstream, priority, actions);
                 }
                 None if pace_ms.is_none() && rank.plan == Plan::Paid => return false,
                 None => return true,
@@ -65,16 +67,18 @@
     fn dispatch_minimum_shares(
         &mut self,
         now: Time,
-        only: Option<&[Target]>,
+        only_targets: Option<&[Target]>,
         actions: &mut Vec<Action>,
     ) {
         let hosts = self.peering.members.domain_size();
         let targets: Vec<(Target, Rank)> = self
             .lanes
             .iter()
-            .filter(|(target, _)| only.is_none_or(|only| only.contains(target)))
-            .filter_map(|(target, lane)| {
-                Some((target.clone(), lane.minimum_share.due(now, hosts)?))
+            .filter(|(target, _)| {
+                only_targets.is_none_or(|only_targets| only_targets.contains(target))
+            })
+            .filter_map(|(target, queues)| {
+                Some((target.clone(), queues.minimum_share.due_rank(now, hosts)?))
             })
             .collect();
         for (target, rank) in targets {
@@ -82,9 +86,9 @@
                 continue;
             };
             // The room of the most urgent rank: headroom is open to minimum shares.
-            let room = Rank::new(Tier::MOST_URGENT, Plan::Paid);
-            if let Some(upstream) = self.choose(now, item.request, None, room) {
-                self.start(now, &item, upstream, MINIMUM_SHARE_PRIORITY, actions);
+            let placement_rank = Rank::new(Tier::MOST_URGENT, Plan::Paid);
+            if let Some(upstream) = self.choose_upstream(now, item.request, None, placement_rank) {
+                self.start_attempt(now, &item, upstream, MINIMUM_SHARE_PRIORITY, actions);
             }
         }
     }
@@ -95,16 +99,17 @@
 
     /// Token time that a request needs. One that will miss its first token
     /// anyway takes any upstream, and so leaves the fast ones to others.
-    fn pace_wanted(&self, now: Time, request: &Request<Queued>) -> Option<u64> {
+    fn required_pace_ms(&self, now: Time, request: &Request<Queued>) -> Option<u64> {
         let facts = &request.facts;
-        let lane = self.lanes.get(&facts.target)?;
+        let queues = self.lanes.get(&facts.target)?;
         let pause_ms = facts.pause_target.map(|pause| pause.as_millis() as u64);
         let pace_ms = facts.between_token_target_ms;
-        lane.can_meet(facts.due, now)
+        queues
+            .can_meet(facts.due, now)
             .then_some(pause_ms.map_or(pace_ms, |pause_ms| pause_ms.min(pace_ms)))
     }
 
-    fn choose(
+    fn choose_upstream(
         &mut self,
         now: Time,
         request: RequestId,
@@ -115,27 +120,27 @@
             return None;
         };
         let facts = &request.facts;
-        let wanted = facts.placement(
+        let placement_request = facts.placement(
             &request.tried,
             pace_ms,
             rank,
             self.stream_share(&facts.target),
             self.neighbors.candidates(),
         );
-        self.pool.choose(&wanted, now, &mut self.rng)
+        self.pool.choose(&placement_request, now, &mut self.rng)
     }
 
     /// Part of a target's engines that is for streams that long prompts can make late.
     pub(crate) fn stream_share(&self, target: &Target) -> f64 {
-        let lane = self.lanes.get(target);
-        lane.map_or(0.0, |lane| lane.partition.stream_share())
+        let queues = self.lanes.get(target);
+        queues.map_or(0.0, |queues| queues.partition.stream_share())
     }
 
     /// Takes a request from its queue and gives it a slot: sends it, or first
     /// claims its idempotency key. The claim is made only now, with the slot
     /// at hand, so that a crash leaves the key unresolved for the shortest
     /// time, and shed requests cost no write.
-    fn start(
+    fn start_attempt(
         &mut self,
         now: Time,
         item: &QueuedItem,
@@ -149,8 +154,8 @@
         let facts = &request.facts;
         self.deadlines.remove(&(facts.deadline, request.id));
         self.queued -= 1;
-        if let Some(lane) = self.lanes.get_mut(&facts.target) {
-            lane.serve(facts.rank, item, now);
+        if let Some(queues) = self.lanes.get_mut(&facts.target) {
+            queues.serve(facts.rank, item, now);
         }
         self.pool.start(&upstream, facts, now);
         request.attempts += 1;
@@ -161,12 +166,12 @@
                 .note_first_attempt(&facts.target, priority, now);
         }
         let attempt = self.new_attempt();
-        let unclaimed = request
+        let unclaimed_key = request
             .facts
             .key
             .clone()
             .filter(|_| request.claimed_by.is_none());
-        let stage = match unclaimed {
+        let stage = match unclaimed_key {
             Some((key, fingerprint)) => {
                 let request = request.claim(upstream, attempt, priority);
                 actions.push(Action::Claim(claim_request(&request, key, fingerprint)));
@@ -175,7 +180,7 @@
             None => {
                 let mut request = request.send(upstream, attempt, priority, now);
                 self.start_prompt(now, &mut request);
-                request.stage.waiting = self.waiting_before(&request);
+                request.stage.waiting = self.prompt_tokens_ahead(&request);
                 self.push_send(now, &mut request, None, actions);
                 Stage::Running(request)
             }
@@ -184,12 +189,12 @@
     }
 
     /// Prompt tokens that are known to wait at a request's upstream before its own.
-    pub(crate) fn waiting_before(&self, request: &Request<Running>) -> u64 {
+    pub(crate) fn prompt_tokens_ahead(&self, request: &Request<Running>) -> u64 {
         let Some(state) = self.pool.get(&request.stage.upstream) else {
             return 0;
         };
-        let own = u64::from(request.stage.prefill.get());
-        (state.backlog + state.others_backlog).saturating_sub(own)
+        let own_tokens = u64::from(request.stage.prefill.get());
+        (state.backlog + state.others_backlog).saturating_sub(own_tokens)
     }
 
     /// Orders the attempt of a running request to be sent.
--- a/crates/policy/src/queueing/fair_queue.rs
+++ b/crates/policy/src/queueing/fair_queue.rs
@@ -7,7 +7,7 @@
 /// Order of a team among the teams of a queue: first by how much it has been
 /// served, in quanta, then by when its most pressing request is due.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Head {
+struct TeamHead {
     quantum: u64,
     due: Time,
     seq: u64,
@@ -16,16 +16,16 @@
 
 /// One team's part of a queue.
 #[derive(Debug, Default)]
-struct TeamPart {
+struct TeamQueue {
     items: BTreeSet<QueuedItem>,
     /// Tokens served, divided by weight: the team's virtual time.
-    served: u64,
+    virtual_time: u64,
 }
 
-impl TeamPart {
-    fn head(&self) -> Option<Head> {
-        self.items.first().map(|item| Head {
-            quantum: self.served / QUANTUM_TOKENS,
+impl TeamQueue {
+    fn head(&self) -> Option<TeamHead> {
+        self.items.first().map(|item| TeamHead {
+            quantum: self.virtual_time / QUANTUM_TOKENS,
             due: item.due,
             seq: item.seq,
             team: item.team.clone(),
@@ -38,8 +38,8 @@
 /// operation is logarithmic in the teams and in the requests of one team.
 #[derive(Debug, Default)]
 pub(crate) struct FairQueue {
-    heads: BTreeSet<Head>,
-    teams: HashMap<TeamId, TeamPart>,
+    heads: BTreeSet<TeamHead>,
+    teams: HashMap<TeamId, TeamQueue>,
     /// Virtual time of the last team served; a team that returns after a pause
     /// starts here, so it gains no credit for having been idle.
     virtual_now: u64,
@@ -65,11 +65,11 @@
         let virtual_now = self.virtual_now;
         self.len += 1;
         self.cost += item.cost;
-        self.change(&item.team.clone(), |part| {
-            if part.items.is_empty() {
-                part.served = part.served.max(virtual_now);
+        self.update_team(&item.team.clone(), |team_queue| {
+            if team_queue.items.is_empty() {
+                team_queue.virtual_time = team_queue.virtual_time.max(virtual_now);
             }
-            part.items.insert(item);
+            team_queue.items.insert(item);
         });
     }
 
@@ -88,7 +88,9 @@
     /// Removes a request without charging its team.
     pub(crate) fn remove(&mut self, item: &QueuedItem) -> bool {
         let mut removed = false;
-        self.change(&item.team, |part| removed = part.items.remove(item));
+        self.update_team(&item.team, |team_queue| {
+            removed = team_queue.items.remove(item)
+        });
         if removed {
             self.len -= 1;
             self.cost -= item.cost;
@@ -102,22 +104,22 @@
             return;
         }
         let charge = item.cost / u64::from(item.weight.max(1));
-        let mut served = 0;
-        self.change(&item.team, |part| {
-            served = part.served;
-            part.served += charge.max(1);
+        let mut virtual_time = 0;
+        self.update_team(&item.team, |team_queue| {
+            virtual_time = team_queue.virtual_time;
+            team_queue.virtual_time += charge.max(1);
         });
-        self.virtual_now = self.virtual_now.max(served);
-        self.forget_idle();
+        self.virtual_now = self.virtual_now.max(virtual_time);
+        self.remove_idle_teams();
     }
 
-    fn change(&mut self, team: &TeamId, edit: impl FnOnce(&mut TeamPart)) {
-        let part = self.teams.entry(team.clone()).or_default();
-        if let Some(head) = part.head() {
+    fn update_team(&mut self, team: &TeamId, update: impl FnOnce(&mut TeamQueue)) {
+        let team_queue = self.teams.entry(team.clone()).or_default();
+        if let Some(head) = team_queue.head() {
             self.heads.remove(&head);
         }
-        edit(part);
-        if let Some(head) = part.head() {
+        update(team_queue);
+        if let Some(head) = team_queue.head() {
             self.heads.insert(head);
         }
     }
@@ -125,13 +127,14 @@
     /// Drops idle teams that virtual time has passed: they would start at the
     /// present anyway. Without this the map would grow with every team ever
     /// seen.
-    fn forget_idle(&mut self) {
-        const MAX_IDLE: usize = 1_024;
-        if self.teams.len() - self.heads.len() < MAX_IDLE {
+    fn remove_idle_teams(&mut self) {
+        const MAX_IDLE_TEAMS: usize = 1_024;
+        if self.teams.len() - self.heads.len() < MAX_IDLE_TEAMS {
             return;
         }
         let virtual_now = self.virtual_now;
-        self.teams
-            .retain(|_, part| !part.items.is_empty() || part.served > virtual_now);
+        self.teams.retain(|_, team_queue| {
+            !team_queue.items.is_empty() || team_queue.virtual_time > virtual_now
+        });
     }
 }
--- a/crates/policy/src/queueing/length_estimate.rs
+++ b/crates/policy/src/queueing/length_estimate.rs
@@ -1,36 +1,36 @@
 use super::*;
 
 /// Estimate before anything has been seen.
-const FIRST_GUESS_TOKENS: f64 = 200.0;
+const INITIAL_TOKENS: f64 = 200.0;
 
 /// Weight of the newest answer in the moving averages.
 const NEWEST_WEIGHT: f64 = 0.05;
 
 /// Answers of a team and class after which its own average is trusted alone.
-const TRUSTED_AFTER: u32 = 20;
+const FULL_TRUST_ANSWERS: u32 = 20;
 
 /// Most pairs of team and class that are remembered.
 const MAX_PAIRS: usize = 16_384;
 
 #[derive(Clone, Copy, Debug)]
-struct Average {
+struct MovingAverage {
     tokens: f64,
-    seen: u32,
+    answers: u32,
 }
 
-impl Average {
+impl MovingAverage {
     fn note(&mut self, tokens: f64) {
-        self.seen = self.seen.saturating_add(1);
-        let weight = NEWEST_WEIGHT.max(1.0 / f64::from(self.seen));
+        self.answers = self.answers.saturating_add(1);
+        let weight = NEWEST_WEIGHT.max(1.0 / f64::from(self.answers));
         self.tokens += weight * (tokens - self.tokens);
     }
 }
 
-impl Default for Average {
+impl Default for MovingAverage {
     fn default() -> Self {
         Self {
-            tokens: FIRST_GUESS_TOKENS,
-            seen: 0,
+            tokens: INITIAL_TOKENS,
+            answers: 0,
         }
     }
 }
@@ -39,20 +39,21 @@
 /// and team, mixed with those of the class while the team is new.
 #[derive(Debug, Default)]
 pub(crate) struct LengthEstimate {
-    classes: HashMap<ClassId, Average>,
-    pairs: HashMap<(ClassId, TeamId), Average>,
+    classes: HashMap<ClassId, MovingAverage>,
+    pairs: HashMap<(ClassId, TeamId), MovingAverage>,
 }
 
 impl LengthEstimate {
     pub(crate) fn estimate(&self, class: &ClassId, team: &TeamId, max: Option<Tokens>) -> Tokens {
-        let of_class = self.classes.get(class).copied().unwrap_or_default();
+        let class_average = self.classes.get(class).copied().unwrap_or_default();
         let key = (class.clone(), team.clone());
         let tokens = match self.pairs.get(&key) {
-            Some(pair) => {
-                let trust = f64::from(pair.seen.min(TRUSTED_AFTER)) / f64::from(TRUSTED_AFTER);
-                trust * pair.tokens + (1.0 - trust) * of_class.tokens
+            Some(pair_average) => {
+                let trust = f64::from(pair_average.answers.min(FULL_TRUST_ANSWERS))
+                    / f64::from(FULL_TRUST_ANSWERS);
+                trust * pair_average.tokens + (1.0 - trust) * class_average.tokens
             }
-            None => of_class.tokens,
+            None => class_average.tokens,
         };
         let tokens = Tokens::new(tokens.max(1.0) as u32);
         max.map_or(tokens, |max| tokens.min(max))
--- a/crates/policy/src/queueing/minimum_share.rs
+++ b/crates/policy/src/queueing/minimum_share.rs
@@ -28,13 +28,13 @@
     }
 
     /// Notes that a rank was served, and whether it has more work.
-    pub(crate) fn note_served(&mut self, rank: Rank, more: bool, now: Time) {
-        self.waiting_since[rank.index()] = more.then_some(now);
+    pub(crate) fn note_served(&mut self, rank: Rank, has_more: bool, now: Time) {
+        self.waiting_since[rank.index()] = has_more.then_some(now);
     }
 
     /// The rank that has waited longest beyond the interval of a domain with so
     /// many hosts.
-    pub(crate) fn due(&self, now: Time, hosts: u32) -> Option<Rank> {
+    pub(crate) fn due_rank(&self, now: Time, hosts: u32) -> Option<Rank> {
         let interval = MINIMUM_SHARE_INTERVAL * hosts.max(1);
         Rank::all()
             .skip(1)
--- a/crates/policy/src/queueing/mod.rs
+++ b/crates/policy/src/queueing/mod.rs
@@ -5,29 +5,29 @@
 mod admission;
 mod dispatch;
 mod fair_queue;
-mod lane;
 mod length_estimate;
 mod minimum_share;
-mod overdraft;
 mod queued_item;
 mod rank;
 mod rank_queue;
-mod room_rules;
 mod service_rate;
+mod share_overrun;
+mod slot_rules;
+mod target_queues;
 mod team_limits;
 mod urgency;
 
-pub use {overdraft::Overdraft, room_rules::RoomRules};
+pub use {share_overrun::ShareOverrun, slot_rules::SlotRules};
 
 pub(crate) use {
     fair_queue::FairQueue,
-    lane::Lane,
     length_estimate::LengthEstimate,
     minimum_share::MinimumShare,
     queued_item::QueuedItem,
-    rank::{PRESSING_TIERS, Rank},
+    rank::{Rank, URGENT_TIERS},
     rank_queue::RankQueue,
     service_rate::ServiceRate,
+    target_queues::TargetQueues,
     team_limits::TeamLimits,
     urgency::Urgency,
 };
--- a/crates/policy/src/queueing/rank.rs
+++ b/crates/policy/src/queueing/rank.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Tiers that may go beyond their host's share where an engine is free.
-pub(crate) const PRESSING_TIERS: usize = 2;
+pub(crate) const URGENT_TIERS: usize = 2;
 
 /// The strict order between requests: by tier, and within a tier paid before
 /// trial. Time spent waiting never changes it.
@@ -25,8 +25,8 @@
     }
 
     /// Whether it may go beyond its host's share where an engine is free.
-    pub(crate) const fn is_pressing(self) -> bool {
-        self.tier.index() < PRESSING_TIERS
+    pub(crate) const fn is_urgent(self) -> bool {
+        self.tier.index() < URGENT_TIERS
     }
 
     pub(crate) const fn index(self) -> usize {
--- a/crates/policy/src/queueing/rank_queue.rs
+++ b/crates/policy/src/queueing/rank_queue.rs
@@ -3,7 +3,7 @@
 /// Of so many requests served, one is taken from those that can no longer meet
 /// their target while others still can. At 8, the late took a tenth of the
 /// drafts' goodput at twice the capacity.
-const LATE_SHARE: u32 = 32;
+const LATE_SERVICE_INTERVAL: u32 = 32;
 
 /// The queue of one rank: requests that can still meet their target, and those
 /// that cannot. The latter are served behind the former, but not starved.
@@ -12,7 +12,7 @@
     feasible: FairQueue,
     late: FairQueue,
     /// Requests served from `feasible` since one was served from `late`.
-    since_late: u32,
+    served_since_late: u32,
 }
 
 impl RankQueue {
@@ -35,21 +35,25 @@
 
     /// The request to serve next. `lead` is the time from dispatch to the
     /// first token on an upstream that is free.
-    pub(crate) fn peek(&mut self, now: Time, lead: Duration) -> Option<QueuedItem> {
-        while let Some(item) = self.feasible.peek().filter(|item| now + lead > item.due) {
+    pub(crate) fn peek(&mut self, now: Time, time_to_first_token: Duration) -> Option<QueuedItem> {
+        while let Some(item) = self
+            .feasible
+            .peek()
+            .filter(|item| now + time_to_first_token > item.due)
+        {
             let item = item.clone();
             self.feasible.remove(&item);
             self.late.push(item);
         }
-        let late_turn = self.since_late >= LATE_SHARE && !self.late.is_empty();
-        if late_turn || self.feasible.is_empty() {
+        let is_late_turn = self.served_since_late >= LATE_SERVICE_INTERVAL && !self.late.is_empty();
+        if is_late_turn || self.feasible.is_empty() {
             return self.late.peek().cloned();
         }
         self.feasible.peek().cloned()
     }
 
     /// The request to give up first when the queue is full.
-    pub(crate) fn worst(&self) -> Option<QueuedItem> {
+    pub(crate) fn eviction_candidate(&self) -> Option<QueuedItem> {
         self.late.last().or_else(|| self.feasible.last()).cloned()
     }
 
@@ -58,13 +62,13 @@
     }
 
     pub(crate) fn serve(&mut self, item: &QueuedItem) {
-        let before = self.feasible.len();
+        let len_before = self.feasible.len();
         self.feasible.serve(item);
-        if self.feasible.len() < before {
-            self.since_late += 1;
+        if self.feasible.len() < len_before {
+            self.served_since_late += 1;
             return;
         }
         self.late.serve(item);
-        self.since_late = 0;
+        self.served_since_late = 0;
     }
 }
--- a/crates/policy/src/queueing/lane.rs
+++ b/crates/policy/src/queueing/target_queues.rs
@@ -1,44 +1,44 @@
 use super::*;
 
 /// Time from dispatch to the first token before anything has been seen.
-const FIRST_LEAD: Duration = Duration::from_millis(50);
+const INITIAL_TIME_TO_FIRST_TOKEN: Duration = Duration::from_millis(50);
 
 /// Weight of a sample below the lead, and of one above it: the lead follows the
 /// quick answers. What goes wrong with an average: one request that waited in
 /// an engine's own queue makes others count as late that still have time, and
 /// they are put behind the rest.
-const WEIGHT_BELOW: f64 = 0.2;
-const WEIGHT_ABOVE: f64 = 0.005;
+const SHORTER_SAMPLE_WEIGHT: f64 = 0.2;
+const LONGER_SAMPLE_WEIGHT: f64 = 0.005;
 
 /// The queues of one target, a model or a service.
 #[derive(Debug)]
-pub(crate) struct Lane {
+pub(crate) struct TargetQueues {
     pub(crate) congestion: CongestionControl,
     pub(crate) minimum_share: MinimumShare,
     pub(crate) long_prompts: LongPrompts,
-    pub(crate) rate: ServiceRate,
+    pub(crate) service_rate: ServiceRate,
     pub(crate) partition: EnginePartition,
     last_arrival: Time,
-    lead: Duration,
+    time_to_first_token: Duration,
     queues: [RankQueue; Rank::COUNT],
 }
 
-impl Default for Lane {
+impl Default for TargetQueues {
     fn default() -> Self {
         Self {
             congestion: CongestionControl::default(),
             minimum_share: MinimumShare::default(),
             long_prompts: LongPrompts::default(),
-            rate: ServiceRate::default(),
+            service_rate: ServiceRate::default(),
             partition: EnginePartition::default(),
             last_arrival: Time::default(),
-            lead: FIRST_LEAD,
+            time_to_first_token: INITIAL_TIME_TO_FIRST_TOKEN,
             queues: Default::default(),
         }
     }
 }
 
-impl Lane {
+impl TargetQueues {
     pub(crate) fn has_work(&self, rank: Rank) -> bool {
         !self.queues[rank.index()].is_empty()
     }
@@ -60,13 +60,13 @@
 
     /// The request of a rank to serve next.
     pub(crate) fn peek(&mut self, rank: Rank, now: Time) -> Option<QueuedItem> {
-        let lead = self.lead;
-        self.queues[rank.index()].peek(now, lead)
+        let time_to_first_token = self.time_to_first_token;
+        self.queues[rank.index()].peek(now, time_to_first_token)
     }
 
     /// Whether a request due at `due` can still get its first token in time.
     pub(crate) fn can_meet(&self, due: Time, now: Time) -> bool {
-        now + self.lead <= due
+        now + self.time_to_first_token <= due
     }
 
     pub(crate) fn serve(&mut self, rank: Rank, item: &QueuedItem, now: Time) {
@@ -83,15 +83,15 @@
     }
 
     /// Notes the time from a dispatch to its first token.
-    pub(crate) fn note_lead(&mut self, sample: Duration) {
-        let change = sample.as_secs_f64() - self.lead.as_secs_f64();
-        let weight = if change < 0.0 {
-            WEIGHT_BELOW
+    pub(crate) fn note_time_to_first_token(&mut self, sample: Duration) {
+        let difference = sample.as_secs_f64() - self.time_to_first_token.as_secs_f64();
+        let weight = if difference < 0.0 {
+            SHORTER_SAMPLE_WEIGHT
         } else {
-            WEIGHT_ABOVE
+            LONGER_SAMPLE_WEIGHT
         };
-        let lead_s = self.lead.as_secs_f64() + weight * change;
-        self.lead = Duration::from_secs_f64(lead_s.max(0.0));
+        let time_to_first_token_s = self.time_to_first_token.as_secs_f64() + weight * difference;
+        self.time_to_first_token = Duration::from_secs_f64(time_to_first_token_s.max(0.0));
     }
 
     /// Estimated cost of what goes before a new request of `rank`, in tokens.
@@ -104,10 +104,10 @@
 
     /// A request of the least urgent rank with work, to be given up for one of
     /// `rank`; only strictly less urgent ones are named.
-    pub(crate) fn worst_below(&self, rank: Rank) -> Option<(Rank, QueuedItem)> {
+    pub(crate) fn eviction_candidate_below(&self, rank: Rank) -> Option<(Rank, QueuedItem)> {
         Rank::all()
             .rev()
             .take_while(|other| rank < *other)
-            .find_map(|other| Some((other, self.queues[other.index()].worst()?)))
+            .find_map(|other| Some((other, self.queues[other.index()].eviction_candidate()?)))
     }
 }
--- a/crates/policy/src/queueing/team_limits.rs
+++ b/crates/policy/src/queueing/team_limits.rs
@@ -4,18 +4,18 @@
 const BURST_S: f64 = 2.0;
 
 #[derive(Debug)]
-struct TeamUse {
+struct TeamUsage {
     /// Requests queued or running.
     active: u32,
     /// Requests that may start now.
     allowance: f64,
-    refilled: Time,
+    refilled_at: Time,
 }
 
 /// Rate and concurrency of each team on this host, with a token bucket.
 #[derive(Debug, Default)]
 pub(crate) struct TeamLimits {
-    teams: HashMap<TeamId, TeamUse>,
+    teams: HashMap<TeamId, TeamUsage>,
 }
 
 impl TeamLimits {
@@ -23,14 +23,14 @@
     pub(crate) fn admit(&mut self, id: &TeamId, team: &Team, now: Time) -> Result<(), Refusal> {
         let rate = team.max_requests_per_s.get();
         let burst = (rate * BURST_S).max(1.0);
-        let usage = self.teams.entry(id.clone()).or_insert(TeamUse {
+        let usage = self.teams.entry(id.clone()).or_insert(TeamUsage {
             active: 0,
             allowance: burst,
-            refilled: now,
+            refilled_at: now,
         });
-        let refill = now.since(usage.refilled).as_secs_f64() * rate;
+        let refill = now.since(usage.refilled_at).as_secs_f64() * rate;
         usage.allowance = (usage.allowance + refill).min(burst);
-        usage.refilled = now;
+        usage.refilled_at = now;
         if usage.active >= team.max_concurrent {
             return Err(Refusal {
                 retry_after: Some(Duration::from_secs(1)),
--- a/crates/policy/src/queueing/urgency.rs
+++ b/crates/policy/src/queueing/urgency.rs
@@ -20,13 +20,13 @@
     /// Every pair of a class's tier and a team's tier, most urgent first.
     engine_levels: BTreeSet<(Tier, Tier)>,
     /// Every pair of a team's tier and a class's tier, most urgent first.
-    levels: BTreeSet<(Tier, Tier)>,
+    queue_levels: BTreeSet<(Tier, Tier)>,
 }
 
 impl Urgency {
     /// Only the tiers that occur are paired: with each class and team apart, a large
     /// configuration would hold up the thread that decides.
-    pub(crate) fn of(document: &Document) -> Self {
+    pub(crate) fn new(document: &Document) -> Self {
         let classes: BTreeSet<Tier> = document.classes.values().map(|class| class.tier).collect();
         let teams = document.teams.values().filter_map(|team| team.tier);
         let teams: BTreeSet<Tier> = teams.collect();
@@ -34,7 +34,7 @@
         for class in classes {
             for team in teams.iter().copied().chain([class]) {
                 urgency.engine_levels.insert((class, team));
-                urgency.levels.insert((team, class));
+                urgency.queue_levels.insert((team, class));
             }
         }
         urgency
@@ -44,7 +44,7 @@
     /// least urgent levels share the last tier where there are more levels than tiers.
     pub(crate) fn tier(&self, team: Option<Tier>, class: Tier) -> Tier {
         let level = (team.unwrap_or(class), class);
-        let before = self.levels.range(..level).count();
+        let before = self.queue_levels.range(..level).count();
         let last = Tier::COUNT - 1;
         Tier::new(before.min(last) as u8).unwrap_or(class)
     }
--- a/crates/policy/src/requests/attempts.rs
+++ b/crates/policy/src/requests/attempts.rs
@@ -64,7 +64,7 @@
         self.note_congestion(&target, false);
         self.note_first_token(now, &target, &class, lead);
         if let Some(lane) = self.lanes.get_mut(&target) {
-            lane.note_lead(lead);
+            lane.note_time_to_first_token(lead);
         }
     }
 
@@ -137,7 +137,7 @@
         self.crashes.note_finished(&facts.fingerprint, now);
         if let Some(lane) = self.lanes.get_mut(&facts.target) {
             let span = now.since(request.stage.sent);
-            lane.rate.note_answer(request.item.cost, span);
+            lane.service_rate.note_answer(request.item.cost, span);
         }
         self.limits.release(&facts.team);
         self.length.note(&facts.class, &facts.team, request.tokens);
--- a/crates/policy/src/requests/claims.rs
+++ b/crates/policy/src/requests/claims.rs
@@ -94,7 +94,7 @@
         match answer {
             ClaimAnswer::InProgress => Refusal {
                 reason: RefusalReason::InProgress,
-                retry_after: Some(self.spread(IN_PROGRESS_RETURN)),
+                retry_after: Some(self.jittered_retry_after(IN_PROGRESS_RETURN)),
                 verdict: Verdict::MayHaveRun,
             },
             ClaimAnswer::MayHaveRun => Refusal {
@@ -104,7 +104,7 @@
             },
             ClaimAnswer::Reused => Refusal::not_run(RefusalReason::KeyReused),
             ClaimAnswer::NotTried | ClaimAnswer::Unknown => Refusal {
-                retry_after: Some(self.spread(STORE_RETURN)),
+                retry_after: Some(self.jittered_retry_after(STORE_RETURN)),
                 ..Refusal::not_run(RefusalReason::StoreUnavailable)
             },
             ClaimAnswer::Ran(_) | ClaimAnswer::Ours => Refusal {
@@ -133,7 +133,7 @@
                 return;
             }
             self.parked.pop_first();
-            if let Some(mut request) = self.unqueue(now, id) {
+            if let Some(mut request) = self.remove_queued(now, id) {
                 request.stage.parked = false;
                 self.enqueue(now, request);
             }
--- a/crates/policy/src/requests/refusing.rs
+++ b/crates/policy/src/requests/refusing.rs
@@ -19,7 +19,7 @@
         let retry = request.facts.idempotent || request.verdict == Verdict::NotRun;
         let refusal = Refusal {
             reason: RefusalReason::UpstreamFailed,
-            retry_after: retry.then(|| self.spread(FAILED_RETURN)),
+            retry_after: retry.then(|| self.jittered_retry_after(FAILED_RETURN)),
             verdict: request.verdict,
         };
         self.finish_refused(now, &request, refusal, actions);
@@ -34,7 +34,7 @@
         actions: &mut Vec<Action>,
     ) {
         let barred_for = self.crashes.barred_for(&request.facts.fingerprint, now);
-        let retry_after = barred_for.unwrap_or_else(|| self.spread(FAILED_RETURN));
+        let retry_after = barred_for.unwrap_or_else(|| self.jittered_retry_after(FAILED_RETURN));
         self.refuse_with(now, &request, reason, retry_after, actions);
     }
 
@@ -85,7 +85,7 @@
             None => {}
             Some(Stage::Queued(request)) => {
                 self.requests.insert(id, Stage::Queued(request));
-                if let Some(request) = self.unqueue(now, id) {
+                if let Some(request) = self.remove_queued(now, id) {
                     self.forget_queued(now, &request, actions);
                 }
             }
--- a/crates/policy/src/requests/resuming.rs
+++ b/crates/policy/src/requests/resuming.rs
@@ -93,7 +93,7 @@
         self.pool.start(&upstream, &request.facts, now);
         let mut request = request.moved(upstream, attempt, now);
         self.start_prompt(now, &mut request);
-        request.stage.waiting = self.waiting_before(&request);
+        request.stage.waiting = self.prompt_tokens_ahead(&request);
         self.push_send(now, &mut request, Some(broken), actions);
         self.requests.insert(request.id, Stage::Running(request));
         None
--- a/crates/policy/src/upstream_limits/starved.rs
+++ b/crates/policy/src/upstream_limits/starved.rs
@@ -101,10 +101,10 @@
         wait: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let Some(request) = self.unqueue(now, id) else {
+        let Some(request) = self.remove_queued(now, id) else {
             return;
         };
-        let retry_after = self.spread(wait);
+        let retry_after = self.jittered_retry_after(wait);
         let reason = RefusalReason::UpstreamLimited;
         self.refuse_with(now, &request, reason, retry_after, actions);
     }
--- a/crates/policy/src/upstream_notices/unavailable.rs
+++ b/crates/policy/src/upstream_notices/unavailable.rs
@@ -28,14 +28,14 @@
         });
         let closed: BTreeMap<Target, Opening> = closed.collect();
         for (id, opening) in self.waiting_in_vain(now, &closed) {
-            let Some(request) = self.unqueue(now, id) else {
+            let Some(request) = self.remove_queued(now, id) else {
                 continue;
             };
             let (reason, wait) = match opening {
                 Opening::At(at) => (RefusalReason::UpstreamBackoff, at.since(now)),
                 Opening::Never => (RefusalReason::NoUpstream, LEAVING_RETURN),
             };
-            let retry_after = self.spread(wait);
+            let retry_after = self.jittered_retry_after(wait);
             self.refuse_with(now, &request, reason, retry_after, actions);
         }
     }
--- a/crates/policy/src/upstreams/choice.rs
+++ b/crates/policy/src/upstreams/choice.rs
@@ -89,7 +89,7 @@
         let Some(group) = state.group else {
             return false;
         };
-        rank.is_pressing() || self.groups[group].has_room(rank, &self.room)
+        rank.is_urgent() || self.groups[group].has_room(rank, &self.room)
     }
 
     /// Whether this host may use a free slot of an upstream.
@@ -97,7 +97,7 @@
         let Some(group) = state.group else {
             return state.in_flight < state.foreign_share;
         };
-        let overdraft = rank.is_pressing() && self.room.overdraft != Overdraft::None;
+        let overdraft = rank.is_urgent() && self.room.share_overrun != ShareOverrun::None;
         overdraft || self.groups[group].has_room(rank, &self.room)
     }
 
@@ -110,7 +110,7 @@
         };
         let group = &self.groups[group];
         let others_there = group.share.slots < group.slots;
-        let overdraft = rank.is_pressing() && self.room.overdraft == Overdraft::EngineQueue;
+        let overdraft = rank.is_urgent() && self.room.share_overrun == ShareOverrun::EngineQueue;
         others_there && (overdraft || group.has_room(rank, &self.room))
     }
 
@@ -122,7 +122,7 @@
         let full = |group: &usize| {
             let group = &self.groups[*group];
             let alone = group.share.slots >= group.slots;
-            let overdraft = wanted.rank.is_pressing() && !alone;
+            let overdraft = wanted.rank.is_urgent() && !alone;
             !overdraft && !group.has_room(wanted.rank, &self.room)
         };
         places.foreign.is_empty() && places.groups.iter().all(full)
--- a/crates/policy/src/upstreams/group.rs
+++ b/crates/policy/src/upstreams/group.rs
@@ -24,8 +24,8 @@
     }
 
     /// Whether the share allows one more request of `rank`.
-    pub(crate) fn has_room(&self, rank: Rank, room: &RoomRules) -> bool {
-        if rank.is_pressing() {
+    pub(crate) fn has_room(&self, rank: Rank, room: &SlotRules) -> bool {
+        if rank.is_urgent() {
             return self.in_flight < self.share.slots;
         }
         let headroom = (f64::from(self.share.slots) * room.headroom_share).floor() as u32;
--- a/crates/policy/src/upstreams/pool.rs
+++ b/crates/policy/src/upstreams/pool.rs
@@ -21,7 +21,7 @@
     pub(crate) listed_leaving: BTreeSet<UpstreamId>,
     /// When what was learned of the engines' speeds is looked at next.
     pub(crate) next_speed_review: Time,
-    pub(crate) room: RoomRules,
+    pub(crate) room: SlotRules,
     /// Counts the times that shares were set.
     pub(crate) shares_version: u64,
     pub(crate) silent: SilentDomains,
@@ -41,7 +41,7 @@
 }
 
 impl Pool {
-    pub(crate) fn new(room: RoomRules, spread: bool) -> Self {
+    pub(crate) fn new(room: SlotRules, spread: bool) -> Self {
         Self {
             room,
             spread,
--- a/crates/policy/tests/installation/support.rs
+++ b/crates/policy/tests/installation/support.rs
@@ -6,7 +6,7 @@
     peer::{LoadNote, PeerHost},
     policy::{
         Action, Arrival, AttemptEnd, Controller, ControllerOptions, Event, Refusal, RelayRules,
-        Repeatability, RoomRules, Routed, SendOrder, Target,
+        Repeatability, Routed, SendOrder, SlotRules, Target,
     },
     serde_json::json,
     std::{
@@ -122,7 +122,7 @@
                     retry_window: Duration::from_secs(10),
                     usage_window: Some(USAGE_WINDOW),
                 }),
-                room: RoomRules::default(),
+                room: SlotRules::default(),
                 seed: number,
             }),
             next_request: 0,
--- a/crates/policy/tests/properties/main.rs
+++ b/crates/policy/tests/properties/main.rs
@@ -7,7 +7,7 @@
     config::{Document, Numbered},
     policy::{
         Action, Arrival, AttemptEnd, ClaimAnswer, Controller, ControllerOptions, Event,
-        Repeatability, RoomRules, Target,
+        Repeatability, SlotRules, Target,
     },
     quickcheck::{Arbitrary, Gen, QuickCheck},
     serde_json::{Value, json},
--- a/crates/policy/tests/properties/model.rs
+++ b/crates/policy/tests/properties/model.rs
@@ -31,7 +31,7 @@
                 incarnation: Incarnation::new(7),
                 max_queued: 6,
                 relay: None,
-                room: RoomRules::default(),
+                room: SlotRules::default(),
                 seed: 7,
             }),
             leaving: Vec::new(),
--- a/crates/policy/tests/script/mod.rs
+++ b/crates/policy/tests/script/mod.rs
@@ -14,7 +14,7 @@
     peer::{Grant, Heartbeat, HeartbeatAnswer, PeerHost},
     policy::{
         Action, Arrival, AttemptEnd, ClaimAnswer, Controller, ControllerOptions, Event, Outcome,
-        Refusal, Repeatability, RoomRules, StoredAnswer, Target,
+        Refusal, Repeatability, SlotRules, StoredAnswer, Target,
     },
     serde_json::{Value, json},
     std::{collections::BTreeMap, fmt::Write, str::FromStr, sync::Arc, time::Duration},
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -39,7 +39,7 @@
         Action, AdmissionChange, Arrival, AttemptEnd, BrittleNoted, ClaimAnswer, ClaimRequest,
         Controller, ControllerOptions, CrashNoted, CrashSource, Event, FetchEnd, HostPhase,
         LeavingNoted, LimitNoted, Outcome, OutcomeEnd, PrefixHash, ReachNoted, Refusal,
-        RefusalReason, RelayRules, Repeatability, RoomRules, Routed, SendOrder, Settlement,
+        RefusalReason, RelayRules, Repeatability, Routed, SendOrder, Settlement, SlotRules,
         SpeedNoted, StoredAnswer, Target, TransferSlots, WasteCause, WorkingSet,
     },
     ports::{
