--- a/crates/policy/src/queueing/admission.rs
+++ b/crates/policy/src/queueing/admission.rs
@@ -1,28 +1,29 @@
-//! Admission: who sends, what is asked for, and whether it can be done in time.
+//! Admission control: resolves a request's team and class, checks the limits and deadlines, and
+//! queues the request.
 
 use super::*;
 
-/// Refused work is asked to return after the estimated wait, spread over up to
-/// twice that, so that it does not return all at once.
+/// Maximum jitter of `Retry-After` as a fraction of the estimated wait. Refused requests return
+/// after one to two times the wait, so that they don't all return at once.
 const RETRY_AFTER_JITTER: f64 = 1.0;
 
-/// Shortest advice to retry after a full queue.
+/// Minimum `Retry-After`, and the estimated wait where the queue is full.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Longest advice to retry.
+/// Maximum `Retry-After`.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(300);
 
-/// Advice to retry for a host that cannot tell whether a key is still valid:
-/// about the time in which the balancer moves callers to another host.
+/// `Retry-After` from a host whose configuration may be outdated: about the time that the load
+/// balancer needs to move callers to another host.
 const STALE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Prompt tokens that cost an engine as much as one output token.
+/// Number of prompt tokens that cost an engine as much as one output token.
 const PROMPT_TOKENS_PER_OUTPUT_TOKEN: u64 = 16;
 
-/// Team under which requests without a key are counted.
+/// Team that requests without a key are counted under.
 const PUBLIC_TEAM: &str = "public";
 
-/// What the configuration says of an arrival.
+/// The parts of the configuration that apply to an arrival.
 struct ResolvedArrival {
     class: Class,
     class_id: ClassId,
@@ -87,7 +88,7 @@
         Ok(())
     }
 
-    /// Finds team and class, and checks that the team may send this now.
+    /// Looks up the team and the class, and checks the team's permissions and limits.
     fn resolve(&mut self, arrival: &Arrival, now: Time) -> Result<ResolvedArrival, Refusal> {
         let not_run = Refusal::not_run;
         let Some(numbered) = self.configuration.clone() else {
@@ -130,8 +131,8 @@
         Ok(resolved)
     }
 
-    /// Finds the team of a request that a route relays. Routes are open to all
-    /// teams, and a route's class is the one that counts.
+    /// Looks up the team of a request that arrives by a route. The class is that of the route, and
+    /// the team's list of allowed classes isn't checked: routes are open to all teams.
     fn resolve_routed(
         &mut self,
         document: &Document,
@@ -176,7 +177,8 @@
         })
     }
 
-    /// A key that a newer version may have added is not denied.
+    /// Refusal of a key that isn't in this host's configuration. If a newer version exists, the key
+    /// may have been added there, so the refusal says that the configuration is stale.
     fn unknown_key_refusal(&self) -> Refusal {
         if self.is_behind() {
             stale_configuration()
@@ -185,12 +187,12 @@
         }
     }
 
-    /// Refuses to judge a key with a configuration that may be outdated.
+    /// Refuses to validate a key with a configuration that may be outdated.
     ///
-    /// What goes wrong otherwise: a key is removed while this host is cut off
-    /// from the store, and the host goes on taking it for valid. One would
-    /// notice requests that run long after their key was removed. The bound
-    /// holds for every host, so one that cannot know refuses.
+    /// Without this check, a host that is cut off from the store keeps accepting keys that have
+    /// been removed, and requests run long after their key was removed. The time limit for removing
+    /// a key applies to every host, so a host that can't tell whether its configuration is current
+    /// refuses the request.
     fn check_configuration_freshness(&self, now: Time) -> Result<(), Refusal> {
         if self.is_configuration_fresh(now) {
             return Ok(());
@@ -198,8 +200,8 @@
         Err(stale_configuration())
     }
 
-    /// Whether the configuration is known to have been the newest one a short
-    /// while ago.
+    /// Whether the configuration was recently confirmed to be the newest, and no newer version has
+    /// been known for too long.
     pub(crate) fn is_configuration_fresh(&self, now: Time) -> bool {
         if self.is_outdated(now) {
             return false;
@@ -212,7 +214,8 @@
         }
     }
 
-    /// Whether the target exists, and whether it may be called twice.
+    /// Checks that the target exists, and returns whether it may be called more than once for a
+    /// request.
     fn check_target(&self, document: &Document, target: &Target) -> Result<bool, Refusal> {
         match target {
             Target::Model(_) if self.pool.serves(target) => Ok(true),
@@ -224,8 +227,9 @@
         }
     }
 
-    /// Refuses at once what could not start in time anyway. Only work of the
-    /// same or a more urgent rank is counted as going before it.
+    /// Refuses a request whose estimated wait in the queue is longer than its deadline. The
+    /// estimate counts only queued requests of the same or a more urgent rank, because only those
+    /// are served first.
     fn check_queue_wait(
         &mut self,
         target: &Target,
@@ -254,8 +258,8 @@
         })
     }
 
-    /// Makes room in a full queue by giving up a request that is strictly less
-    /// urgent, or refuses the new one.
+    /// If the queue is full, evicts a strictly less urgent request, or refuses the new one if there
+    /// is none.
     fn make_room(
         &mut self,
         now: Time,
@@ -356,7 +360,7 @@
         self.requests.insert(request.id, Stage::Queued(request));
     }
 
-    /// Takes a request out of its queue, if it is queued.
+    /// Removes a request from its queue; returns `None` if it isn't queued.
     pub(crate) fn remove_queued(&mut self, now: Time, id: RequestId) -> Option<Request<Queued>> {
         match self.requests.remove(&id)? {
             Stage::Queued(request) => {
@@ -375,7 +379,7 @@
         }
     }
 
-    /// Gives a queued request its final answer.
+    /// Removes a queued request and refuses it.
     pub(crate) fn refuse_queued(
         &mut self,
         now: Time,
@@ -388,7 +392,7 @@
         }
     }
 
-    /// A moment to return, spread at random.
+    /// Returns a `Retry-After` of one to two times the wait, chosen at random, within the limits.
     pub(crate) fn jittered_retry_after(&mut self, wait: Duration) -> Duration {
         let factor = 1.0 + RETRY_AFTER_JITTER * self.rng.random::<f64>();
         wait.max(MIN_RETRY_AFTER)
@@ -397,7 +401,8 @@
     }
 }
 
-/// The configuration may be outdated: another host can tell, and soon this one.
+/// Refusal because the configuration may be outdated. The caller may retry: another host may be up
+/// to date, and this one catches up soon.
 fn stale_configuration() -> Refusal {
     Refusal {
         retry_after: Some(STALE_RETRY_AFTER),
--- a/crates/policy/src/queueing/dispatch.rs
+++ b/crates/policy/src/queueing/dispatch.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-/// Engine priority of a request that is served for its minimum share: an engine serves its
-/// own queue by priority, and would starve it otherwise.
+/// Engine priority of a request that is dispatched for the minimum share of its rank. An engine
+/// serves its own queue by priority, so the request would starve there with its usual priority.
 const MINIMUM_SHARE_PRIORITY: u8 = 0;
 
 impl Controller {
-    /// Sends queued requests while there is room for them; `only` names the
-    /// lanes to be tried, all if it is `None`.
+    /// Dispatches queued requests while upstreams have room. Only the queues of `only_targets` are
+    /// tried, or all queues if it is `None`.
     pub(crate) fn dispatch(
         &mut self,
         now: Time,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Sends what a rank of a target has; false once there is no room for it
-    /// at all, so that no lesser rank need be tried.
+    /// Dispatches the queued requests of one rank. Returns false if the target has no room left, so
+    /// that less urgent ranks needn't be tried.
     fn dispatch_rank(
         &mut self,
         now: Time,
@@ -85,7 +85,8 @@
             let Some(item) = self.peek(now, &target, rank) else {
                 continue;
             };
-            // The room of the most urgent rank: headroom is open to minimum shares.
+            // Uses the most urgent rank for the choice of an upstream, so that minimum shares may
+            // use the headroom.
             let placement_rank = Rank::new(Tier::MOST_URGENT, Plan::Paid);
             if let Some(upstream) = self.choose_upstream(now, item.request, None, placement_rank) {
                 self.start_attempt(now, &item, upstream, MINIMUM_SHARE_PRIORITY, actions);
@@ -97,8 +98,9 @@
         self.lanes.get_mut(target)?.peek(rank, now)
     }
 
-    /// Token time that a request needs. One that will miss its first token
-    /// anyway takes any upstream, and so leaves the fast ones to others.
+    /// Longest time between tokens that meets the request's targets. `None` if the request will
+    /// miss its target for the first token anyway: it may then use any upstream, which leaves the
+    /// fast upstreams to other requests.
     fn required_pace_ms(&self, now: Time, request: &Request<Queued>) -> Option<u64> {
         let facts = &request.facts;
         let queues = self.lanes.get(&facts.target)?;
@@ -130,16 +132,18 @@
         self.pool.choose(&placement_request, now, &mut self.rng)
     }
 
-    /// Part of a target's engines that is for streams that long prompts can make late.
+    /// Fraction of the target's engines that is reserved for streams whose pause targets long
+    /// prompts on the same engine could violate.
     pub(crate) fn stream_share(&self, target: &Target) -> f64 {
         let queues = self.lanes.get(target);
         queues.map_or(0.0, |queues| queues.partition.stream_share())
     }
 
-    /// Takes a request from its queue and gives it a slot: sends it, or first
-    /// claims its idempotency key. The claim is made only now, with the slot
-    /// at hand, so that a crash leaves the key unresolved for the shortest
-    /// time, and shed requests cost no write.
+    /// Moves a request from its queue to a slot of an upstream. The attempt is sent at once, or, if
+    /// the request has an idempotency key, after the key is claimed.
+    ///
+    /// The key is claimed only when a slot is available: a crash then leaves the key unresolved for
+    /// the shortest time, and requests that are shed cause no write to the store.
     fn start_attempt(
         &mut self,
         now: Time,
@@ -188,7 +192,7 @@
         self.requests.insert(item.request, stage);
     }
 
-    /// Prompt tokens that are known to wait at a request's upstream before its own.
+    /// Prompt tokens that are known to be queued at the request's upstream ahead of its own prompt.
     pub(crate) fn prompt_tokens_ahead(&self, request: &Request<Running>) -> u64 {
         let Some(state) = self.pool.get(&request.stage.upstream) else {
             return 0;
@@ -197,7 +201,7 @@
         (state.backlog + state.others_backlog).saturating_sub(own_tokens)
     }
 
-    /// Orders the attempt of a running request to be sent.
+    /// Adds the action that sends the current attempt of a running request.
     pub(crate) fn push_send(
         &self,
         now: Time,
--- a/crates/policy/src/queueing/mod.rs
+++ b/crates/policy/src/queueing/mod.rs
@@ -1,4 +1,5 @@
-//! Which requests are admitted, in which order they wait, and which one is sent next.
+//! Admission, queueing and dispatch: which requests are admitted, in which order they are queued,
+//! and which one is sent next.
 
 use super::*;
 
