--- a/crates/policy/src/queueing/fair_queue.rs
+++ b/crates/policy/src/queueing/fair_queue.rs
@@ -1,11 +1,12 @@
 use super::*;
 
-/// Tokens that one team may be served ahead of another before fairness
-/// overrules due times.
+/// Tokens, divided by the team's weight, that one team may be served ahead of another before
+/// fairness takes precedence over due times.
 const QUANTUM_TOKENS: u64 = 2_000;
 
-/// Order of a team among the teams of a queue: first by how much it has been
-/// served, in quanta, then by when its most pressing request is due.
+/// Sort key of a team in a fair queue: the service that the team has received, in quanta, then the
+/// time at which its first queued request is due. The derived order compares the fields by
+/// position.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct TeamHead {
     quantum: u64,
@@ -14,11 +15,11 @@
     team: TeamId,
 }
 
-/// One team's part of a queue.
+/// The queued requests of one team.
 #[derive(Debug, Default)]
 struct TeamQueue {
     items: BTreeSet<QueuedItem>,
-    /// Tokens served, divided by weight: the team's virtual time.
+    /// Tokens served to the team, divided by its weight.
     virtual_time: u64,
 }
 
@@ -33,15 +34,16 @@
     }
 }
 
-/// A queue that is fair between teams by estimated cost and serves the
-/// earliest due request among teams that have been served alike. Each
-/// operation is logarithmic in the teams and in the requests of one team.
+/// A weighted fair queue. It is fair between teams by estimated cost, and serves the request that
+/// is due first among the teams that have received the same service in quanta. Each operation takes
+/// logarithmic time in the number of teams and in the number of requests of one team.
 #[derive(Debug, Default)]
 pub(crate) struct FairQueue {
     heads: BTreeSet<TeamHead>,
     teams: HashMap<TeamId, TeamQueue>,
-    /// Virtual time of the last team served; a team that returns after a pause
-    /// starts here, so it gains no credit for having been idle.
+    /// Virtual time of the queue: the highest virtual time that a team had when it was served. A
+    /// team that returns after an idle period starts at this time, so that it gains no credit for
+    /// having been idle.
     virtual_now: u64,
     len: usize,
     cost: u64,
@@ -56,7 +58,7 @@
         self.len == 0
     }
 
-    /// Estimated cost of all that is queued, in tokens.
+    /// Estimated cost of all queued requests, in tokens.
     pub(crate) const fn cost(&self) -> u64 {
         self.cost
     }
@@ -73,19 +75,19 @@
         });
     }
 
-    /// The request to serve next.
+    /// Returns the request to serve next.
     pub(crate) fn peek(&self) -> Option<&QueuedItem> {
         let head = self.heads.first()?;
         self.teams.get(&head.team)?.items.first()
     }
 
-    /// The request that is due last, of the team that has been served most.
+    /// Returns the request that is due last, of the team that has received the most service.
     pub(crate) fn last(&self) -> Option<&QueuedItem> {
         let head = self.heads.last()?;
         self.teams.get(&head.team)?.items.last()
     }
 
-    /// Removes a request without charging its team.
+    /// Removes a request without charging its team. Returns whether the request was queued.
     pub(crate) fn remove(&mut self, item: &QueuedItem) -> bool {
         let mut removed = false;
         self.update_team(&item.team, |team_queue| {
@@ -98,7 +100,7 @@
         removed
     }
 
-    /// Removes a request that is being served and charges its team.
+    /// Removes a request that is about to be dispatched, and charges its team for it.
     pub(crate) fn serve(&mut self, item: &QueuedItem) {
         if !self.remove(item) {
             return;
@@ -124,9 +126,9 @@
         }
     }
 
-    /// Drops idle teams that virtual time has passed: they would start at the
-    /// present anyway. Without this the map would grow with every team ever
-    /// seen.
+    /// Removes idle teams whose virtual time isn't ahead of the queue's. They would start at the
+    /// queue's virtual time if they returned, so nothing is lost. Without this the map would grow
+    /// with every team that ever sent a request.
     fn remove_idle_teams(&mut self) {
         const MAX_IDLE_TEAMS: usize = 1_024;
         if self.teams.len() - self.heads.len() < MAX_IDLE_TEAMS {
--- a/crates/policy/src/queueing/length_estimate.rs
+++ b/crates/policy/src/queueing/length_estimate.rs
@@ -1,15 +1,16 @@
 use super::*;
 
-/// Estimate before anything has been seen.
+/// Estimated length before any answer is known.
 const INITIAL_TOKENS: f64 = 200.0;
 
 /// Weight of the newest answer in the moving averages.
 const NEWEST_WEIGHT: f64 = 0.05;
 
-/// Answers of a team and class after which its own average is trusted alone.
+/// Answers of a team and class from which on the estimate no longer includes the average of the
+/// class.
 const FULL_TRUST_ANSWERS: u32 = 20;
 
-/// Most pairs of team and class that are remembered.
+/// Maximum number of pairs of class and team whose average is kept.
 const MAX_PAIRS: usize = 16_384;
 
 #[derive(Clone, Copy, Debug)]
@@ -35,8 +36,8 @@
     }
 }
 
-/// Estimates how long an answer will be from earlier answers of the same class
-/// and team, mixed with those of the class while the team is new.
+/// Estimates the length of an answer from earlier answers of the same class and team. While there
+/// are few of them, their average is mixed with that of the whole class.
 #[derive(Debug, Default)]
 pub(crate) struct LengthEstimate {
     classes: HashMap<ClassId, MovingAverage>,
--- a/crates/policy/src/queueing/minimum_share.rs
+++ b/crates/policy/src/queueing/minimum_share.rs
@@ -1,39 +1,38 @@
 use super::*;
 
-/// Each rank below the most urgent that has work is served at least once in
-/// this time, in each lane of each failure domain; each host of the domain
-/// serves it once in as many such times as there are hosts. With a minimum share for
-/// each host by itself, those of all hosts would take most slots.
+/// Interval in which each rank below the most urgent is served at least once, if it has queued
+/// requests. It holds for each target in a failure domain, so each host of the domain serves the
+/// rank once in this interval times the number of hosts. If each host served the rank once in this
+/// interval, the minimum shares of all hosts would take most of the slots.
 const MINIMUM_SHARE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The minimum share against starvation, one clock for each rank of a lane.
+/// Minimum service for ranks that would starve otherwise; it keeps one timer for each rank of a
+/// target.
 ///
-/// What goes wrong without it: while urgent work arrives faster than it can be
-/// served, strict priority never serves the rest. One would notice requests of
-/// low tiers that all end with `deadline_passed`. With it, a rank with waiting
-/// work takes one slot in each interval; all others are delayed by at most
-/// eleven such requests in each interval and domain, one for each rank below
-/// the first.
+/// Without a minimum share, strict priority never serves less urgent ranks while urgent requests
+/// arrive faster than they can be served, and requests of the low tiers all end with
+/// `deadline_passed`. With it, a rank with queued requests gets one slot in each interval. The
+/// other requests are delayed by at most eleven such requests in each interval and failure domain,
+/// one for each rank below the most urgent.
 #[derive(Debug, Default)]
 pub(crate) struct MinimumShare {
-    /// Since when each rank waits without being served; `None` while it has no
-    /// work.
+    /// Time since which each rank waits for service; `None` for a rank without queued requests.
     waiting_since: [Option<Time>; Rank::COUNT],
 }
 
 impl MinimumShare {
-    /// Notes that a rank has work.
+    /// Notes that a rank has queued requests.
     pub(crate) fn note_waiting(&mut self, rank: Rank, now: Time) {
         self.waiting_since[rank.index()].get_or_insert(now);
     }
 
-    /// Notes that a rank was served, and whether it has more work.
+    /// Notes that a rank was served, and whether it has more queued requests.
     pub(crate) fn note_served(&mut self, rank: Rank, has_more: bool, now: Time) {
         self.waiting_since[rank.index()] = has_more.then_some(now);
     }
 
-    /// The rank that has waited longest beyond the interval of a domain with so
-    /// many hosts.
+    /// Returns the rank that has waited longest, if it has waited for at least the interval of a
+    /// failure domain with this many hosts.
     pub(crate) fn due_rank(&self, now: Time, hosts: u32) -> Option<Rank> {
         let interval = MINIMUM_SHARE_INTERVAL * hosts.max(1);
         Rank::all()
--- a/crates/policy/src/queueing/queued_item.rs
+++ b/crates/policy/src/queueing/queued_item.rs
@@ -1,11 +1,12 @@
 use super::*;
 
-/// A request's place in a queue.
+/// A request's entry in a queue. The derived order compares the fields by position: entries are
+/// sorted by due time, then by arrival.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) struct QueuedItem {
-    /// When its first token is due.
+    /// Time at which the first token is due.
     pub(crate) due: Time,
-    /// Order of arrival, to break ties.
+    /// Sequence number of the arrival; breaks ties.
     pub(crate) seq: u64,
     pub(crate) request: RequestId,
     /// Estimated cost in tokens.
--- a/crates/policy/src/queueing/rank.rs
+++ b/crates/policy/src/queueing/rank.rs
@@ -1,10 +1,11 @@
 use super::*;
 
-/// Tiers that may go beyond their host's share where an engine is free.
+/// Number of tiers, counted from the most urgent, whose requests may exceed their host's share of
+/// the slots where an engine has free slots.
 pub(crate) const URGENT_TIERS: usize = 2;
 
-/// The strict order between requests: by tier, and within a tier paid before
-/// trial. Time spent waiting never changes it.
+/// Strict priority of a request: by tier, and within a tier paid plans before trial plans. It does
+/// not change while the request waits. The derived order compares the fields by position.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct Rank {
     pub(crate) tier: Tier,
@@ -12,19 +13,20 @@
 }
 
 impl Rank {
-    /// How many ranks there are.
+    /// Number of ranks.
     pub(crate) const COUNT: usize = 2 * Tier::COUNT;
 
     pub(crate) const fn new(tier: Tier, plan: Plan) -> Self {
         Self { tier, plan }
     }
 
-    /// Every rank, most urgent first.
+    /// Returns all ranks, most urgent first.
     pub(crate) fn all() -> impl DoubleEndedIterator<Item = Self> {
         Tier::all().flat_map(|tier| [Plan::Paid, Plan::Trial].map(|plan| Self::new(tier, plan)))
     }
 
-    /// Whether it may go beyond its host's share where an engine is free.
+    /// Whether requests of this rank may exceed their host's share of the slots where an engine has
+    /// free slots.
     pub(crate) const fn is_urgent(self) -> bool {
         self.tier.index() < URGENT_TIERS
     }
--- a/crates/policy/src/queueing/rank_queue.rs
+++ b/crates/policy/src/queueing/rank_queue.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// Of so many requests served, one is taken from those that can no longer meet
-/// their target while others still can. At 8, the late took a tenth of the
-/// drafts' goodput at twice the capacity.
+/// While there are requests that can still meet their target, one late request is served after this
+/// many of them. With 8, late requests reduce the goodput of a class by a tenth at a load of twice
+/// the capacity.
 const LATE_SERVICE_INTERVAL: u32 = 32;
 
-/// The queue of one rank: requests that can still meet their target, and those
-/// that cannot. The latter are served behind the former, but not starved.
+/// The queue of one rank. Requests that can no longer meet their target are served after those that
+/// still can, but don't starve.
 #[derive(Debug, Default)]
 pub(crate) struct RankQueue {
     feasible: FairQueue,
     late: FairQueue,
-    /// Requests served from `feasible` since one was served from `late`.
+    /// Requests served from `feasible` since the last one was served from `late`.
     served_since_late: u32,
 }
 
@@ -24,7 +24,7 @@
         self.len() == 0
     }
 
-    /// Estimated cost of all that is queued, in tokens.
+    /// Estimated cost of all queued requests, in tokens.
     pub(crate) const fn cost(&self) -> u64 {
         self.feasible.cost() + self.late.cost()
     }
@@ -33,8 +33,9 @@
         self.feasible.push(item);
     }
 
-    /// The request to serve next. `lead` is the time from dispatch to the
-    /// first token on an upstream that is free.
+    /// Returns the request to serve next. Requests that can no longer meet their target are moved
+    /// to `late` first. `time_to_first_token` is the time from dispatch to the first token on an
+    /// upstream that is free.
     pub(crate) fn peek(&mut self, now: Time, time_to_first_token: Duration) -> Option<QueuedItem> {
         while let Some(item) = self
             .feasible
@@ -52,7 +53,7 @@
         self.feasible.peek().cloned()
     }
 
-    /// The request to give up first when the queue is full.
+    /// Returns the request to evict first when the queue is full.
     pub(crate) fn eviction_candidate(&self) -> Option<QueuedItem> {
         self.late.last().or_else(|| self.feasible.last()).cloned()
     }
--- a/crates/policy/src/queueing/service_rate.rs
+++ b/crates/policy/src/queueing/service_rate.rs
@@ -3,15 +3,15 @@
 /// Weight of the newest answer in the moving average.
 const NEWEST_WEIGHT: f64 = 0.05;
 
-/// Answers before the average is used.
+/// Number of answers before the average is used.
 const MIN_ANSWERS: u32 = 10;
 
-/// How much work a lane gets done on one slot in a second, in estimated tokens.
+/// Throughput of one slot of a target, in estimated tokens per second.
 ///
-/// What went wrong with the work that was done in the last seconds: on a host
-/// that had little to do it is small, and the first burst was refused with
-/// `deadline_unreachable` though slots were free. What a slot can do does not
-/// depend on how much there was to do.
+/// The rate is measured for each slot while it is in use, because the throughput of the last
+/// seconds is low on a host that had few requests: the first burst would be refused with
+/// `deadline_unreachable` although slots are free. The rate of a busy slot doesn't depend on the
+/// load.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceRate {
     answers: u32,
@@ -19,7 +19,7 @@
 }
 
 impl ServiceRate {
-    /// Notes an answer that took a slot for `span`.
+    /// Notes an answer that occupied a slot for `span`.
     pub(crate) fn note_answer(&mut self, tokens: u64, span: Duration) {
         let sample = tokens as f64 / span.as_secs_f64().max(1e-3);
         self.answers = self.answers.saturating_add(1);
@@ -27,7 +27,7 @@
         self.tokens_per_slot_s += weight * (sample - self.tokens_per_slot_s);
     }
 
-    /// Tokens a second on so many slots; `None` until enough has been seen.
+    /// Returns the tokens per second of this many slots, or `None` until enough answers are known.
     pub(crate) fn tokens_per_s(&self, slots: u32) -> Option<f64> {
         let rate = self.tokens_per_slot_s * f64::from(slots);
         (self.answers >= MIN_ANSWERS && rate > 0.0).then_some(rate)
--- a/crates/policy/src/queueing/share_overrun.rs
+++ b/crates/policy/src/queueing/share_overrun.rs
@@ -1,10 +1,11 @@
-/// Whether a request of tier 0 or 1 may go beyond its host's share.
+/// Whether requests of tiers 0 and 1 may exceed their host's share of the slots.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ShareOverrun {
-    /// Into an engine's own queue too, which it serves by priority.
+    /// They may where an engine's load report shows a free slot, and may also wait in an engine's
+    /// own queue, which the engine serves by priority.
     EngineQueue,
-    /// Never.
+    /// They may not.
     None,
-    /// Where an engine's load report shows a free slot.
+    /// They may where an engine's load report shows a free slot.
     ReportedFreeSlot,
 }
--- a/crates/policy/src/queueing/slot_rules.rs
+++ b/crates/policy/src/queueing/slot_rules.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// Rules by which an upstream's slots are given to ranks.
+/// Rules for the division of an upstream's slots among ranks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlotRules {
-    /// Part of the slots that tiers 2 to 5 leave free for tiers 0 and 1.
+    /// Fraction of the slots that tiers 2 to 5 leave free for tiers 0 and 1.
     pub headroom_share: f64,
-    /// Whether tiers 0 and 1 may go beyond their host's share.
+    /// Whether tiers 0 and 1 may exceed their host's share of the slots.
     pub share_overrun: ShareOverrun,
-    /// Most of the slots that trial requests may hold.
+    /// Maximum fraction of the slots that trial requests may hold.
     pub trial_share: f64,
 }
 
--- a/crates/policy/src/queueing/target_queues.rs
+++ b/crates/policy/src/queueing/target_queues.rs
@@ -1,16 +1,17 @@
 use super::*;
 
-/// Time from dispatch to the first token before anything has been seen.
+/// Estimated time from dispatch to the first token before any sample is known.
 const INITIAL_TIME_TO_FIRST_TOKEN: Duration = Duration::from_millis(50);
 
-/// Weight of a sample below the lead, and of one above it: the lead follows the
-/// quick answers. What goes wrong with an average: one request that waited in
-/// an engine's own queue makes others count as late that still have time, and
-/// they are put behind the rest.
+/// Weights of a sample that is shorter than the estimated time to the first token, and of one that
+/// is longer: the estimate follows the fast answers. With a plain moving average, one request that
+/// waited in an engine's own queue would make other requests count as late although they still have
+/// time, and they would be served after the rest.
 const SHORTER_SAMPLE_WEIGHT: f64 = 0.2;
 const LONGER_SAMPLE_WEIGHT: f64 = 0.005;
 
-/// The queues of one target, a model or a service.
+/// The queues of one target (a model or a service), one for each rank, and the statistics that
+/// admission and dispatch need for the target.
 #[derive(Debug)]
 pub(crate) struct TargetQueues {
     pub(crate) congestion: CongestionControl,
@@ -47,7 +48,7 @@
         self.queues.iter().all(RankQueue::is_empty)
     }
 
-    /// When a request came last.
+    /// Time of the last request that was queued.
     pub(crate) const fn last_arrival(&self) -> Time {
         self.last_arrival
     }
@@ -58,13 +59,13 @@
         self.minimum_share.note_waiting(rank, now);
     }
 
-    /// The request of a rank to serve next.
+    /// Returns the request of a rank to serve next.
     pub(crate) fn peek(&mut self, rank: Rank, now: Time) -> Option<QueuedItem> {
         let time_to_first_token = self.time_to_first_token;
         self.queues[rank.index()].peek(now, time_to_first_token)
     }
 
-    /// Whether a request due at `due` can still get its first token in time.
+    /// Whether a request that is dispatched now can get its first token by `due`.
     pub(crate) fn can_meet(&self, due: Time, now: Time) -> bool {
         now + self.time_to_first_token <= due
     }
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Notes the time from a dispatch to its first token.
+    /// Updates the estimate with a measured time from dispatch to the first token.
     pub(crate) fn note_time_to_first_token(&mut self, sample: Duration) {
         let difference = sample.as_secs_f64() - self.time_to_first_token.as_secs_f64();
         let weight = if difference < 0.0 {
@@ -94,7 +95,7 @@
         self.time_to_first_token = Duration::from_secs_f64(time_to_first_token_s.max(0.0));
     }
 
-    /// Estimated cost of what goes before a new request of `rank`, in tokens.
+    /// Estimated cost in tokens of the requests that are served before a new request of `rank`.
     pub(crate) fn cost_ahead(&self, rank: Rank) -> u64 {
         self.queues[..=rank.index()]
             .iter()
@@ -102,8 +103,8 @@
             .sum()
     }
 
-    /// A request of the least urgent rank with work, to be given up for one of
-    /// `rank`; only strictly less urgent ones are named.
+    /// Returns the request to evict for one of `rank`. It belongs to the least urgent rank with
+    /// queued requests, and is strictly less urgent than `rank`.
     pub(crate) fn eviction_candidate_below(&self, rank: Rank) -> Option<(Rank, QueuedItem)> {
         Rank::all()
             .rev()
--- a/crates/policy/src/queueing/team_limits.rs
+++ b/crates/policy/src/queueing/team_limits.rs
@@ -1,25 +1,25 @@
 use super::*;
 
-/// Seconds of its rate that a team may send at once.
+/// Burst size of a team, in seconds of its request rate.
 const BURST_S: f64 = 2.0;
 
 #[derive(Debug)]
 struct TeamUsage {
-    /// Requests queued or running.
+    /// Requests that are queued or running.
     active: u32,
-    /// Requests that may start now.
+    /// Requests that the team may send now: the level of its token bucket.
     allowance: f64,
     refilled_at: Time,
 }
 
-/// Rate and concurrency of each team on this host, with a token bucket.
+/// Rate limits (token buckets) and concurrency limits of the teams on this host.
 #[derive(Debug, Default)]
 pub(crate) struct TeamLimits {
     teams: HashMap<TeamId, TeamUsage>,
 }
 
 impl TeamLimits {
-    /// Admits one more request of a team, or says why not.
+    /// Counts a request towards its team's limits, or refuses it if a limit is reached.
     pub(crate) fn admit(&mut self, id: &TeamId, team: &Team, now: Time) -> Result<(), Refusal> {
         let rate = team.max_requests_per_s.get();
         let burst = (rate * BURST_S).max(1.0);
@@ -49,14 +49,14 @@
         Ok(())
     }
 
-    /// Notes that a request of a team ended.
+    /// Notes that a request of the team has ended.
     pub(crate) fn release(&mut self, id: &TeamId) {
         if let Some(usage) = self.teams.get_mut(id) {
             usage.active = usage.active.saturating_sub(1);
         }
     }
 
-    /// Forgets teams that are not configured any more and have no request.
+    /// Removes teams that are no longer configured and have no active request.
     pub(crate) fn retain(&mut self, document: &Document) {
         self.teams
             .retain(|id, usage| usage.active > 0 || document.teams.contains_key(id));
