--- a/crates/policy/src/overload/admission_change.rs
+++ b/crates/policy/src/overload/admission_change.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// A change of the part of a class that is taken, for the log.
+/// A change of the fraction of a class's requests that is admitted; for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionChange {
     /// The class.
     pub class: ClassId,
-    /// When a request of it is expected to end.
+    /// Expected time until a new request of the class ends.
     pub expected_duration: Duration,
-    /// Part of its requests that is taken, 1 for all.
+    /// Fraction of the requests that is admitted; 1 for all.
     pub level: f64,
-    /// How long its callers usually wait.
+    /// Usual time limit of the class's callers.
     pub usual_time_limit: Duration,
-    /// What it asks for.
+    /// The requested target.
     pub target: Target,
 }
--- a/crates/policy/src/overload/admission_level.rs
+++ b/crates/policy/src/overload/admission_level.rs
@@ -1,23 +1,25 @@
-/// Part of the time for the first token beyond which the level falls: engines and answers differ,
-/// and a caller that comes back after a third of its time still has to be served.
+/// Ratio of the expected to the maximum wait for the first token above which the level decreases.
+/// It is well below 1 because engines and answers differ, and because a caller that retries after a
+/// third of its time limit still has to be served.
 const DECREASE_ABOVE: f64 = 0.5;
 
-/// Part of the time for the first token within which the level rises.
+/// Ratio of the expected to the maximum wait for the first token below which the level increases.
 const INCREASE_BELOW: f64 = 0.4;
 
-/// Least part that is left of the level when it falls; it falls by as much as the wait is too long.
+/// Minimum factor of one decrease. The decrease grows with the amount by which the wait ratio
+/// exceeds `DECREASE_ABOVE`.
 const MIN_DECREASE_FACTOR: f64 = 0.5;
 
-/// Growth of the level where no wait is expected; less the longer it is.
+/// Increase of the level if no wait is expected. The increase shrinks as the expected wait grows.
 const MAX_INCREASE: f64 = 0.4;
 
-/// Growth of the level while upstreams have room.
+/// Increase of the level while upstreams have room.
 const RECOVERY_INCREASE: f64 = 0.25;
 
-/// Least level: every class gets something.
+/// Minimum level, so that some requests of every class are admitted.
 pub(crate) const MIN_LEVEL: f64 = 0.1;
 
-/// Part of a class's requests that is taken.
+/// Fraction of a class's requests that is admitted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AdmissionLevel(f64);
 
@@ -32,18 +34,18 @@
         self.0
     }
 
-    /// Whether all are taken.
+    /// Whether all requests are admitted.
     pub(crate) fn is_full(self) -> bool {
         self.0 >= 1.0
     }
 
-    /// Whether it can't fall any further.
+    /// Whether the level can't decrease any further.
     pub(crate) fn is_min(self) -> bool {
         self.0 <= MIN_LEVEL
     }
 
-    /// Follows the expected wait for first tokens, as a part of what answers leave of the callers'
-    /// limit.
+    /// Adjusts the level to the expected wait for the first token. `wait_ratio` is that wait as a
+    /// fraction of the maximum wait: the callers' time limit less the duration of an answer.
     pub(crate) fn adjust(&mut self, wait_ratio: f64, may_decrease: bool) {
         if wait_ratio > DECREASE_ABOVE && may_decrease {
             let factor = (DECREASE_ABOVE / wait_ratio).max(MIN_DECREASE_FACTOR);
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Rises while upstreams have room.
+    /// Increases the level while upstreams have room.
     pub(crate) fn recover(&mut self) {
         self.0 = (self.0 + RECOVERY_INCREASE).min(1.0);
     }
--- a/crates/policy/src/overload/class_admission.rs
+++ b/crates/policy/src/overload/class_admission.rs
@@ -1,17 +1,18 @@
 use super::*;
 
-/// Part of the callers' limit that may be waited for a first token however long answers are.
+/// Minimum fraction of the callers' time limit that is allowed for the wait for the first token,
+/// however long answers take.
 const MIN_WAIT_SHARE: f64 = 0.25;
 
-/// What a host keeps of a class before a target to decide how much of it is taken.
+/// Admission state of one class of requests to one target on this host.
 #[derive(Debug)]
 pub(crate) struct ClassAdmission {
-    /// When it was asked for last.
+    /// Time of the last request.
     pub(crate) last_requested: Time,
     pub(crate) expected_end: ExpectedEnd,
     pub(crate) expected_duration: Duration,
     pub(crate) level: AdmissionLevel,
-    /// The most urgent priority that it came with.
+    /// Most urgent priority among the requests.
     pub(crate) priority: u8,
     pub(crate) retry_schedule: RetrySchedule,
 }
@@ -28,7 +29,8 @@
         }
     }
 
-    /// Moves the level by what waits ahead and by this host's requests; tells whether it changed.
+    /// Adjusts the level to the expected wait, which is derived from the work queued at the
+    /// upstreams and from this host's requests. Returns whether the level changed.
     pub(crate) fn update(
         &mut self,
         now: Time,
--- a/crates/policy/src/overload/congestion_control.rs
+++ b/crates/policy/src/overload/congestion_control.rs
@@ -1,70 +1,69 @@
 use super::*;
 
-/// Time for which a class counts as asked for.
+/// Time after its last request for which a class counts as active.
 const CLASS_ACTIVITY_WINDOW: Duration = Duration::from_secs(10);
 
-/// Share of refused attempts that upstreams may come to. With the attempts that a request
-/// has, few urgent ones are then refused by all of them, and the upstreams stay full.
+/// Maximum share of attempts that upstreams may refuse. Below it, few urgent requests have all of
+/// their attempts refused, and the upstreams still stay full.
 const MAX_REFUSED_SHARE: f64 = 0.45;
 
-/// Time over which attempts are counted between two changes of the limit, if they are
-/// enough …
+/// Minimum time between two updates of the limit.
 const MIN_WINDOW: Duration = Duration::from_millis(500);
 
-/// … to tell a share from chance; a host with few requests waits longer, …
+/// Attempts needed for an update, because a share of fewer attempts would be mostly chance. A host
+/// with few requests waits longer for them, up to `MAX_WINDOW`.
 const MIN_ATTEMPTS: u32 = 6;
 
-/// … up to this.
+/// Time after which the limit is updated even with fewer attempts.
 const MAX_WINDOW: Duration = Duration::from_secs(2);
 
-/// Part of the refused share by which the limit is cut, and the most that is cut at a time:
-/// what was just sent shows only in the next window.
+/// Fraction of the refused share by which the limit is cut, and the maximum cut of one update. The
+/// cut is partial because attempts that were just sent only show in the next window.
 const CUT_FACTOR: f64 = 0.5;
 const MAX_CUT: f64 = 0.3;
 
-/// Growth of the limit in a window in which nothing was refused, and in one in which little
-/// was.
+/// Growth of the limit in a window without refused attempts, and in one with few of them.
 const FAST_GROWTH: f64 = 1.1;
 const SLOW_GROWTH: f64 = 1.03;
 
-/// Least limit: every class gets something.
+/// Minimum limit, so that some requests of every class are sent.
 const MIN_LIMIT: f64 = 1.0;
 
-/// A limit that is so many times what is there is none.
+/// Multiple of the requests in flight above which the limit is removed.
 const UNLIMITED_FACTOR: f64 = 3.0;
 
-/// A class that was asked for.
+/// A class with recent requests.
 #[derive(Debug)]
 struct ActiveClass {
     last_requested: Time,
-    /// The most urgent priority that it came with.
+    /// Most urgent priority among the requests.
     priority: u8,
 }
 
-/// How many requests of the least urgent class this host has at a target's upstreams while
-/// those refuse much.
+/// Limits how many requests of the least urgent class this host has in flight at a target's
+/// upstreams while these refuse many attempts.
 ///
-/// What goes wrong without it: upstreams that are full refuse whatever comes, urgent or not.
-/// Under a burst of the least urgent class their places are taken by whoever comes most
-/// often, and one in seven urgent requests is refused by all that it is sent to. One would
-/// notice 503 of urgent classes while long prompts of the least urgent one begin.
+/// Full upstreams refuse urgent and other requests alike. Without this limit, a burst of the least
+/// urgent class takes their slots, because whoever tries most often gets them, and one in seven
+/// urgent requests has all of its attempts refused: urgent classes get status 503 while long
+/// prompts of the least urgent class are started.
 ///
-/// No host knows what is at an upstream, but each sees what is refused. So each lets fewer
-/// of the least urgent class through while too large a share of its attempts is refused, and
-/// more again as less is: together they keep the upstreams just full.
+/// No host knows the load of an upstream, but each host sees how many of its attempts are refused.
+/// Each host therefore sends fewer requests of the least urgent class while that share is too
+/// large, and more again when it is smaller. Together the hosts keep the upstreams just full.
 #[derive(Debug, Default)]
 pub(crate) struct CongestionControl {
     active_classes: BTreeMap<ClassId, ActiveClass>,
-    /// Attempts since the last change that upstreams refused or began to answer.
+    /// Attempts since the last update that upstreams refused or began to answer.
     attempts: u32,
     updated_at: Time,
     limit: Option<f64>,
-    /// Refused ones among them.
+    /// Attempts among `attempts` that were refused.
     refused: u32,
 }
 
 impl CongestionControl {
-    /// A request came.
+    /// Notes a request of a class.
     pub(crate) fn note_request(&mut self, now: Time, class: &ClassId, priority: u8) {
         self.active_classes
             .retain(|_, active| now.since(active.last_requested) < CLASS_ACTIVITY_WINDOW);
@@ -77,7 +76,7 @@
         active.priority = active.priority.min(priority);
     }
 
-    /// The class that yields to others; none if all are as urgent.
+    /// Returns the least urgent class, or `None` if all active classes are equally urgent.
     pub(crate) fn least_urgent_class(&self) -> Option<&ClassId> {
         let (class, least_urgent) = self
             .active_classes
@@ -88,20 +87,21 @@
         has_more_urgent.then_some(class)
     }
 
-    /// An upstream refused an attempt, or began to answer it.
+    /// Notes that an upstream refused an attempt or began to answer it.
     pub(crate) fn note_attempt(&mut self, is_refused: bool) {
         self.attempts += 1;
         self.refused += u32::from(is_refused);
     }
 
-    /// Whether the limit is to be looked at now.
+    /// Whether the limit should be updated now.
     pub(crate) fn is_update_due(&self, now: Time) -> bool {
         let elapsed = now.since(self.updated_at);
         let has_enough_attempts = self.attempts >= MIN_ATTEMPTS || elapsed >= MAX_WINDOW;
         elapsed >= MIN_WINDOW && has_enough_attempts
     }
 
-    /// Changes the limit, given what this host has of the class at upstreams.
+    /// Updates the limit. `in_flight` is the number of requests of the limited class that this host
+    /// has at upstreams.
     pub(crate) fn update_limit(&mut self, now: Time, in_flight: usize) {
         self.updated_at = now;
         let attempts = std::mem::take(&mut self.attempts).max(MIN_ATTEMPTS);
@@ -122,12 +122,12 @@
         self.limit = limit.filter(|limit| *limit <= UNLIMITED_FACTOR * in_flight);
     }
 
-    /// Whether one more may be sent while so many are there.
+    /// Whether one more request may be sent while `in_flight` are at upstreams.
     pub(crate) fn has_room(&self, in_flight: usize) -> bool {
         self.limit.is_none_or(|limit| (in_flight as f64) < limit)
     }
 
-    /// Whether a class is the one that is limited.
+    /// Whether `class` is the one that the limit applies to now.
     pub(crate) fn is_limited(&self, class: &ClassId) -> bool {
         self.limit.is_some() && self.least_urgent_class() == Some(class)
     }
--- a/crates/policy/src/overload/early_refusal.rs
+++ b/crates/policy/src/overload/early_refusal.rs
@@ -1,23 +1,24 @@
-//! Which requests the controller refuses because they would end too late.
+//! Early refusal: refuses requests that are expected to end after their deadline.
 
 use super::*;
 
-/// Time for which a class counts as asked for.
+/// Time after its last request for which a class counts as active.
 const CLASS_ACTIVITY_WINDOW: Duration = Duration::from_secs(10);
 
-/// Time between two changes of a level.
+/// Time between two updates of the admission levels.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Part of its time after which a request that ends without an answer counts as late.
+/// Fraction of its time limit after which a request that ends without its whole answer counts as
+/// late.
 const LATE_LIMIT_SHARE: f64 = 0.9;
 
-/// What a host keeps to decide how much of each class is taken.
+/// Admission state of all classes on this host.
 #[derive(Debug, Default)]
 pub(crate) struct EarlyRefusal {
     classes: BTreeMap<(Target, ClassId), ClassAdmission>,
     loads: BTreeMap<Target, PoolLoad>,
     next_update: Time,
-    /// The time of day, and when it was read.
+    /// Time of day as Unix time in milliseconds, and when it was read.
     wall_clock: Option<(Time, u64)>,
 }
 
@@ -35,7 +36,8 @@
         self.classes.get_mut(&(target.clone(), class.clone()))
     }
 
-    /// Whether a class may yield: all that are less urgent have yielded.
+    /// Whether the level of a class may decrease: only once the levels of all less urgent classes
+    /// of the target are at the minimum.
     fn may_decrease(&self, target: &Target, priority: u8) -> bool {
         let mut less_urgent = self
             .classes
@@ -46,7 +48,7 @@
 }
 
 impl Controller {
-    /// Refuses a request that is expected to end too late, before anything is sent.
+    /// Refuses a request that is expected to end too late, before an attempt is sent.
     pub(crate) fn check_expected_end(
         &mut self,
         now: Time,
@@ -100,20 +102,21 @@
         })
     }
 
-    /// The longest time that callers of a class are kept waiting.
+    /// Longest time that a request of a class may take.
     fn class_time_limit(&self, class: &ClassId) -> Option<Duration> {
         let document = &self.configuration.as_ref()?.document;
         let class = document.classes.get(class)?;
         Some(Duration::from_millis(class.deadline_ms))
     }
 
-    /// Time in which a request is expected to end that is sent now.
+    /// Expected duration of a request that is sent now.
     pub(crate) fn expected_duration(&mut self, facts: &RequestFacts) -> Option<Duration> {
         let class = self.early_refusal.class_mut(&facts.target, &facts.class)?;
         Some(class.expected_duration)
     }
 
-    /// A first token came for a request that was sent so long ago.
+    /// Notes that the first token of a request came after `waited`, counted from when the request
+    /// was sent.
     pub(crate) fn note_first_token(
         &mut self,
         now: Time,
@@ -126,7 +129,7 @@
         }
     }
 
-    /// The answer of a request ended.
+    /// Notes that the answer of a request ended.
     pub(crate) fn note_answer_end(&mut self, now: Time, request: &Request<Running>) {
         let facts = &request.facts;
         if let Some(began) = request.began()
@@ -136,7 +139,8 @@
         }
     }
 
-    /// A request ended without its whole answer; it counts if its caller's time was over.
+    /// Notes a request that ended without its whole answer, if its time limit was almost over. Its
+    /// duration so far is then counted as that of an answer or of a wait for the first token.
     pub(crate) fn note_unfinished(&mut self, now: Time, request: &Request<Running>) {
         let facts = &request.facts;
         let limit = facts.deadline.since(facts.arrived);
@@ -151,7 +155,7 @@
         self.note_first_token(now, &facts.target, &facts.class, waited);
     }
 
-    /// Moves the levels.
+    /// Updates the admission levels.
     pub(crate) fn tick_early_refusal(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.early_refusal.classes.is_empty() || now < self.early_refusal.next_update {
             return;
@@ -167,7 +171,8 @@
         self.early_refusal.loads = self.pool_loads(now);
         let mut in_flight = self.in_flight_durations(now);
         let mut previous_target: Option<Target> = None;
-        // The least urgent class of each target waits behind all that is there.
+        // Classes are visited from the least to the most urgent. The work queued at the upstreams
+        // delays only the least urgent class of each target, which waits behind all of it.
         for (target, priority, id) in order.into_iter().rev() {
             let load = self.early_refusal.loads.get(&target).copied();
             let load = load.unwrap_or_default();
@@ -196,7 +201,7 @@
         }
     }
 
-    /// Work at the engines of each target.
+    /// Load of the upstreams of each target.
     fn pool_loads(&self, now: Time) -> BTreeMap<Target, PoolLoad> {
         let observed = self.neighbors.observed(now).len() + 1;
         let hosts_per_observed = self.neighbors.listed().max(observed) as f64 / observed as f64;
@@ -209,7 +214,7 @@
         loads.collect()
     }
 
-    /// This host's requests at upstreams, by target and class.
+    /// Durations of this host's requests at upstreams, by target and class.
     fn in_flight_durations(&self, now: Time) -> BTreeMap<(Target, ClassId), InFlightDurations> {
         let mut in_flight: BTreeMap<(Target, ClassId), InFlightDurations> = BTreeMap::new();
         for stage in self.requests.values() {
--- a/crates/policy/src/overload/expected_end.rs
+++ b/crates/policy/src/overload/expected_end.rs
@@ -1,44 +1,46 @@
 use super::*;
 
-/// Weight of the newest limit in the usual one, if it is longer, and if it is shorter: callers
-/// that come back have less than is usual.
+/// Weights of the newest time limit in the usual one, if it is longer and if it is shorter. A
+/// shorter limit has little weight because callers that retry have less time left than usual.
 const LONGER_LIMIT_WEIGHT: f64 = 0.3;
 const SHORTER_LIMIT_WEIGHT: f64 = 0.01;
 
-/// Part of the usual limit below which a caller is taken for one that came back.
+/// Fraction of the usual time limit below which a request counts as a retry.
 const SHORT_LIMIT_SHARE: f64 = 0.85;
 
-/// Weight of the newest request in the part of those with a short limit, and the part beyond which
-/// a short limit does not show that a caller came back.
+/// Weight of the newest request in the share of requests with a short time limit, and the share
+/// above which a short limit doesn't identify a retry.
 const SHORT_SAMPLE_WEIGHT: f64 = 0.05;
 const MAX_SHORT_SHARE: f64 = 0.2;
 
-/// Requests that must wait before their wait says anything.
+/// Minimum number of waiting requests for an estimate of the wait.
 const MIN_WAITING: usize = 6;
 
-/// How many times as long as what was seen a wait is expected to become.
+/// Maximum expected wait, as a multiple of the wait of current requests.
 const MAX_WAIT_GROWTH: u32 = 3;
 
-/// How long this host's requests of a class that are at upstreams have waited for their first
-/// token, and how long ago others got theirs.
+/// Durations of this host's requests of a class at upstreams: how long requests without a first
+/// token have waited, and how long ago the others got their first token.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct InFlightDurations {
     pub(crate) answering: Vec<Duration>,
     pub(crate) waiting: Vec<Duration>,
 }
 
-/// When requests of a class are expected to end, by those of this host.
+/// Estimates when requests of a class end, from the recent requests of this host.
 #[derive(Debug, Default)]
 pub(crate) struct ExpectedEnd {
     answers: RecentDurations,
     first_tokens: RecentDurations,
-    /// Part of the requests with a short limit while none of the class was refused.
+    /// Share of requests with a short time limit, counted while all requests of the class are
+    /// admitted.
     short_share: f64,
     usual_time_limit: Option<Duration>,
 }
 
 impl ExpectedEnd {
-    /// A request came whose caller waits for so long, while all of the class were taken or not.
+    /// Notes the time limit of a new request. `is_fully_admitted` tells whether all requests of the
+    /// class are admitted.
     pub(crate) fn note_time_limit(&mut self, limit: Duration, is_fully_admitted: bool) {
         if is_fully_admitted {
             let is_short = f64::from(u8::from(self.is_short(limit)));
@@ -54,23 +56,24 @@
         self.usual_time_limit = Some(Duration::from_secs_f64(usual + weight * difference));
     }
 
-    /// A first token came, or did not come within its caller's limit.
+    /// Notes that the first token came after `waited`, or didn't come within the time limit.
     pub(crate) fn note_first_token(&mut self, now: Time, waited: Duration) {
         self.first_tokens.note(now, waited);
     }
 
-    /// An answer ended, or did not end within its caller's limit.
+    /// Notes that an answer ended after `duration`, or didn't end within the time limit.
     pub(crate) fn note_answer(&mut self, now: Time, duration: Duration) {
         self.answers.note(now, duration);
     }
 
-    /// How long callers usually wait.
+    /// Returns the usual time limit of callers.
     pub(crate) const fn usual_time_limit(&self) -> Option<Duration> {
         self.usual_time_limit
     }
 
-    /// Whether a caller with so much time left has spent some of it: it came back. Nothing tells
-    /// where callers' limits differ anyway.
+    /// Whether a request with this much time left is a retry, which has spent part of its time
+    /// limit already. Always false where the time limits of callers differ, because a short limit
+    /// doesn't identify a retry there.
     pub(crate) fn is_retry(&self, time_left: Duration) -> bool {
         self.short_share < MAX_SHORT_SHARE && self.is_short(time_left)
     }
@@ -80,13 +83,14 @@
         time_left < usual.mul_f64(SHORT_LIMIT_SHARE)
     }
 
-    /// Requests that begin within a span.
+    /// Expected number of requests that get their first token within `span`.
     pub(crate) fn expected_first_tokens(&mut self, now: Time, span: Duration) -> f64 {
         self.first_tokens.rate_per_s(now) * span.as_secs_f64()
     }
 
-    /// The wait for a first token: the time in which as many begin as wait, if waits already
-    /// grow that long.
+    /// Expected wait for the first token: the time in which as many requests get their first token
+    /// as are waiting now, but at most `MAX_WAIT_GROWTH` times the upper quartile of the current
+    /// waits.
     fn expected_wait(&mut self, now: Time, in_flight: &InFlightDurations) -> Duration {
         let Some(observed_wait) = upper_quartile(&in_flight.waiting) else {
             return Duration::ZERO;
@@ -97,8 +101,8 @@
         Duration::from_secs_f64(backlog_s.min(max_wait_s))
     }
 
-    /// Time from now to the first token and from there to the end of a request, before which so
-    /// much work waits.
+    /// Estimates the time until the first token of a new request, and from the first token to the
+    /// end. `queue_wait` is the time that the upstreams need for the work ahead of the request.
     pub(crate) fn estimate(
         &mut self,
         now: Time,
@@ -113,7 +117,7 @@
     }
 }
 
-/// What a quarter of some times exceed; `None` for too few.
+/// Returns the upper quartile, or `None` if there are too few durations.
 fn upper_quartile(durations: &[Duration]) -> Option<Duration> {
     let mut durations = durations.to_vec();
     let index = durations.len() * 3 / 4;
--- a/crates/policy/src/overload/mod.rs
+++ b/crates/policy/src/overload/mod.rs
@@ -1,7 +1,8 @@
-//! Requests that are refused at this host because the upstreams are full of others.
+//! Overload control: requests that this host refuses because the upstreams are full.
 //!
-//! In: what came, what upstreams refused and began, and how long that took. Out: whether one more
-//! request is sent, and when its caller comes back if it is not.
+//! Inputs are the arrivals, the attempts that upstreams refuse or begin to answer, and the
+//! durations of requests. The result is whether one more request is sent, and when a refused caller
+//! should retry.
 
 use super::*;
 
--- a/crates/policy/src/overload/pool_load.rs
+++ b/crates/policy/src/overload/pool_load.rs
@@ -1,22 +1,24 @@
 use super::*;
 
-/// Part of the places up to which upstreams have room.
+/// Fraction of the slots in use below which upstreams have room.
 const ROOM_SHARE: f64 = 0.5;
 
-/// Part of the callers' limit up to which what waits begins well in time.
+/// Fraction of the callers' time limit below which the queue wait is short.
 const SHORT_WAIT_SHARE: f64 = 0.125;
 
-/// Work at the engines of a target, by this host's requests and the notes of the others.
+/// Load of the upstreams of a target, from this host's requests and from the notes that other hosts
+/// send.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PoolLoad {
     in_flight: f64,
     slots: f64,
-    /// Time in which an engine is through with what waits, on average.
+    /// Average time that an upstream needs for its queued work.
     pub(crate) queue_wait: Duration,
 }
 
 impl PoolLoad {
-    /// The load of some engines, by notes that tell of one in `hosts_for_each` hosts.
+    /// Sums up the load of some upstreams. The notes cover only the observed hosts;
+    /// `hosts_per_observed` scales the load up to all hosts.
     pub(crate) fn new<'a>(
         states: impl Iterator<Item = &'a UpstreamState>,
         hosts_per_observed: f64,
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Whether there are places and what waits begins well in time for callers that wait so long.
+    /// Whether slots are free, and the queue wait is short for callers with this time limit.
     pub(crate) fn has_room(&self, limit: Duration) -> bool {
         self.in_flight < ROOM_SHARE * self.slots
             && self.queue_wait < limit.mul_f64(SHORT_WAIT_SHARE)
--- a/crates/policy/src/overload/recent_durations.rs
+++ b/crates/policy/src/overload/recent_durations.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// Time for which what took so long counts.
+/// Age up to which a sample counts.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Times that are kept at the most.
+/// Maximum number of samples.
 const MAX_SAMPLES: usize = 256;
 
-/// Times that must be known before they say anything.
+/// Minimum number of durations for a median.
 const MIN_SAMPLES: usize = 4;
 
-/// How long something took lately.
+/// Durations of recent events, such as answers.
 #[derive(Debug, Default)]
 pub(crate) struct RecentDurations {
     samples: VecDeque<(Time, Duration)>,
@@ -24,8 +24,8 @@
         self.expire(now);
     }
 
-    /// The median of what ended lately and of what has gone on for so long; `None` while too
-    /// little is known.
+    /// Returns the median of the recent durations and of those so far of events that are still in
+    /// progress, or `None` if there are too few.
     pub(crate) fn median(&mut self, now: Time, in_flight: &[Duration]) -> Option<Duration> {
         self.expire(now);
         let ended = self.samples.iter().map(|(_, duration)| *duration);
@@ -37,7 +37,7 @@
         Some(*durations.select_nth_unstable(middle).1)
     }
 
-    /// How many end in a second, by those of the last seconds.
+    /// Events per second in the window.
     pub(crate) fn rate_per_s(&mut self, now: Time) -> f64 {
         self.expire(now);
         self.samples.len() as f64 / WINDOW.as_secs_f64()
--- a/crates/policy/src/overload/shedding.rs
+++ b/crates/policy/src/overload/shedding.rs
@@ -1,12 +1,13 @@
-//! Which requests the controller refuses while upstreams are full.
+//! Load shedding: refuses requests of the least urgent class while upstreams refuse many attempts.
 
 use super::*;
 
-/// Shortest advice to retry: upstreams need a moment to become free.
+/// Minimum `Retry-After`, because upstreams need a moment until they have free slots.
 const SHED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Controller {
-    /// Refuses a request of the least urgent class while upstreams refuse much.
+    /// Refuses a request of the least urgent class if this host has as many of them in flight as
+    /// the limit allows.
     pub(crate) fn check_congestion(
         &mut self,
         now: Time,
@@ -33,20 +34,21 @@
         })
     }
 
-    /// Whether requests of a class leave retries to more urgent ones, as upstreams refuse much.
+    /// Whether a class is limited now. Its refused attempts aren't retried then, which leaves the
+    /// slots to more urgent classes.
     pub(crate) fn is_congestion_limited(&self, target: &Target, class: &ClassId) -> bool {
         let queues = self.lanes.get(target);
         queues.is_some_and(|queues| queues.congestion.is_limited(class))
     }
 
-    /// An upstream refused an attempt, or began to answer it.
+    /// Notes that an upstream refused an attempt or began to answer it.
     pub(crate) fn note_congestion(&mut self, target: &Target, is_refused: bool) {
         if let Some(queues) = self.lanes.get_mut(target) {
             queues.congestion.note_attempt(is_refused);
         }
     }
 
-    /// Follows what upstreams refuse.
+    /// Updates the congestion limits.
     pub(crate) fn tick_congestion(&mut self, now: Time) {
         let due = self.lanes.iter().filter_map(|(target, queues)| {
             let class = queues.congestion.least_urgent_class()?;
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Requests of a class that this host has at upstreams of a target.
+    /// Number of requests of a class that this host has in flight at the upstreams of a target.
     fn count_running(&self, target: &Target, class: &ClassId) -> usize {
         let running = self.requests.values().filter(|stage| {
             let facts = stage.facts();
