--- a/crates/policy/src/queueing/dispatch.rs
+++ b/crates/policy/src/queueing/dispatch.rs
@@ -2,43 +2,45 @@
 
 use super::*;
 
-/// Engine priority of a request that is served for its minimum share: an engine serves its
-/// own queue by priority, and would starve it otherwise.
+/// Engine priority of a request that is dispatched for the minimum share of its rank. An engine
+/// serves its own queue by priority, so the request would starve there with its usual priority.
 const MINIMUM_SHARE_PRIORITY: u8 = 0;
 
 impl Controller {
-    /// Sends queued requests while there is room for them; `only` names the
-    /// lanes to be tried, all if it is `None`.
+    /// Dispatches queued requests while upstreams have room. Only the queues of `only_targets` are
+    /// tried, or all queues if it is `None`.
     pub(crate) fn dispatch(
         &mut self,
         now: Time,
-        only: Option<&[Target]>,
+        only_targets: Option<&[Target]>,
         actions: &mut Vec<Action>,
     ) {
         if self.queued == 0 {
             return;
         }
-        self.dispatch_minimum_shares(now, only, actions);
-        let mut full: BTreeSet<Target> = BTreeSet::new();
+        self.dispatch_minimum_shares(now, only_targets, actions);
+        let mut full_targets: BTreeSet<Target> = BTreeSet::new();
         for rank in Rank::all() {
             let targets: Vec<Target> = self
                 .lanes
                 .iter()
-                .filter(|(target, _)| only.is_none_or(|only| only.contains(target)))
-                .filter(|(target, lane)| lane.has_work(rank) && !full.contains(target))
+                .filter(|(target, _)| {
+                    only_targets.is_none_or(|only_targets| only_targets.contains(target))
+                })
+                .filter(|(target, queues)| queues.has_work(rank) && !full_targets.contains(target))
                 .map(|(target, _)| target.clone())
                 .collect();
             for target in targets {
-                if !self.drain_rank(now, &target, rank, actions) {
-                    full.insert(target);
+                if !self.dispatch_rank(now, &target, rank, actions) {
+                    full_targets.insert(target);
                 }
             }
         }
     }
 
-    /// Sends what a rank of a target has; false once there is no room for it
-    /// at all, so that no lesser rank need be tried.
-    fn drain_rank(
+    /// Dispatches the queued requests of one rank. Returns false if the target has no room left, so
+    /// that less urgent ranks needn't be tried.
+    fn dispatch_rank(
         &mut self,
         now: Time,
         target: &Target,
@@ -50,10 +52,10 @@
                 return true;
             };
             let priority = request.facts.engine_priority;
-            let pace_ms = self.pace_wanted(now, request);
-            match self.choose(now, item.request, pace_ms, rank) {
+            let pace_ms = self.required_pace_ms(now, request);
+            match self.choose_upstream(now, item.request, pace_ms, rank) {
                 Some(upstream) => {
-                    self.start(now, &item, upstream, priority, actions);
+                    self.start_attempt(now, &item, upstream, priority, actions);
                 }
                 None if pace_ms.is_none() && rank.plan == Plan::Paid => return false,
                 None => return true,
@@ -65,26 +67,29 @@
     fn dispatch_minimum_shares(
         &mut self,
         now: Time,
-        only: Option<&[Target]>,
+        only_targets: Option<&[Target]>,
         actions: &mut Vec<Action>,
     ) {
         let hosts = self.peering.members.domain_size();
         let targets: Vec<(Target, Rank)> = self
             .lanes
             .iter()
-            .filter(|(target, _)| only.is_none_or(|only| only.contains(target)))
-            .filter_map(|(target, lane)| {
-                Some((target.clone(), lane.minimum_share.due(now, hosts)?))
+            .filter(|(target, _)| {
+                only_targets.is_none_or(|only_targets| only_targets.contains(target))
+            })
+            .filter_map(|(target, queues)| {
+                Some((target.clone(), queues.minimum_share.due_rank(now, hosts)?))
             })
             .collect();
         for (target, rank) in targets {
             let Some(item) = self.peek(now, &target, rank) else {
                 continue;
             };
-            // The room of the most urgent rank: headroom is open to minimum shares.
-            let room = Rank::new(Tier::MOST_URGENT, Plan::Paid);
-            if let Some(upstream) = self.choose(now, item.request, None, room) {
-                self.start(now, &item, upstream, MINIMUM_SHARE_PRIORITY, actions);
+            // Uses the most urgent rank for the choice of an upstream, so that minimum shares may
+            // use the headroom.
+            let placement_rank = Rank::new(Tier::MOST_URGENT, Plan::Paid);
+            if let Some(upstream) = self.choose_upstream(now, item.request, None, placement_rank) {
+                self.start_attempt(now, &item, upstream, MINIMUM_SHARE_PRIORITY, actions);
             }
         }
     }
@@ -93,18 +98,20 @@
         self.lanes.get_mut(target)?.peek(rank, now)
     }
 
-    /// Token time that a request needs. One that will miss its first token
-    /// anyway takes any upstream, and so leaves the fast ones to others.
-    fn pace_wanted(&self, now: Time, request: &Request<Queued>) -> Option<u64> {
+    /// Longest time between tokens that meets the request's targets. `None` if the request will
+    /// miss its target for the first token anyway: it may then use any upstream, which leaves the
+    /// fast upstreams to other requests.
+    fn required_pace_ms(&self, now: Time, request: &Request<Queued>) -> Option<u64> {
         let facts = &request.facts;
-        let lane = self.lanes.get(&facts.target)?;
+        let queues = self.lanes.get(&facts.target)?;
         let pause_ms = facts.pause_target.map(|pause| pause.as_millis() as u64);
         let pace_ms = facts.between_token_target_ms;
-        lane.can_meet(facts.due, now)
+        queues
+            .can_meet(facts.due, now)
             .then_some(pause_ms.map_or(pace_ms, |pause_ms| pause_ms.min(pace_ms)))
     }
 
-    fn choose(
+    fn choose_upstream(
         &mut self,
         now: Time,
         request: RequestId,
@@ -115,27 +122,29 @@
             return None;
         };
         let facts = &request.facts;
-        let wanted = facts.placement(
+        let placement_request = facts.placement(
             &request.tried,
             pace_ms,
             rank,
             self.stream_share(&facts.target),
             self.neighbors.candidate_limit(),
         );
-        self.pool.choose(&wanted, now, &mut self.rng)
+        self.pool.choose(&placement_request, now, &mut self.rng)
     }
 
-    /// Part of a target's engines that is for streams that long prompts can make late.
+    /// Fraction of the target's engines that is reserved for streams whose pause targets long
+    /// prompts on the same engine could violate.
     pub(crate) fn stream_share(&self, target: &Target) -> f64 {
-        let lane = self.lanes.get(target);
-        lane.map_or(0.0, |lane| lane.partition.stream_share())
+        let queues = self.lanes.get(target);
+        queues.map_or(0.0, |queues| queues.partition.stream_share())
     }
 
-    /// Takes a request from its queue and gives it a slot: sends it, or first
-    /// claims its idempotency key. The claim is made only now, with the slot
-    /// at hand, so that a crash leaves the key unresolved for the shortest
-    /// time, and shed requests cost no write.
-    fn start(
+    /// Moves a request from its queue to a slot of an upstream. The attempt is sent at once, or, if
+    /// the request has an idempotency key, after the key is claimed.
+    ///
+    /// The key is claimed only when a slot is available: a crash then leaves the key unresolved for
+    /// the shortest time, and requests that are shed cause no write to the store.
+    fn start_attempt(
         &mut self,
         now: Time,
         item: &QueuedItem,
@@ -149,8 +158,8 @@
         let facts = &request.facts;
         self.deadlines.remove(&(facts.deadline, request.id));
         self.queued -= 1;
-        if let Some(lane) = self.lanes.get_mut(&facts.target) {
-            lane.serve(facts.rank, item, now);
+        if let Some(queues) = self.lanes.get_mut(&facts.target) {
+            queues.serve(facts.rank, item, now);
         }
         self.pool.start(&upstream, facts, now);
         request.attempts += 1;
@@ -161,12 +170,12 @@
                 .note_first_attempt(&facts.target, priority, now);
         }
         let attempt = self.new_attempt();
-        let unclaimed = request
+        let unclaimed_key = request
             .facts
             .key
             .clone()
             .filter(|_| request.claimed_by.is_none());
-        let stage = match unclaimed {
+        let stage = match unclaimed_key {
             Some((key, fingerprint)) => {
                 let request = request.claim(upstream, attempt, priority);
                 actions.push(Action::Claim(claim_request(&request, key, fingerprint)));
@@ -175,7 +184,7 @@
             None => {
                 let mut request = request.send(upstream, attempt, priority, now);
                 self.start_prompt(now, &mut request);
-                request.stage.waiting = self.waiting_before(&request);
+                request.stage.waiting = self.prompt_tokens_ahead(&request);
                 self.push_send(now, &mut request, None, actions);
                 Stage::Running(request)
             }
@@ -183,16 +192,16 @@
         self.requests.insert(item.request, stage);
     }
 
-    /// Prompt tokens that are known to wait at a request's upstream before its own.
-    pub(crate) fn waiting_before(&self, request: &Request<Running>) -> u64 {
+    /// Prompt tokens that are known to be queued at the request's upstream ahead of its own prompt.
+    pub(crate) fn prompt_tokens_ahead(&self, request: &Request<Running>) -> u64 {
         let Some(state) = self.pool.get(&request.stage.upstream) else {
             return 0;
         };
-        let own = u64::from(request.stage.prefill.get());
-        (state.backlog + state.others_backlog).saturating_sub(own)
+        let own_tokens = u64::from(request.stage.prefill.get());
+        (state.backlog + state.others_backlog).saturating_sub(own_tokens)
     }
 
-    /// Orders the attempt of a running request to be sent.
+    /// Adds the action that sends the current attempt of a running request.
     pub(crate) fn push_send(
         &self,
         now: Time,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -36,10 +36,10 @@
         TablesNews, TablesQuestion, TokenAsk, TokenGrant, UpstreamNote, UsageNote, VersionNote,
     },
     policy::{
-        Action, AdmissionNoted, Arrival, AttemptEnd, BrittleNoted, ClaimAnswer, ClaimRequest,
+        Action, AdmissionChange, Arrival, AttemptEnd, BrittleNoted, ClaimAnswer, ClaimRequest,
         Controller, ControllerOptions, CrashNoted, CrashSource, Event, FetchEnd, HostPhase,
         LeavingNoted, LimitNoted, Outcome, OutcomeEnd, PathChange, PrefixHash, Refusal,
-        RefusalReason, RelayRules, Repeatability, RoomRules, Routed, SendOrder, Settlement,
+        RefusalReason, RelayRules, Repeatability, Routed, SendOrder, Settlement, SlotRules,
         SpeedNoted, StoredAnswer, Target, TransferSlots, WasteCause, WorkingSet,
     },
     ports::{
