--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -111,9 +111,9 @@
     /// Log and count an upstream that ended under a request.
     NoteCrash(CrashNoted),
     /// Log and count an upstream that is newly known to leave.
-    NoteLeaving(LeavingNoted),
+    NoteLeaving(LeavingDetected),
     /// Log and count a change of the limit that an upstream names.
-    NoteLimit(LimitNoted),
+    NoteLimit(LimitChange),
     /// Log a change of what is believed of the own path to an upstream.
     NoteReach(ReachNoted),
     /// Log a change of what an engine is believed to do.
--- a/crates/policy/src/brittleness/parts.rs
+++ b/crates/policy/src/brittleness/parts.rs
@@ -60,7 +60,7 @@
     fn place_among_hosts(&self, now: Time) -> (usize, usize) {
         let own = &self.options.host;
         if self.neighbors.is_part_of_all() {
-            let count = self.neighbors.remembered(own, now) + 1;
+            let count = self.neighbors.remembered_count(own, now) + 1;
             let place = rendezvous_weight(PLACE_KEY, own) as usize % count;
             return (place, count);
         }
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -136,7 +136,7 @@
             Affected::Nothing => {}
             Affected::Targets(targets) => self.dispatch(now, Some(&targets), actions),
         }
-        if self.ask_tokens(now, actions) {
+        if self.request_tokens(now, actions) {
             self.dispatch(now, None, actions);
         }
     }
@@ -380,7 +380,7 @@
         if self.directory.is_none() {
             let domain = &self.options.failure_domain;
             self.pool.apply(&numbered.document.upstreams, domain);
-            self.follow_limits(now);
+            self.restore_lapsed_limits(now);
         }
         self.limits.retain(&numbered.document);
         self.peering.follow(&numbered.document.scheduling);
@@ -403,7 +403,7 @@
         let domain = &self.options.failure_domain;
         self.pool.apply(listed, domain);
         self.pool.note_listed(directory.leaving());
-        self.follow_limits(now);
+        self.restore_lapsed_limits(now);
         self.follow_brittle(now);
         self.apply_shares(now);
         self.note_unlisted(now, &unlisted, actions);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -69,8 +69,8 @@
         WasteCause,
     },
     transfers::{TransferSearch, TransferSlots},
-    upstream_limits::LimitNoted,
-    upstream_notices::{LeavingNoted, NoticeSource},
+    upstream_limits::LimitChange,
+    upstream_notices::{LeavingDetected, NoticeSource},
     upstreams::{SpeedCounts, SpeedNoted, UpstreamCensus, WorkingSet},
 };
 
@@ -85,7 +85,7 @@
     reach::{OwnPaths, TransitHosts},
     requests::{Claiming, Failure, Queued, Request, RequestFacts, RetryBudgets, Running, Stage},
     upstream_limits::{UpstreamLimit, UpstreamLimits},
-    upstream_notices::{Backoff, Departure, Departures, Telling},
+    upstream_notices::{AnnouncementSchedule, Backoff, Departure, Departures},
     upstreams::{
         DirectoryView, EnginePartition, LongPrompts, PlacementRequest, Pool, UpstreamState,
         placement, pool, prompt_cache,
--- a/crates/policy/src/requests/attempts.rs
+++ b/crates/policy/src/requests/attempts.rs
@@ -52,7 +52,7 @@
                 state.speed.note_lead(unread, waiting, lead, now);
             }
             state.streams += u32::from(begins);
-            state.backoff.note_taken(sent);
+            state.backoff.note_accepted(sent);
         }
         if !is_first {
             if let Some(state) = self.pool.get_mut(&upstream) {
@@ -129,7 +129,7 @@
         self.note_path_answered(now, &request.stage.upstream, request.stage.is_direct);
         if let Some(state) = self.pool.get_mut(&request.stage.upstream) {
             state.note_success(now.since(request.stage.sent), now);
-            state.backoff.note_taken(request.stage.sent);
+            state.backoff.note_accepted(request.stage.sent);
         }
         let facts = &request.facts;
         self.crashes
@@ -211,7 +211,7 @@
         if let Some(state) = self.pool.get_mut(upstream) {
             state.record.note_failure(now);
             if cause == FailureCause::ErrorStatus {
-                state.backoff.note_taken(request.stage.sent);
+                state.backoff.note_accepted(request.stage.sent);
             }
         }
         match cause {
--- a/crates/policy/src/upstream_limits/keeping.rs
+++ b/crates/policy/src/upstream_limits/issuing.rs
@@ -3,42 +3,45 @@
 use super::*;
 
 /// Time between two looks at who the keeper of each limit is …
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+const ISSUER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// … and for each host, as each look weighs all of them.
-const LOOK_INTERVAL_PER_HOST: Duration = Duration::from_millis(2);
+const ISSUER_CHECK_INTERVAL_PER_HOST: Duration = Duration::from_millis(2);
 
 /// Time between two looks at requests for which no token will come in time.
-const REFUSAL_INTERVAL: Duration = Duration::from_millis(100);
+const REFUSAL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Longest time for which tokens may be wanted.
-const MAX_SPAN: Duration = Duration::from_secs(10);
+const MAX_ACCEPTED_LIFETIME: Duration = Duration::from_secs(10);
 
 impl Controller {
     /// Looks who keeps which limit, and gives out tokens.
     pub(crate) fn tick_limits(&mut self, now: Time, actions: &mut Vec<Action>) {
-        self.tell_limits(now, actions);
+        self.announce_limits(now, actions);
         if self.upstream_limits.is_empty() {
             return;
         }
-        if now >= self.upstream_limits.next_look {
+        if now >= self.upstream_limits.next_issuer_check {
             let hosts = self.neighbors.len() as u32;
-            self.upstream_limits.next_look = now + LOOK_INTERVAL + LOOK_INTERVAL_PER_HOST * hosts;
-            self.look_for_keepers(now);
+            self.upstream_limits.next_issuer_check =
+                now + ISSUER_CHECK_INTERVAL + ISSUER_CHECK_INTERVAL_PER_HOST * hosts;
+            self.update_issuers(now);
         }
-        if now >= self.upstream_limits.next_refusal {
-            self.upstream_limits.next_refusal = now + REFUSAL_INTERVAL;
-            self.refuse_starved(now, actions);
+        if now >= self.upstream_limits.next_refusal_check {
+            self.upstream_limits.next_refusal_check = now + REFUSAL_CHECK_INTERVAL;
+            self.refuse_token_limited(now, actions);
         }
-        self.check_answered(now);
+        self.expire_token_requests(now);
         let limited: Vec<UpstreamId> = self.upstream_limits.limited.iter().cloned().collect();
         for upstream in limited {
-            self.give_tokens(now, &upstream, actions);
+            self.issue_tokens(now, &upstream, actions);
         }
     }
 
-    pub(crate) fn look_for_keepers(&mut self, now: Time) {
-        self.upstream_limits.silent.retain(|_, until| now < *until);
+    pub(crate) fn update_issuers(&mut self, now: Time) {
+        self.upstream_limits
+            .unresponsive
+            .retain(|_, until| now < *until);
         let pool = &self.pool;
         let limited = &mut self.upstream_limits.limited;
         limited.retain(|id| {
@@ -46,26 +49,26 @@
                 .is_some_and(|state| state.limit.rate().is_some())
         });
         self.pool.has_limits = !self.upstream_limits.is_empty();
-        let hosts = self.neighbors.remembered(&self.options.host, now) + 1;
-        let part = self.reachable_part(now);
+        let hosts = self.neighbors.remembered_count(&self.options.host, now) + 1;
+        let reachable_fraction = self.reachable_fraction(now);
         for upstream in self.upstream_limits.limited.clone() {
-            let (_, elsewhere) = self.limit_keeper(&upstream, now);
+            let (_, issuer_address) = self.token_issuer(&upstream, now);
             let Some(state) = self.pool.get_mut(&upstream) else {
                 continue;
             };
             let Some(rate_per_s) = state.limit.rate_per_s() else {
                 continue;
             };
-            let kept = if TokenStock::has_parts(rate_per_s, hosts) {
-                1.0 - token_stock::PARTS
+            let issued_fraction = if HostTokens::has_local_quotas(rate_per_s, hosts) {
+                1.0 - host_tokens::LOCAL_QUOTA_FRACTION
             } else {
                 1.0
             };
-            let per_s = kept * part * rate_per_s;
+            let issue_rate_per_s = issued_fraction * reachable_fraction * rate_per_s;
             let age = now.since(state.limit.as_of());
-            state.limit.stock.follow(rate_per_s, hosts, now);
-            let keeper = &mut state.limit.keeper;
-            keeper.follow(elsewhere.is_none(), per_s, age, now);
+            state.limit.tokens.update_rate(rate_per_s, hosts, now);
+            let issuer = &mut state.limit.issuer;
+            issuer.update_role(issuer_address.is_none(), issue_rate_per_s, age, now);
         }
     }
 
@@ -77,7 +80,7 @@
         ask: &TokenAsk,
         actions: &mut Vec<Action>,
     ) {
-        self.learn_limit(now, &ask.host, &ask.limit, actions);
+        self.record_announced_limit(now, &ask.host, &ask.limit, actions);
         let upstream = &ask.limit.upstream;
         let Some(state) = self.pool.get(upstream) else {
             return;
@@ -89,14 +92,14 @@
         }
         // A question whether this host is there asks no further, or two hosts that take each
         // other for the keeper would never end.
-        if !state.limit.keeper.is_keeper() && !ask.wanted.is_empty() {
-            self.ask_whether_keeper_is_there(now, upstream, actions);
+        if !state.limit.issuer.is_issuer() && !ask.wanted.is_empty() {
+            self.probe_issuer(now, upstream, actions);
         }
-        self.take_ask(now, Some(from), ask, actions);
+        self.handle_token_request(now, Some(from), ask, actions);
     }
 
     /// Takes a question for tokens, of another host or of this one.
-    pub(crate) fn take_ask(
+    pub(crate) fn handle_token_request(
         &mut self,
         now: Time,
         address: Option<SocketAddr>,
@@ -107,33 +110,33 @@
         let Some(state) = self.pool.get_mut(upstream) else {
             return;
         };
-        let span = Duration::from_millis(u64::from(ask.wanted_ms)).min(MAX_SPAN);
-        let keeper = &mut state.limit.keeper;
-        if keeper.is_keeper() {
-            let asks = ask.wanted.iter().map(|wanted| PendingAsk {
+        let lifetime = Duration::from_millis(u64::from(ask.wanted_ms)).min(MAX_ACCEPTED_LIFETIME);
+        let issuer = &mut state.limit.issuer;
+        if issuer.is_issuer() {
+            let requests = ask.wanted.iter().map(|wanted| PendingTokenRequest {
                 address,
                 asked_us: ask.asked_us,
                 host: ask.host.clone(),
-                until: now + span,
+                expires_at: now + lifetime,
                 wanted: *wanted,
             });
-            keeper.take(&ask.host, asks.collect());
+            issuer.replace_requests(&ask.host, requests.collect());
         }
-        let given = self.give_tokens(now, upstream, actions);
-        if !given.contains(&ask.host) {
-            let given = GivenTokens {
+        let issued = self.issue_tokens(now, upstream, actions);
+        if !issued.contains(&ask.host) {
+            let issued = IssuedTokens {
                 address,
                 asked_us: ask.asked_us,
                 count: 0,
                 host: ask.host.clone(),
             };
             let priorities = ask.wanted.iter().map(|wanted| wanted.priority);
-            self.answer_ask(now, upstream, given, priorities.collect(), actions);
+            self.send_token_grant(now, upstream, issued, priorities.collect(), actions);
         }
     }
 
     /// Gives out the tokens of an upstream that are there; names the hosts that got some.
-    fn give_tokens(
+    fn issue_tokens(
         &mut self,
         now: Time,
         upstream: &UpstreamId,
@@ -142,49 +145,52 @@
         let Some(state) = self.pool.get_mut(upstream) else {
             return Vec::new();
         };
-        if !state.limit.keeper.has_pending() {
+        if !state.limit.issuer.has_pending() {
             return Vec::new();
         }
-        let given = state.limit.keeper.give(now);
-        let hosts = given.iter().map(|given| given.host.clone()).collect();
-        for given in given {
+        let issued = state.limit.issuer.issue_tokens(now);
+        let hosts = issued.iter().map(|issued| issued.host.clone()).collect();
+        for issued in issued {
             let priorities = self.pool.get(upstream);
-            let priorities = priorities.map(|state| state.limit.keeper.priorities(&given.host));
+            let priorities =
+                priorities.map(|state| state.limit.issuer.pending_priorities(&issued.host));
             let priorities = priorities.unwrap_or_default();
-            self.answer_ask(now, upstream, given, priorities, actions);
+            self.send_token_grant(now, upstream, issued, priorities, actions);
         }
         hosts
     }
 
     /// Tells a host which tokens it gets, and when the next ones can be expected.
-    fn answer_ask(
+    fn send_token_grant(
         &mut self,
         now: Time,
         upstream: &UpstreamId,
-        given: GivenTokens,
+        issued: IssuedTokens,
         priorities: Vec<Option<u8>>,
         actions: &mut Vec<Action>,
     ) {
         let Some(state) = self.pool.get(upstream) else {
             return;
         };
-        let keeper = &state.limit.keeper;
+        let issuer = &state.limit.issuer;
         let waits = priorities.into_iter().map(|priority| {
-            let wait_ms = keeper.wait(&given.host, priority, now).as_millis();
+            let wait_ms = issuer
+                .expected_wait(&issued.host, priority, now)
+                .as_millis();
             ExpectedWait {
                 priority,
                 wait_ms: u32::try_from(wait_ms).unwrap_or(u32::MAX),
             }
         });
         let grant = TokenGrant {
-            asked_us: given.asked_us,
-            count: given.count,
+            asked_us: issued.asked_us,
+            count: issued.count,
             host: self.options.host.clone(),
             protocol: peer::PROTOCOL,
             upstream: upstream.clone(),
             waits: waits.collect(),
         };
-        match given.address {
+        match issued.address {
             Some(to) => actions.push(Action::GrantTokens { grant, to }),
             None => self.on_tokens_granted(now, &grant),
         }
--- a/crates/policy/src/upstream_limits/mod.rs
+++ b/crates/policy/src/upstream_limits/mod.rs
@@ -10,26 +10,26 @@
 
 use super::*;
 
-mod asking;
-mod keeper;
-mod keeping;
-mod known_hosts;
-mod limit_noted;
-mod starved;
-mod telling;
+mod host_tokens;
+mod issuer_selection;
+mod issuing;
+mod limit_announcements;
+mod limit_change;
 mod token_bucket;
-mod token_stock;
+mod token_issuer;
+mod token_limited;
+mod token_requests;
 mod upstream_limit;
 
-pub use limit_noted::LimitNoted;
+pub use limit_change::LimitChange;
 
 pub(crate) use upstream_limit::UpstreamLimit;
 
 use {
-    keeper::{GivenTokens, Keeper, PendingAsk, urgency},
+    host_tokens::HostTokens,
     token_bucket::TokenBucket,
-    token_stock::TokenStock,
-    upstream_limit::OpenAsk,
+    token_issuer::{IssuedTokens, PendingTokenRequest, TokenIssuer, priority_rank},
+    upstream_limit::OpenTokenRequest,
 };
 
 /// Slowest rate at which a limited upstream is tried: one that takes nothing is asked now and
@@ -37,22 +37,22 @@
 const MIN_RATE_PER_S: f64 = 0.1;
 
 /// Time for which a token may be used.
-const TOKEN_VALID: Duration = Duration::from_millis(500);
+const TOKEN_LIFETIME: Duration = Duration::from_millis(500);
 
 /// Time for which a limit is remembered after it was named, while the upstream is not listed.
-const REMEMBERED: Duration = Duration::from_secs(3_600);
+const LIMIT_RETENTION: Duration = Duration::from_secs(3_600);
 
 /// What a host knows of all limits.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamLimits {
     /// Upstreams whose limit changed, while other hosts are notified.
-    changed: BTreeSet<UpstreamId>,
+    unannounced: BTreeSet<UpstreamId>,
     /// Upstreams that name one.
     limited: BTreeSet<UpstreamId>,
-    next_look: Time,
-    next_refusal: Time,
+    next_issuer_check: Time,
+    next_refusal_check: Time,
     /// Hosts that did not answer, and until when they are passed over as keepers.
-    silent: HashMap<HostId, Time>,
+    unresponsive: HashMap<HostId, Time>,
 }
 
 impl UpstreamLimits {
@@ -78,17 +78,17 @@
             AnsweredLimit::Invalid(_) => return,
             AnsweredLimit::Named(rate) => Some(*rate),
         };
-        if self.note_limit(now, upstream, rate, sent, NoticeSource::Own, actions)
+        if self.record_limit(now, upstream, rate, sent, NoticeSource::Own, actions)
             && let Some(state) = self.pool.get_mut(upstream)
         {
-            state.limit.telling.restart(now);
-            self.upstream_limits.changed.insert(upstream.clone());
+            state.limit.announcements.schedule(now);
+            self.upstream_limits.unannounced.insert(upstream.clone());
         }
     }
 
     /// Takes what an upstream named in the answer to a request sent at a moment; whether it is
     /// news.
-    fn note_limit(
+    fn record_limit(
         &mut self,
         now: Time,
         upstream: &UpstreamId,
@@ -100,17 +100,17 @@
         let Some(state) = self.pool.get_mut(upstream) else {
             return false;
         };
-        if !state.limit.note(limit, sent, now) {
+        if !state.limit.update(limit, sent, now) {
             return false;
         }
         if limit.is_some() {
             self.upstream_limits.limited.insert(upstream.clone());
-            self.look_for_keepers(now);
+            self.update_issuers(now);
         } else {
             self.upstream_limits.limited.remove(upstream);
         }
         self.pool.has_limits = !self.upstream_limits.is_empty();
-        actions.push(Action::NoteLimit(LimitNoted {
+        actions.push(Action::NoteLimit(LimitChange {
             limit,
             source,
             upstream: upstream.clone(),
@@ -119,17 +119,17 @@
     }
 
     /// Takes up the limits of upstreams that are listed again.
-    pub(crate) fn follow_limits(&mut self, now: Time) {
+    pub(crate) fn restore_lapsed_limits(&mut self, now: Time) {
         let pool = &mut self.pool;
         let restored = pool.restore_limits();
         pool.lapsed_limits
-            .retain(|_, limit| now.since(limit.as_of()) < REMEMBERED);
+            .retain(|_, limit| now.since(limit.as_of()) < LIMIT_RETENTION);
         self.upstream_limits.limited.extend(restored);
         self.pool.has_limits = !self.upstream_limits.is_empty();
     }
 
     /// Limits that upstreams name now.
-    pub fn limited(&self) -> Vec<(UpstreamId, Rate)> {
+    pub fn named_limits(&self) -> Vec<(UpstreamId, Rate)> {
         let limited = self.upstream_limits.limited.iter();
         let named = limited.filter_map(|id| {
             let state = self.pool.get(id)?;
--- a/crates/policy/src/upstream_limits/token_bucket.rs
+++ b/crates/policy/src/upstream_limits/token_bucket.rs
@@ -3,56 +3,56 @@
 /// Tokens that come at a rate, up to a number.
 #[derive(Debug, Default)]
 pub(crate) struct TokenBucket {
-    filled: Time,
+    refilled_at: Time,
     level: f64,
-    max: f64,
-    per_s: f64,
+    capacity: f64,
+    rate_per_s: f64,
 }
 
 impl TokenBucket {
     /// Empties it; tokens come from now on.
-    pub(crate) fn restart(&mut self, now: Time) {
-        self.filled = now;
+    pub(crate) fn reset(&mut self, now: Time) {
+        self.refilled_at = now;
         self.level = 0.0;
     }
 
     /// Changes rate and size; what came so far came by the old ones.
-    pub(crate) fn follow(&mut self, per_s: f64, max: f64, now: Time) {
-        self.fill(now);
-        self.per_s = per_s;
-        self.max = max;
-        self.level = self.level.min(max);
+    pub(crate) fn set_rate(&mut self, rate_per_s: f64, capacity: f64, now: Time) {
+        self.refill(now);
+        self.rate_per_s = rate_per_s;
+        self.capacity = capacity;
+        self.level = self.level.min(capacity);
     }
 
     /// Has all tokens that it can hold.
-    pub(crate) fn fill_up(&mut self) {
-        self.level = self.max;
+    pub(crate) fn fill(&mut self) {
+        self.level = self.capacity;
     }
 
-    fn fill(&mut self, now: Time) {
+    fn refill(&mut self, now: Time) {
         self.level = self.level(now);
-        self.filled = now;
+        self.refilled_at = now;
     }
 
     fn level(&self, now: Time) -> f64 {
-        let come = self.per_s * now.since(self.filled).as_secs_f64();
-        (self.level + come).min(self.max)
+        let added = self.rate_per_s * now.since(self.refilled_at).as_secs_f64();
+        (self.level + added).min(self.capacity)
     }
 
     /// Whole tokens that are there.
-    pub(crate) fn tokens(&self, now: Time) -> u32 {
+    pub(crate) fn available(&self, now: Time) -> u32 {
         self.level(now) as u32
     }
 
     /// Takes tokens that are there.
     pub(crate) fn take(&mut self, count: u32, now: Time) {
-        self.fill(now);
+        self.refill(now);
         self.level -= f64::from(count);
     }
 
     /// Time in which so many tokens come.
-    pub(crate) fn time_of(&self, count: u32) -> Duration {
-        let span_s = f64::from(count) / self.per_s.max(f64::MIN_POSITIVE);
-        Duration::try_from_secs_f64(span_s).unwrap_or(Duration::MAX)
+    pub(crate) fn refill_time(&self, count: u32) -> Duration {
+        let refill_s = f64::from(count) / self.rate_per_s.max(f64::MIN_POSITIVE);
+        Duration::try_from_secs_f64(refill_s).unwrap_or(Duration::MAX)
     }
 }
--- a/crates/policy/src/upstream_limits/starved.rs
+++ b/crates/policy/src/upstream_limits/token_limited.rs
@@ -4,34 +4,36 @@
 
 impl Controller {
     /// Targets with requests that wait, none of whose upstreams may be sent one.
-    pub(crate) fn starved_targets(&self, now: Time) -> Vec<Target> {
+    pub(crate) fn token_limited_targets(&self, now: Time) -> Vec<Target> {
         let waiting = self.lanes.iter().filter(|(_, lane)| !lane.is_empty());
-        let starved = waiting.filter(|(target, _)| self.is_starved(target, now));
-        starved.map(|(target, _)| target.clone()).collect()
+        let token_limited = waiting.filter(|(target, _)| self.is_token_limited(target, now));
+        token_limited.map(|(target, _)| target.clone()).collect()
     }
 
     /// Whether a limit is all that keeps requests of a target from its upstreams.
-    fn is_starved(&self, target: &Target, now: Time) -> bool {
-        let mut copies = self.pool.copies(target);
-        let is_limited = copies.clone().any(|state| self.waits_for_token(state, now));
-        is_limited && !copies.any(|state| state.is_open(now))
+    fn is_token_limited(&self, target: &Target, now: Time) -> bool {
+        let mut upstreams = self.pool.copies(target);
+        let is_limited = upstreams
+            .clone()
+            .any(|state| self.lacks_only_token(state, now));
+        is_limited && !upstreams.any(|state| state.is_open(now))
     }
 
-    fn waits_for_token(&self, state: &UpstreamState, now: Time) -> bool {
+    fn lacks_only_token(&self, state: &UpstreamState, now: Time) -> bool {
         state.takes_work(now) && !state.limit.has_token(now)
     }
 
     /// Upstreams of a target that would take work if there were a token.
-    pub(crate) fn starved_copies(&self, target: &Target, now: Time) -> Vec<UpstreamId> {
-        let copies = self.pool.copies(target);
-        let starved = copies.filter(|state| self.waits_for_token(state, now));
-        starved.map(|state| state.id.clone()).collect()
+    pub(crate) fn token_limited_upstreams(&self, target: &Target, now: Time) -> Vec<UpstreamId> {
+        let upstreams = self.pool.copies(target);
+        let token_limited = upstreams.filter(|state| self.lacks_only_token(state, now));
+        token_limited.map(|state| state.id.clone()).collect()
     }
 
     /// Tokens that the requests of a target wait for, the most urgent first.
-    pub(crate) fn waiting_tokens(&self, target: &Target) -> Vec<WantedTokens> {
+    pub(crate) fn tokens_for_queued(&self, target: &Target) -> Vec<WantedTokens> {
         let mut counts: BTreeMap<u8, u32> = BTreeMap::new();
-        for (_, facts) in self.waiting_for(target) {
+        for (_, facts) in self.queued_requests(target) {
             *counts.entry(facts.engine_priority).or_default() += 1;
         }
         let wanted = counts.into_iter().map(|(priority, count)| WantedTokens {
@@ -41,7 +43,7 @@
         wanted.take(peer::MAX_WANTED).collect()
     }
 
-    fn waiting_for<'a>(
+    fn queued_requests<'a>(
         &'a self,
         target: &'a Target,
     ) -> impl Iterator<Item = (RequestId, &'a RequestFacts)> {
@@ -54,47 +56,49 @@
 
     /// Refuses requests for which no token will come in time, with the time after which one is
     /// likely: their callers had better ask again than wait for nothing.
-    pub(crate) fn refuse_starved(&mut self, now: Time, actions: &mut Vec<Action>) {
+    pub(crate) fn refuse_token_limited(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.queued == 0 {
             return;
         }
-        for target in self.starved_targets(now) {
-            for (request, wait) in self.too_late(&target, now) {
-                self.refuse_limited(now, request, wait, actions);
+        for target in self.token_limited_targets(now) {
+            for (request, wait) in self.requests_missing_deadline(&target, now) {
+                self.refuse_for_limit(now, request, wait, actions);
             }
         }
     }
 
     /// Requests that wait in vain, and for how long they would; the most urgent ones come first.
-    fn too_late(&self, target: &Target, now: Time) -> Vec<(RequestId, Duration)> {
-        let copies = self.starved_copies(target, now);
-        let limits: Vec<&UpstreamLimit> = copies
+    fn requests_missing_deadline(&self, target: &Target, now: Time) -> Vec<(RequestId, Duration)> {
+        let upstreams = self.token_limited_upstreams(target, now);
+        let limits: Vec<&UpstreamLimit> = upstreams
             .iter()
             .filter_map(|id| Some(&self.pool.get(id)?.limit))
             .collect();
         // With many upstreams a few are asked.
-        let enough = limits.len().clamp(1, asking::MAX_OPEN);
-        let mut queued: Vec<(RequestId, &RequestFacts)> = self.waiting_for(target).collect();
+        let asked_upstreams = limits
+            .len()
+            .clamp(1, token_requests::MAX_OPEN_TOKEN_REQUESTS);
+        let mut queued: Vec<(RequestId, &RequestFacts)> = self.queued_requests(target).collect();
         queued.sort_unstable_by_key(|(id, facts)| (facts.engine_priority, facts.due, *id));
-        let mut late = Vec::new();
+        let mut missing = Vec::new();
         let mut ahead = 0;
         for (id, facts) in queued {
             let waits = limits.iter();
             let waits = waits.filter_map(|limit| limit.expected_wait(facts.engine_priority, now));
             let waits: Vec<Duration> = waits.collect();
-            let rounds = (1 + ahead / enough) as u32;
+            let rounds = (1 + ahead / asked_upstreams) as u32;
             let wait = waits.iter().min().copied().unwrap_or_default();
             let wait = wait.saturating_mul(rounds);
-            if waits.len() >= enough && now + wait >= facts.deadline {
-                late.push((id, wait));
+            if waits.len() >= asked_upstreams && now + wait >= facts.deadline {
+                missing.push((id, wait));
             } else {
                 ahead += 1;
             }
         }
-        late
+        missing
     }
 
-    fn refuse_limited(
+    fn refuse_for_limit(
         &mut self,
         now: Time,
         id: RequestId,
--- a/crates/policy/src/upstream_limits/asking.rs
+++ b/crates/policy/src/upstream_limits/token_requests.rs
@@ -3,77 +3,83 @@
 use super::*;
 
 /// Time in which a keeper that lives answers.
-const ANSWER_WITHIN: Duration = Duration::from_millis(300);
+const ISSUER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Questions in a row without an answer after which a keeper is passed over …
 const MAX_UNANSWERED: u32 = 2;
 
 /// … unless a note of it came within this time …
-const RECEIVED_WITHIN: Duration = Duration::from_millis(1_500);
+const LIVE_WITHIN: Duration = Duration::from_millis(1_500);
 
 /// … and for how long.
-const SILENT_FOR: Duration = Duration::from_secs(3);
+const SKIP_ISSUER_FOR: Duration = Duration::from_secs(3);
 
 /// Time for which tokens are wanted …
-const WANTED: Duration = Duration::from_millis(250);
+const TOKEN_REQUEST_LIFETIME: Duration = Duration::from_millis(250);
 
 /// … and for each host that may ask, so that the keeper's traffic stays bounded.
-const WANTED_PER_HOST: Duration = Duration::from_millis(10);
+const TOKEN_REQUEST_LIFETIME_PER_HOST: Duration = Duration::from_millis(10);
 
 /// Longest time for which tokens are wanted at a slow rate.
-const MAX_WANTED: Duration = Duration::from_secs(2);
+const MAX_TOKEN_REQUEST_LIFETIME: Duration = Duration::from_secs(2);
 
 /// Time between two questions for a token that no request waits for …
-const SPARE_INTERVAL: Duration = Duration::from_secs(1);
+const PREFETCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// … and for each host that may ask.
-const SPARE_INTERVAL_PER_HOST: Duration = Duration::from_millis(100);
+const PREFETCH_INTERVAL_PER_HOST: Duration = Duration::from_millis(100);
 
 /// Most upstreams of a target that are asked for at a time.
-pub(crate) const MAX_OPEN: usize = 3;
+pub(crate) const MAX_OPEN_TOKEN_REQUESTS: usize = 3;
 
 /// Most tokens of one question.
-const MAX_TOKENS: u32 = 16;
+const MAX_TOKENS_PER_REQUEST: u32 = 16;
 
 impl Controller {
     /// Asks for the tokens that requests wait for, and now and then for one to spare; whether
     /// some were granted at once, by this host itself.
-    pub(crate) fn ask_tokens(&mut self, now: Time, actions: &mut Vec<Action>) -> bool {
+    pub(crate) fn request_tokens(&mut self, now: Time, actions: &mut Vec<Action>) -> bool {
         if self.upstream_limits.is_empty() {
             return false;
         }
-        let mut granted = self.ask_for_waiting(now, actions);
-        granted |= self.ask_for_spare(now, actions);
+        let mut granted = self.request_tokens_for_queued(now, actions);
+        granted |= self.prefetch_tokens(now, actions);
         granted && self.queued > 0
     }
 
-    fn ask_for_waiting(&mut self, now: Time, actions: &mut Vec<Action>) -> bool {
+    fn request_tokens_for_queued(&mut self, now: Time, actions: &mut Vec<Action>) -> bool {
         if self.queued == 0 {
             return false;
         }
         let mut granted = false;
-        for target in self.starved_targets(now) {
-            let copies = self.starved_copies(&target, now);
-            let (open, free): (Vec<_>, Vec<_>) = copies
-                .into_iter()
-                .partition(|id| self.open_ask(id).is_some_and(OpenAsk::waits));
-            let asks: Vec<&OpenAsk> = open.iter().filter_map(|id| self.open_ask(id)).collect();
-            let waiting = self.waiting_tokens(&target);
-            let Some(priority) = waiting.first().and_then(|wanted| wanted.priority) else {
+        for target in self.token_limited_targets(now) {
+            let upstreams = self.token_limited_upstreams(&target, now);
+            let (open, idle): (Vec<_>, Vec<_>) = upstreams.into_iter().partition(|id| {
+                self.open_token_request(id)
+                    .is_some_and(OpenTokenRequest::has_waiting_requests)
+            });
+            let open_requests: Vec<&OpenTokenRequest> = open
+                .iter()
+                .filter_map(|id| self.open_token_request(id))
+                .collect();
+            let queued = self.tokens_for_queued(&target);
+            let Some(priority) = queued.first().and_then(|wanted| wanted.priority) else {
                 continue;
             };
-            let wanted = without(waiting, &asks);
+            let wanted = not_yet_requested(queued, &open_requests);
             if wanted.is_empty() {
-                if open.len() < MAX_OPEN {
-                    self.inquire(now, &free, priority, actions);
+                if open.len() < MAX_OPEN_TOKEN_REQUESTS {
+                    self.query_expected_wait(now, &idle, priority, actions);
                 }
                 continue;
             }
-            let soonest = free.iter().min_by_key(|id| self.soonest(id, priority, now));
-            if let Some(upstream) = soonest.filter(|_| open.len() < MAX_OPEN) {
-                granted |= self.ask(now, upstream, wanted, actions);
-            } else if let Some((upstream, wanted)) = self.more_urgent(&open, wanted) {
-                granted |= self.ask(now, &upstream, wanted, actions);
+            let preferred = idle
+                .iter()
+                .min_by_key(|id| self.shortest_wait_key(id, priority, now));
+            if let Some(upstream) = preferred.filter(|_| open.len() < MAX_OPEN_TOKEN_REQUESTS) {
+                granted |= self.send_token_request(now, upstream, wanted, actions);
+            } else if let Some((upstream, wanted)) = self.merged_with_open_request(&open, wanted) {
+                granted |= self.send_token_request(now, &upstream, wanted, actions);
             }
         }
         granted
@@ -81,31 +87,35 @@
 
     /// The question that more urgent requests join, as all upstreams are asked already, and what
     /// it asks then.
-    fn more_urgent(
+    fn merged_with_open_request(
         &self,
         open: &[UpstreamId],
         wanted: Vec<WantedTokens>,
     ) -> Option<(UpstreamId, Vec<WantedTokens>)> {
-        let first = |wanted: &[WantedTokens]| wanted.first().map(|first| urgency(first.priority));
-        let asks = open.iter().filter_map(|id| Some((id, self.open_ask(id)?)));
-        let (upstream, ask) = asks.max_by_key(|(_, ask)| first(&ask.wanted))?;
-        if first(&wanted) >= first(&ask.wanted) {
+        let first_rank =
+            |wanted: &[WantedTokens]| wanted.first().map(|first| priority_rank(first.priority));
+        let open_requests = open
+            .iter()
+            .filter_map(|id| Some((id, self.open_token_request(id)?)));
+        let (upstream, request) =
+            open_requests.max_by_key(|(_, request)| first_rank(&request.wanted))?;
+        if first_rank(&wanted) >= first_rank(&request.wanted) {
             return None;
         }
         let mut counts: BTreeMap<Option<u8>, u32> = BTreeMap::new();
-        for wanted in wanted.iter().chain(&ask.wanted) {
+        for wanted in wanted.iter().chain(&request.wanted) {
             *counts.entry(wanted.priority).or_default() += wanted.count;
         }
-        let joined = counts
+        let merged = counts
             .into_iter()
             .filter(|(priority, count)| priority.is_some() && *count > 0)
             .map(|(priority, count)| WantedTokens { count, priority });
-        Some((upstream.clone(), joined.take(peer::MAX_WANTED).collect()))
+        Some((upstream.clone(), merged.take(peer::MAX_WANTED).collect()))
     }
 
     /// Asks the keeper of one more upstream how long requests of a priority would wait there, so
     /// that those are refused early for which no token will come in time.
-    fn inquire(
+    fn query_expected_wait(
         &mut self,
         now: Time,
         upstreams: &[UpstreamId],
@@ -115,8 +125,11 @@
         let unknown = upstreams.iter().find(|id| {
             let limit = self.pool.get(id).map(|state| &state.limit);
             limit.is_some_and(|limit| {
-                let is_free = !limit.ask.as_ref().is_some_and(OpenAsk::waits);
-                is_free && !limit.knows_waits(self.ask_span(limit), now)
+                let is_idle = !limit
+                    .token_request
+                    .as_ref()
+                    .is_some_and(OpenTokenRequest::has_waiting_requests);
+                is_idle && !limit.has_recent_waits(self.token_request_lifetime(limit), now)
             })
         });
         if let Some(upstream) = unknown.cloned() {
@@ -124,19 +137,20 @@
                 count: 0,
                 priority: Some(priority),
             };
-            self.ask(now, &upstream, vec![wanted], actions);
+            self.send_token_request(now, &upstream, vec![wanted], actions);
         }
     }
 
     /// Time for which tokens of a limit are wanted: at least until one comes.
-    fn ask_span(&self, limit: &UpstreamLimit) -> Duration {
-        let span = WANTED + WANTED_PER_HOST * self.neighbors.len() as u32;
-        let per_s = limit.rate_per_s().unwrap_or(1.0);
-        span.max(Duration::from_secs_f64(1.0 / per_s).min(MAX_WANTED))
+    fn token_request_lifetime(&self, limit: &UpstreamLimit) -> Duration {
+        let lifetime =
+            TOKEN_REQUEST_LIFETIME + TOKEN_REQUEST_LIFETIME_PER_HOST * self.neighbors.len() as u32;
+        let rate_per_s = limit.rate_per_s().unwrap_or(1.0);
+        lifetime.max(Duration::from_secs_f64(1.0 / rate_per_s).min(MAX_TOKEN_REQUEST_LIFETIME))
     }
 
     /// By which of equally good upstreams this host asks first: others ask others.
-    fn soonest(&self, upstream: &UpstreamId, priority: u8, now: Time) -> (u64, u64) {
+    fn shortest_wait_key(&self, upstream: &UpstreamId, priority: u8, now: Time) -> (u64, u64) {
         let limit = self.pool.get(upstream).map(|state| &state.limit);
         let wait = limit.and_then(|limit| limit.expected_wait(priority, now));
         let wait = wait.unwrap_or_default();
@@ -146,20 +160,20 @@
 
     /// Guards against an upstream that is not used any more once it has named a limit: others
     /// without one are preferred, and whether it still names one is known by its answers only.
-    fn ask_for_spare(&mut self, now: Time, actions: &mut Vec<Action>) -> bool {
+    fn prefetch_tokens(&mut self, now: Time, actions: &mut Vec<Action>) -> bool {
         let hosts = self.neighbors.len() as u32;
-        let interval = SPARE_INTERVAL + SPARE_INTERVAL_PER_HOST * hosts;
+        let interval = PREFETCH_INTERVAL + PREFETCH_INTERVAL_PER_HOST * hosts;
         let limited = self.upstream_limits.limited.iter();
         let due = limited.filter(|id| {
             let Some(state) = self.pool.get(id) else {
                 return false;
             };
             let limit = &state.limit;
-            let wanted = !limit.has_token(now) && now >= limit.next_spare;
-            wanted && limit.ask.is_none() && !state.is_leaving(now)
+            let wanted = !limit.has_token(now) && now >= limit.next_prefetch;
+            wanted && limit.token_request.is_none() && !state.is_leaving(now)
         });
         let due: Vec<UpstreamId> = due
-            .filter(|id| self.is_asked_for(id, now, interval))
+            .filter(|id| self.has_recent_demand(id, now, interval))
             .cloned()
             .collect();
         let mut granted = false;
@@ -167,112 +181,112 @@
             let Some(state) = self.pool.get_mut(&upstream) else {
                 continue;
             };
-            state.limit.next_spare = now + interval;
+            state.limit.next_prefetch = now + interval;
             let rate_per_s = state.limit.rate_per_s().unwrap_or_default();
-            let part = rate_per_s * interval.as_secs_f64() / f64::from(hosts + 1);
-            let count = (part as u32).clamp(1, MAX_TOKENS);
+            let host_share = rate_per_s * interval.as_secs_f64() / f64::from(hosts + 1);
+            let count = (host_share as u32).clamp(1, MAX_TOKENS_PER_REQUEST);
             let wanted = WantedTokens {
                 count,
                 priority: None,
             };
-            granted |= self.ask(now, &upstream, vec![wanted], actions);
+            granted |= self.send_token_request(now, &upstream, vec![wanted], actions);
         }
         granted
     }
 
     /// Whether requests came lately that an upstream could serve.
-    fn is_asked_for(&self, upstream: &UpstreamId, now: Time, span: Duration) -> bool {
+    fn has_recent_demand(&self, upstream: &UpstreamId, now: Time, within: Duration) -> bool {
         let targets = self.pool.targets_of(upstream);
         let mut lanes = targets.iter().filter_map(|target| self.lanes.get(target));
-        lanes.any(|lane| now.since(lane.last_arrival()) <= span)
+        lanes.any(|lane| now.since(lane.last_arrival()) <= within)
     }
 
-    fn open_ask(&self, upstream: &UpstreamId) -> Option<&OpenAsk> {
-        self.pool.get(upstream)?.limit.ask.as_ref()
+    fn open_token_request(&self, upstream: &UpstreamId) -> Option<&OpenTokenRequest> {
+        self.pool.get(upstream)?.limit.token_request.as_ref()
     }
 
     /// Asks the keeper of a limit; whether it is this host, and gave some at once.
-    fn ask(
+    fn send_token_request(
         &mut self,
         now: Time,
         upstream: &UpstreamId,
         wanted: Vec<WantedTokens>,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let (keeper, address) = self.limit_keeper(upstream, now);
+        let (issuer, address) = self.token_issuer(upstream, now);
         let host = self.options.host.clone();
         let Some(state) = self.pool.get(upstream) else {
             return false;
         };
-        let span = self.ask_span(&state.limit);
+        let lifetime = self.token_request_lifetime(&state.limit);
         let Some(state) = self.pool.get_mut(upstream) else {
             return false;
         };
-        state.limit.ask = Some(OpenAsk {
+        state.limit.token_request = Some(OpenTokenRequest {
             answered: address.is_none(),
-            keeper,
+            issuer,
             sent: now,
-            until: now + span,
+            expires_at: now + lifetime,
             wanted: wanted.clone(),
         });
-        let ask = TokenAsk {
+        let request = TokenAsk {
             asked_us: now.as_us(),
             host,
             limit: state.limit.to_advertised(upstream, now),
             protocol: peer::PROTOCOL,
             wanted,
-            wanted_ms: span.as_millis() as u32,
+            wanted_ms: lifetime.as_millis() as u32,
         };
         match address {
             Some(to) => {
-                actions.push(Action::AskTokens { ask, to });
+                actions.push(Action::AskTokens { ask: request, to });
                 false
             }
             None => {
-                self.take_ask(now, None, &ask, actions);
+                self.handle_token_request(now, None, &request, actions);
                 let state = self.pool.get(upstream);
-                state.is_some_and(|state| state.limit.stock.has_token(now))
+                state.is_some_and(|state| state.limit.tokens.has_token(now))
             }
         }
     }
 
     /// Asks the host that this one takes for the keeper whether it is there, as another host
     /// seems not to reach it.
-    pub(crate) fn ask_whether_keeper_is_there(
+    pub(crate) fn probe_issuer(
         &mut self,
         now: Time,
         upstream: &UpstreamId,
         actions: &mut Vec<Action>,
     ) {
-        if self.open_ask(upstream).is_none() {
-            self.ask(now, upstream, Vec::new(), actions);
+        if self.open_token_request(upstream).is_none() {
+            self.send_token_request(now, upstream, Vec::new(), actions);
         }
     }
 
     /// Gives up questions whose time is over, and passes over keepers that do not answer. One
     /// whose notes come lives: with two keepers an upstream would get twice its limit.
-    pub(crate) fn check_answered(&mut self, now: Time) {
+    pub(crate) fn expire_token_requests(&mut self, now: Time) {
         for upstream in self.upstream_limits.limited.clone() {
             let Some(state) = self.pool.get_mut(&upstream) else {
                 continue;
             };
             let limit = &mut state.limit;
-            let Some(ask) = &limit.ask else {
+            let Some(request) = &limit.token_request else {
                 continue;
             };
-            if !ask.answered && now.since(ask.sent) >= ANSWER_WITHIN {
+            if !request.answered && now.since(request.sent) >= ISSUER_TIMEOUT {
                 limit.unanswered += 1;
-                let keeper = ask.keeper.clone();
-                let is_silent = limit.unanswered >= MAX_UNANSWERED;
-                limit.ask = None;
-                if is_silent && !self.neighbors.is_received(&keeper, RECEIVED_WITHIN, now) {
+                let issuer = request.issuer.clone();
+                let is_unresponsive = limit.unanswered >= MAX_UNANSWERED;
+                limit.token_request = None;
+                if is_unresponsive && !self.neighbors.received_within(&issuer, LIVE_WITHIN, now) {
                     limit.unanswered = 0;
-                    let silent = &mut self.upstream_limits.silent;
-                    silent.insert(keeper, now + SILENT_FOR);
-                    self.upstream_limits.next_look = now;
+                    let unresponsive = &mut self.upstream_limits.unresponsive;
+                    unresponsive.insert(issuer, now + SKIP_ISSUER_FOR);
+                    self.upstream_limits.next_issuer_check = now;
                 }
-            } else if now >= ask.until {
-                limit.ask = None;
+            } else if now >= request.expires_at {
+                limit.token_request = None;
             }
         }
     }
@@ -280,35 +294,42 @@
     /// The keeper of a limit answered. What it grants counts for the time for which it was asked,
     /// so that tokens which were long under way are not used.
     pub(crate) fn on_tokens_granted(&mut self, now: Time, grant: &TokenGrant) {
-        let longest = MAX_WANTED + WANTED_PER_HOST * self.neighbors.len() as u32;
+        let max_age = MAX_TOKEN_REQUEST_LIFETIME
+            + TOKEN_REQUEST_LIFETIME_PER_HOST * self.neighbors.len() as u32;
         let Some(state) = self.pool.get_mut(&grant.upstream) else {
             return;
         };
         let asked = Time::from_us(grant.asked_us);
         let limit = &mut state.limit;
-        if limit.rate().is_none() || now.since(asked) >= longest {
+        if limit.rate().is_none() || now.since(asked) >= max_age {
             return;
         }
         let mut is_done = false;
-        if let Some(ask) = &mut limit.ask {
-            ask.answered |= ask.sent == asked;
-            ask.take(grant.count);
-            is_done = ask.count() == 0;
+        if let Some(request) = &mut limit.token_request {
+            request.answered |= request.sent == asked;
+            request.deduct_granted(grant.count);
+            is_done = request.total_wanted() == 0;
         }
         limit.unanswered = 0;
-        limit.note_waits(&grant.waits, now);
-        limit.stock.grant(grant.count, now);
+        limit.record_waits(&grant.waits, now);
+        limit.tokens.add_granted(grant.count, now);
         if is_done {
-            limit.ask = None;
+            limit.token_request = None;
         }
     }
 }
 
 /// What is wanted beyond what is asked for already, the most urgent first and not too much.
-fn without(wanted: Vec<WantedTokens>, asks: &[&OpenAsk]) -> Vec<WantedTokens> {
-    let mut left = MAX_TOKENS;
+fn not_yet_requested(
+    wanted: Vec<WantedTokens>,
+    open_requests: &[&OpenTokenRequest],
+) -> Vec<WantedTokens> {
+    let mut left = MAX_TOKENS_PER_REQUEST;
     let rest = wanted.into_iter().map(|wanted| {
-        let asked: u32 = asks.iter().map(|ask| ask.count_of(wanted.priority)).sum();
+        let asked: u32 = open_requests
+            .iter()
+            .map(|request| request.wanted_count(wanted.priority))
+            .sum();
         let count = wanted.count.saturating_sub(asked).min(left);
         left -= count;
         WantedTokens { count, ..wanted }
--- a/crates/policy/src/upstream_limits/upstream_limit.rs
+++ b/crates/policy/src/upstream_limits/upstream_limit.rs
@@ -2,42 +2,42 @@
 
 /// Age of a limit from which the next request goes where it was named, to see whether it still
 /// is. An upstream that names one is else the last to be chosen.
-const CHECK_AFTER: Duration = Duration::from_secs(5);
+const RECHECK_AGE: Duration = Duration::from_secs(5);
 
 /// A question for tokens that is under way.
 #[derive(Debug)]
-pub(crate) struct OpenAsk {
+pub(crate) struct OpenTokenRequest {
     /// Whether the keeper answered.
     pub(crate) answered: bool,
-    pub(crate) keeper: HostId,
+    pub(crate) issuer: HostId,
     pub(crate) sent: Time,
     /// Until when the tokens are wanted.
-    pub(crate) until: Time,
+    pub(crate) expires_at: Time,
     /// Tokens that are wanted, the most urgent first.
     pub(crate) wanted: Vec<WantedTokens>,
 }
 
-impl OpenAsk {
+impl OpenTokenRequest {
     /// Whether requests wait for its tokens.
-    pub(crate) fn waits(&self) -> bool {
+    pub(crate) fn has_waiting_requests(&self) -> bool {
         let mut wanted = self.wanted.iter();
         wanted.any(|wanted| wanted.priority.is_some() && wanted.count > 0)
     }
 
     /// Tokens that are still wanted for requests of a priority.
-    pub(crate) fn count_of(&self, priority: Option<u8>) -> u32 {
+    pub(crate) fn wanted_count(&self, priority: Option<u8>) -> u32 {
         let wanted = self.wanted.iter();
         let same = wanted.filter(|wanted| wanted.priority == priority);
         same.map(|wanted| wanted.count).sum()
     }
 
     /// Tokens that are still wanted.
-    pub(crate) fn count(&self) -> u32 {
+    pub(crate) fn total_wanted(&self) -> u32 {
         self.wanted.iter().map(|wanted| wanted.count).sum()
     }
 
     /// Takes tokens that came.
-    pub(crate) fn take(&mut self, mut count: u32) {
+    pub(crate) fn deduct_granted(&mut self, mut count: u32) {
         for wanted in &mut self.wanted {
             let taken = wanted.count.min(count);
             wanted.count -= taken;
@@ -51,18 +51,18 @@
 pub(crate) struct UpstreamLimit {
     /// When the request was sent whose answer named it.
     as_of: Time,
-    pub(crate) ask: Option<OpenAsk>,
-    pub(crate) keeper: Keeper,
-    pub(crate) next_spare: Time,
+    pub(crate) token_request: Option<OpenTokenRequest>,
+    pub(crate) issuer: TokenIssuer,
+    pub(crate) next_prefetch: Time,
     rate: Option<Rate>,
-    pub(crate) stock: TokenStock,
-    pub(crate) telling: Telling,
+    pub(crate) tokens: HostTokens,
+    pub(crate) announcements: AnnouncementSchedule,
     /// Questions in a row that the keeper left without an answer.
     pub(crate) unanswered: u32,
     /// When the next token is expected for requests of a priority, by the keeper's last word.
-    waits: Vec<(u8, Time)>,
+    expected_waits: Vec<(u8, Time)>,
     /// When the keeper said so.
-    waits_noted: Option<Time>,
+    waits_received_at: Option<Time>,
 }
 
 impl UpstreamLimit {
@@ -81,68 +81,71 @@
 
     /// Takes what an answer named, unless one to a later request is known: answers overtake
     /// each other. Returns whether it is a change.
-    pub(crate) fn note(&mut self, rate: Option<Rate>, sent: Time, now: Time) -> bool {
+    pub(crate) fn update(&mut self, rate: Option<Rate>, sent: Time, now: Time) -> bool {
         if sent < self.as_of {
             return false;
         }
         self.as_of = sent;
         let before = std::mem::replace(&mut self.rate, rate);
         if before.is_none() && rate.is_some() {
-            self.restart(now);
+            self.reset(now);
         }
         before != rate
     }
 
     /// A limit begins: tokens come from now on.
-    fn restart(&mut self, now: Time) {
-        self.ask = None;
-        self.keeper = Keeper::default();
-        self.stock.restart(now);
+    fn reset(&mut self, now: Time) {
+        self.token_request = None;
+        self.issuer = TokenIssuer::default();
+        self.tokens.reset(now);
         self.unanswered = 0;
-        self.waits.clear();
-        self.waits_noted = None;
+        self.expected_waits.clear();
+        self.waits_received_at = None;
     }
 
     /// Notes how long requests have to wait for a token.
-    pub(crate) fn note_waits(&mut self, waits: &[ExpectedWait], now: Time) {
+    pub(crate) fn record_waits(&mut self, waits: &[ExpectedWait], now: Time) {
         let waits = waits.iter().filter_map(|expected| {
             let until = now.plus_ms(u64::from(expected.wait_ms));
             Some((expected.priority?, until))
         });
         let waits: Vec<(u8, Time)> = waits.collect();
         if !waits.is_empty() {
-            self.waits = waits;
-            self.waits_noted = Some(now);
+            self.expected_waits = waits;
+            self.waits_received_at = Some(now);
         }
     }
 
     /// Whether the keeper has announced lately how long requests wait.
-    pub(crate) fn knows_waits(&self, span: Duration, now: Time) -> bool {
-        self.waits_noted
-            .is_some_and(|noted| now.since(noted) < span)
+    pub(crate) fn has_recent_waits(&self, span: Duration, now: Time) -> bool {
+        self.waits_received_at
+            .is_some_and(|received| now.since(received) < span)
     }
 
     /// Expected time to a token for a request of a priority, at least as long as for a more
     /// urgent one; `None` as long as nothing is known.
     pub(crate) fn expected_wait(&self, priority: u8, now: Time) -> Option<Duration> {
-        let waits = self.waits.iter().filter(|(known, _)| *known <= priority);
+        let waits = self
+            .expected_waits
+            .iter()
+            .filter(|(known, _)| *known <= priority);
         waits.map(|(_, until)| until.since(now)).max()
     }
 
     /// Whether the limit was named long ago, so that it may hold no more.
-    pub(crate) fn is_overdue(&self, now: Time) -> bool {
-        self.rate.is_some() && now.since(self.as_of) >= CHECK_AFTER
+    pub(crate) fn needs_recheck(&self, now: Time) -> bool {
+        self.rate.is_some() && now.since(self.as_of) >= RECHECK_AGE
     }
 
     /// Whether one more request may be sent there.
     pub(crate) fn has_token(&self, now: Time) -> bool {
-        self.rate.is_none() || self.stock.has_token(now)
+        self.rate.is_none() || self.tokens.has_token(now)
     }
 
     /// A request is sent there.
-    pub(crate) fn spend(&mut self, now: Time) {
+    pub(crate) fn consume_token(&mut self, now: Time) {
         if self.rate.is_some() {
-            self.stock.spend(now);
+            self.tokens.consume_token(now);
         }
     }
 
--- a/crates/policy/src/upstream_notices/backing_off.rs
+++ b/crates/policy/src/upstream_notices/backing_off.rs
@@ -8,10 +8,10 @@
 
 /// Part of a backoff by which it is made longer at random: hosts that were refused together
 /// would all come back together.
-const SPREAD: f64 = 0.25;
+const JITTER_FRACTION: f64 = 0.25;
 
 /// Most backoffs that are remembered for upstreams whose entry lapses and returns.
-const MAX_REMEMBERED: usize = 4_096;
+const MAX_BACKOFFS: usize = 4_096;
 
 impl Controller {
     /// Notes that an upstream wants nothing from this host for a while.
@@ -27,8 +27,8 @@
         if span.is_zero() {
             return;
         }
-        let longer = 1.0 + SPREAD * self.rng.random::<f64>();
-        let until = now + (*span).min(MAX_BACKOFF).mul_f64(longer);
+        let jitter = 1.0 + JITTER_FRACTION * self.rng.random::<f64>();
+        let until = now + (*span).min(MAX_BACKOFF).mul_f64(jitter);
         self.pool.note_backoff(upstream, until, now);
     }
 }
@@ -36,7 +36,7 @@
 impl Pool {
     fn note_backoff(&mut self, upstream: &UpstreamId, until: Time, now: Time) {
         self.backoffs.retain(|_, until| now < *until);
-        if self.backoffs.len() < MAX_REMEMBERED {
+        if self.backoffs.len() < MAX_BACKOFFS {
             let known = self.backoffs.entry(upstream.clone()).or_insert(until);
             *known = until.max(*known);
         }
--- a/crates/policy/src/upstream_notices/departure.rs
+++ b/crates/policy/src/upstream_notices/departure.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Departure {
     /// Said by this incarnation, so that nothing takes it back; whether first-hand.
-    announced: Option<bool>,
+    stated: Option<bool>,
     /// By the list of the own protocol, where a later list may take it back.
     listed: bool,
     /// By its last load report.
@@ -14,8 +14,8 @@
 }
 
 impl Departure {
-    pub(crate) const fn announce(&mut self, first_hand: bool) {
-        self.announced = Some(first_hand);
+    pub(crate) const fn note_stated(&mut self, first_hand: bool) {
+        self.stated = Some(first_hand);
     }
 
     pub(crate) const fn note_listed(&mut self, listed: bool) {
@@ -33,11 +33,11 @@
     /// Whether this host has it first-hand: what is announced to the others. Their own word is not
     /// passed on, or it would go round for ever.
     pub(crate) const fn is_first_hand(&self) -> bool {
-        self.listed || self.reported || matches!(self.announced, Some(true))
+        self.listed || self.reported || matches!(self.stated, Some(true))
     }
 
     /// Whether any source says so; one is enough.
     pub(crate) fn is_known(&self, now: Time) -> bool {
-        self.is_first_hand() || self.announced.is_some() || now < self.advertised_until
+        self.is_first_hand() || self.stated.is_some() || now < self.advertised_until
     }
 }
--- a/crates/policy/src/upstream_notices/departures.rs
+++ b/crates/policy/src/upstream_notices/departures.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 /// Most upstreams that are remembered; the oldest ones go first.
-const MAX_REMEMBERED: usize = 4_096;
+const MAX_DEPARTURES: usize = 4_096;
 
 /// Time after which one that is listed no more is forgotten.
-const REMEMBERED: Duration = Duration::from_secs(3_600);
+const DEPARTURE_RETENTION: Duration = Duration::from_secs(3_600);
 
 /// Time between two looks at which ones to forget.
-const FORGET_INTERVAL: Duration = Duration::from_secs(60);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Incarnations that said that they leave.
 ///
@@ -15,17 +15,17 @@
 /// from an older copy, while the upstream goes on leaving.
 #[derive(Debug, Default)]
 pub(crate) struct Departures {
-    known: BTreeMap<UpstreamId, Announced>,
-    next_forget: Time,
+    known: BTreeMap<UpstreamId, KnownDeparture>,
+    next_cleanup: Time,
     /// Those that other hosts are still to be notified of.
     unannounced: BTreeSet<UpstreamId>,
 }
 
 #[derive(Debug)]
-struct Announced {
+struct KnownDeparture {
     first_hand: bool,
-    noted: Time,
-    telling: Telling,
+    noted_at: Time,
+    announcements: AnnouncementSchedule,
 }
 
 impl Departures {
@@ -40,20 +40,20 @@
             known.first_hand |= first_hand;
             return false;
         }
-        self.make_room();
-        let announced = Announced {
+        self.evict_oldest();
+        let departure = KnownDeparture {
             first_hand,
-            noted: now,
-            telling: Telling::default(),
+            noted_at: now,
+            announcements: AnnouncementSchedule::default(),
         };
-        self.known.insert(upstream.clone(), announced);
+        self.known.insert(upstream.clone(), departure);
         true
     }
 
     /// Lets the other hosts be notified of one from a moment on.
-    pub(crate) fn tell_from(&mut self, upstream: &UpstreamId, due: Time) {
-        if let Some(announced) = self.known.get_mut(upstream) {
-            announced.telling.restart_at(due);
+    pub(crate) fn schedule_announcement(&mut self, upstream: &UpstreamId, due: Time) {
+        if let Some(departure) = self.known.get_mut(upstream) {
+            departure.announcements.schedule_at(due);
             self.unannounced.insert(upstream.clone());
         }
     }
@@ -63,19 +63,19 @@
         let known = &mut self.known;
         let mut due = Vec::new();
         self.unannounced.retain(|id| {
-            let Some(announced) = known.get_mut(id) else {
+            let Some(departure) = known.get_mut(id) else {
                 return false;
             };
-            if announced.telling.take(now, None) {
+            if departure.announcements.take_due(now, None) {
                 due.push(id.clone());
             }
-            !announced.telling.is_done()
+            !departure.announcements.is_done()
         });
         due
     }
 
     /// Whether an upstream leaves; if so, whether that is known first-hand.
-    pub(crate) fn get(&self, upstream: &UpstreamId) -> Option<bool> {
+    pub(crate) fn first_hand(&self, upstream: &UpstreamId) -> Option<bool> {
         self.known.get(upstream).map(|known| known.first_hand)
     }
 
@@ -85,20 +85,20 @@
     }
 
     /// Forgets old ones that are not listed.
-    pub(crate) fn forget(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Time) {
-        if now < self.next_forget {
+    pub(crate) fn drop_expired(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Time) {
+        if now < self.next_cleanup {
             return;
         }
-        self.next_forget = now + FORGET_INTERVAL;
+        self.next_cleanup = now + CLEANUP_INTERVAL;
         self.known
-            .retain(|id, known| now.since(known.noted) < REMEMBERED || is_listed(id));
+            .retain(|id, known| now.since(known.noted_at) < DEPARTURE_RETENTION || is_listed(id));
     }
 
-    fn make_room(&mut self) {
-        if self.known.len() < MAX_REMEMBERED {
+    fn evict_oldest(&mut self) {
+        if self.known.len() < MAX_DEPARTURES {
             return;
         }
-        let oldest = self.known.iter().min_by_key(|(_, known)| known.noted);
+        let oldest = self.known.iter().min_by_key(|(_, known)| known.noted_at);
         if let Some(id) = oldest.map(|(id, _)| id.clone()) {
             self.known.remove(&id);
         }
--- a/crates/policy/src/upstream_notices/leaving.rs
+++ b/crates/policy/src/upstream_notices/leaving.rs
@@ -4,7 +4,7 @@
 
 /// Time in which a directory that answers lists what an answer said: the other hosts then read
 /// it there, and need no notice.
-const LISTED_WITHIN: Duration = Duration::from_secs(1);
+const DIRECTORY_LISTING_DELAY: Duration = Duration::from_secs(1);
 
 impl Controller {
     /// Notes that an upstream said that it leaves. Nothing takes that back for its incarnation.
@@ -15,7 +15,8 @@
         source: NoticeSource,
         actions: &mut Vec<Action>,
     ) {
-        if !self.pool.announce(upstream, &source, now) || source == NoticeSource::Directory {
+        if !self.pool.record_departure(upstream, &source, now) || source == NoticeSource::Directory
+        {
             return;
         }
         if source == NoticeSource::Own {
@@ -23,14 +24,16 @@
                 .directory
                 .as_ref()
                 .is_some_and(DirectoryView::is_reached);
-            let wait = if reached {
-                LISTED_WITHIN
+            let delay = if reached {
+                DIRECTORY_LISTING_DELAY
             } else {
                 Duration::ZERO
             };
-            self.pool.departures.tell_from(upstream, now + wait);
+            self.pool
+                .departures
+                .schedule_announcement(upstream, now + delay);
         }
-        actions.push(Action::NoteLeaving(LeavingNoted {
+        actions.push(Action::NoteLeaving(LeavingDetected {
             source,
             upstream: upstream.clone(),
         }));
@@ -39,7 +42,8 @@
     /// Takes over which upstreams the directory lists as leaving.
     pub(crate) fn note_listed_leaving(&mut self, now: Time, leaving: &BTreeSet<UpstreamId>) {
         for upstream in leaving {
-            self.pool.announce(upstream, &NoticeSource::Directory, now);
+            self.pool
+                .record_departure(upstream, &NoticeSource::Directory, now);
         }
     }
 
@@ -50,24 +54,25 @@
             let to: Vec<SocketAddr> = self.neighbors.addresses(&self.options.host).collect();
             self.push_upstream_notes(&due, &[], &to, actions);
         }
-        self.pool.forget_departures(now);
+        self.pool.drop_expired_departures(now);
         self.refuse_unavailable(now, actions);
     }
 }
 
 impl Pool {
     /// Notes that an upstream said that it leaves; whether that is news.
-    pub(crate) fn announce(
+    pub(crate) fn record_departure(
         &mut self,
         upstream: &UpstreamId,
         source: &NoticeSource,
         now: Time,
     ) -> bool {
         let is_news = self.departures.note(upstream, source, now);
-        if let (Some(first_hand), Some(place)) =
-            (self.departures.get(upstream), self.index.get(upstream))
-        {
-            self.states[*place].departure.announce(first_hand);
+        if let (Some(first_hand), Some(place)) = (
+            self.departures.first_hand(upstream),
+            self.index.get(upstream),
+        ) {
+            self.states[*place].departure.note_stated(first_hand);
         }
         is_news
     }
@@ -77,8 +82,8 @@
         for state in &mut self.states {
             let listed = self.listed_leaving.contains(&state.id);
             state.departure.note_listed(listed);
-            if let Some(first_hand) = self.departures.get(&state.id) {
-                state.departure.announce(first_hand);
+            if let Some(first_hand) = self.departures.first_hand(&state.id) {
+                state.departure.note_stated(first_hand);
             }
         }
     }
@@ -88,8 +93,9 @@
         !self.departures.is_empty() || !self.backoffs.is_empty()
     }
 
-    fn forget_departures(&mut self, now: Time) {
+    fn drop_expired_departures(&mut self, now: Time) {
         let index = &self.index;
-        self.departures.forget(|id| index.contains_key(id), now);
+        self.departures
+            .drop_expired(|id| index.contains_key(id), now);
     }
 }
--- a/crates/policy/src/upstream_notices/mod.rs
+++ b/crates/policy/src/upstream_notices/mod.rs
@@ -6,19 +6,22 @@
 
 use super::*;
 
+mod announcement_schedule;
 mod backing_off;
 mod backoff;
 mod departure;
 mod departures;
 mod leaving;
-mod leaving_noted;
+mod leaving_detected;
 mod notice_source;
-mod telling;
 mod unavailable;
 
-pub use {leaving_noted::LeavingNoted, notice_source::NoticeSource};
+pub use {leaving_detected::LeavingDetected, notice_source::NoticeSource};
 
-pub(crate) use {backoff::Backoff, departure::Departure, departures::Departures, telling::Telling};
+pub(crate) use {
+    announcement_schedule::AnnouncementSchedule, backoff::Backoff, departure::Departure,
+    departures::Departures,
+};
 
 impl Controller {
     /// An upstream said something of itself in the answer to a request sent at a moment.
@@ -46,7 +49,7 @@
         actions: &mut Vec<Action>,
     ) {
         for limit in &note.limits {
-            self.learn_limit(now, &note.host, limit, actions);
+            self.record_announced_limit(now, &note.host, limit, actions);
         }
         for upstream in &note.rejected {
             self.learn_rejected(now, upstream);
--- a/crates/policy/src/upstream_notices/unavailable.rs
+++ b/crates/policy/src/upstream_notices/unavailable.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 /// Advice to return where all upstreams leave: others may be listed by then.
-const LEAVING_RETURN: Duration = Duration::from_secs(1);
+const LEAVING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// When the upstreams of a target take requests again.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Opening {
+enum NextAvailability {
     /// Once their backoffs are over, the first one at this moment.
     At(Time),
     /// Not any more, as all leave.
@@ -22,18 +22,18 @@
             return;
         }
         let waiting = self.lanes.iter().filter(|(_, lane)| !lane.is_empty());
-        let closed = waiting.filter_map(|(target, _)| {
-            let opening = self.opening(target, now)?;
-            Some((target.clone(), opening))
+        let unavailable = waiting.filter_map(|(target, _)| {
+            let next = self.next_availability(target, now)?;
+            Some((target.clone(), next))
         });
-        let closed: BTreeMap<Target, Opening> = closed.collect();
-        for (id, opening) in self.waiting_in_vain(now, &closed) {
+        let unavailable: BTreeMap<Target, NextAvailability> = unavailable.collect();
+        for (id, next) in self.requests_to_refuse(now, &unavailable) {
             let Some(request) = self.unqueue(now, id) else {
                 continue;
             };
-            let (reason, wait) = match opening {
-                Opening::At(at) => (RefusalReason::UpstreamBackoff, at.since(now)),
-                Opening::Never => (RefusalReason::NoUpstream, LEAVING_RETURN),
+            let (reason, wait) = match next {
+                NextAvailability::At(at) => (RefusalReason::UpstreamBackoff, at.since(now)),
+                NextAvailability::Never => (RefusalReason::NoUpstream, LEAVING_RETRY_AFTER),
             };
             let retry_after = self.spread(wait);
             self.refuse_with(now, &request, reason, retry_after, actions);
@@ -41,48 +41,48 @@
     }
 
     /// `None` while one may take requests now, or nothing is known of when it will.
-    fn opening(&self, target: &Target, now: Time) -> Option<Opening> {
-        let copies = self.pool.copies(target);
-        let mut opening = None;
-        for state in copies {
+    fn next_availability(&self, target: &Target, now: Time) -> Option<NextAvailability> {
+        let upstreams = self.pool.copies(target);
+        let mut next = None;
+        for state in upstreams {
             if state.is_leaving(now) {
-                opening.get_or_insert(Opening::Never);
+                next.get_or_insert(NextAvailability::Never);
                 continue;
             }
             if !state.health.is_well() || state.backoff.is_over(now) {
                 return None;
             }
             let until = state.backoff.asked_until()?;
-            opening = match opening {
-                Some(Opening::At(at)) => Some(Opening::At(at.min(until))),
-                _ => Some(Opening::At(until)),
+            next = match next {
+                Some(NextAvailability::At(at)) => Some(NextAvailability::At(at.min(until))),
+                _ => Some(NextAvailability::At(until)),
             };
         }
-        opening
+        next
     }
 
-    fn waiting_in_vain(
+    fn requests_to_refuse(
         &self,
         now: Time,
-        closed: &BTreeMap<Target, Opening>,
-    ) -> Vec<(RequestId, Opening)> {
-        if closed.is_empty() {
+        unavailable: &BTreeMap<Target, NextAvailability>,
+    ) -> Vec<(RequestId, NextAvailability)> {
+        if unavailable.is_empty() {
             return Vec::new();
         }
-        let in_vain = self.requests.iter().filter_map(|(id, stage)| {
+        let to_refuse = self.requests.iter().filter_map(|(id, stage)| {
             let Stage::Queued(request) = stage else {
                 return None;
             };
             let facts = &request.facts;
-            let opening = *closed.get(&facts.target)?;
-            let is_late = match opening {
-                Opening::At(at) => at >= facts.deadline,
-                Opening::Never => now >= facts.due,
+            let next = *unavailable.get(&facts.target)?;
+            let is_refused = match next {
+                NextAvailability::At(at) => at >= facts.deadline,
+                NextAvailability::Never => now >= facts.due,
             };
-            is_late.then_some((*id, opening))
+            is_refused.then_some((*id, next))
         });
-        let mut in_vain: Vec<(RequestId, Opening)> = in_vain.collect();
-        in_vain.sort_unstable_by_key(|(id, _)| *id);
-        in_vain
+        let mut to_refuse: Vec<(RequestId, NextAvailability)> = to_refuse.collect();
+        to_refuse.sort_unstable_by_key(|(id, _)| *id);
+        to_refuse
     }
 }
--- a/crates/policy/src/upstreams/choice.rs
+++ b/crates/policy/src/upstreams/choice.rs
@@ -59,7 +59,7 @@
         }
         let mut states = places.iter().map(|place| &self.states[*place]);
         states.find(|state| {
-            state.limit.is_overdue(now) && state.is_open(now) && wanted.is_fresh(state)
+            state.limit.needs_recheck(now) && state.is_open(now) && wanted.is_fresh(state)
         })
     }
 
--- a/crates/policy/src/upstreams/ejection.rs
+++ b/crates/policy/src/upstreams/ejection.rs
@@ -84,7 +84,7 @@
             .filter_map(|state| {
                 let due = state.health.take_probe(now);
                 if due {
-                    state.limit.spend(now);
+                    state.limit.consume_token(now);
                 }
                 due.then(|| (state.id.clone(), state.definition.address()))
             })
--- a/crates/policy/src/upstreams/upstream_state.rs
+++ b/crates/policy/src/upstreams/upstream_state.rs
@@ -108,7 +108,7 @@
     pub(crate) fn start(&mut self, facts: &RequestFacts, now: Time) {
         self.in_flight += 1;
         self.backoff.note_sent(now);
-        self.limit.spend(now);
+        self.limit.consume_token(now);
         self.in_flight_trial += u32::from(facts.rank.plan == Plan::Trial);
         self.pause_bound += u32::from(facts.pause_bound);
         self.history.note(self.in_flight, now);
--- a/crates/policy/tests/installation/named_limits.rs
+++ b/crates/policy/tests/installation/named_limits.rs
@@ -235,7 +235,7 @@
     fleet.pass(seconds(4), &load);
     assert_eq!(fleet.of("lookup").refused, before);
     for host in &fleet.hosts {
-        assert_eq!(host.controller.limited(), []);
+        assert_eq!(host.controller.named_limits(), []);
     }
 }
 
@@ -248,7 +248,7 @@
     fleet.pass(seconds(12), &load);
     let limited = |fleet: &Fleet| {
         let hosts = fleet.hosts.iter();
-        let known = hosts.filter(|host| !host.controller.limited().is_empty());
+        let known = hosts.filter(|host| !host.controller.named_limits().is_empty());
         known.count()
     };
     assert_eq!(limited(&fleet), 9);
@@ -266,7 +266,7 @@
     fleet.pass(seconds(8), &load);
     fleet.restart(4);
     fleet.pass(seconds(2), &[]);
-    let known = fleet.hosts[4].controller.limited();
+    let known = fleet.hosts[4].controller.named_limits();
     assert_eq!(known, [(replica(0), Rate::per_second(0.5).unwrap())]);
 }
 
--- a/crates/router/src/controller_thread.rs
+++ b/crates/router/src/controller_thread.rs
@@ -484,7 +484,7 @@
         }
         let unread_bytes = self.thread.unread.held_bytes();
         gauge!("rhubarbcove_unread_answer_bytes").set(unread_bytes as f64);
-        gauge!("rhubarbcove_limited_upstreams").set(controller.limited().len() as f64);
+        gauge!("rhubarbcove_limited_upstreams").set(controller.named_limits().len() as f64);
         let out_of_reach = controller.out_of_reach();
         gauge!("rhubarbcove_upstreams_out_of_reach").set(out_of_reach.len() as f64);
         let unlisted = controller.unlisted();
--- a/crates/router/src/decision_log.rs
+++ b/crates/router/src/decision_log.rs
@@ -228,7 +228,7 @@
     }
 
     /// What an upstream names as its limit changed.
-    pub(crate) fn limit_noted(&mut self, now: Time, noted: &LimitNoted) {
+    pub(crate) fn limit_noted(&mut self, now: Time, noted: &LimitChange) {
         let source = noted.source.as_str();
         counter!("rhubarbcove_limits_noted_total", "source" => source).increment(1);
         if self.budget.take(LineKind::Important, now) {
@@ -255,7 +255,7 @@
     }
 
     /// An upstream is newly known to leave.
-    pub(crate) fn leaving_noted(&mut self, now: Time, noted: &LeavingNoted) {
+    pub(crate) fn leaving_noted(&mut self, now: Time, noted: &LeavingDetected) {
         let source = noted.source.as_str();
         counter!("rhubarbcove_leaving_noted_total", "source" => source).increment(1);
         if self.budget.take(LineKind::Important, now) {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -38,7 +38,7 @@
     policy::{
         Action, AdmissionNoted, Arrival, AttemptEnd, BrittleNoted, ClaimAnswer, ClaimRequest,
         Controller, ControllerOptions, CrashNoted, CrashSource, Event, FetchEnd, HostPhase,
-        LeavingNoted, LimitNoted, Outcome, OutcomeEnd, PrefixHash, ReachNoted, Refusal,
+        LeavingDetected, LimitChange, Outcome, OutcomeEnd, PrefixHash, ReachNoted, Refusal,
         RefusalReason, RelayRules, Repeatability, RoomRules, Routed, SendOrder, Settlement,
         SpeedNoted, StoredAnswer, Target, TransferSlots, WasteCause, WorkingSet,
     },
