--- a/crates/policy/src/upstream_limits/host_tokens.rs
+++ b/crates/policy/src/upstream_limits/host_tokens.rs
@@ -1,31 +1,31 @@
 use super::*;
 
-/// Requests of all hosts that an upstream may get beyond its rate where hosts spend parts of
-/// their own: with them a part holds a whole token.
+/// Requests beyond its rate that an upstream may get from all hosts together if hosts have local
+/// quotas. This allowance lets each local quota hold a whole token.
 const LOCAL_QUOTA_BURST_TOKENS: f64 = 2.0;
 
-/// Part of a limit that is divided equally where hosts spend parts of their own.
+/// Fraction of a limit that is divided equally among the hosts as local quotas.
 pub(crate) const LOCAL_QUOTA_FRACTION: f64 = 0.5;
 
 /// The tokens of one host for one upstream.
 #[derive(Debug, Default)]
 pub(crate) struct HostTokens {
-    /// When granted tokens lapse, in order.
+    /// When each granted token expires, in order.
     granted_expiries: VecDeque<Time>,
-    /// Whether the limit has just begun, so that all of the own part is there.
+    /// Whether the limit is new. The local quota then starts full.
     is_new: bool,
-    /// This host's own part, for which it asks nobody.
+    /// This host's share of the limit, which it uses without asking the issuer.
     local_quota: TokenBucket,
 }
 
 impl HostTokens {
-    /// Whether each of so many hosts has a part of its own of a limit. A part must hold a whole
-    /// token, and if all hosts send at once the upstream must not get much more than the limit.
+    /// Whether each of `hosts` hosts has a local quota. A quota must hold a whole token, and if all
+    /// hosts send at once, the upstream must not get many more requests than its limit allows.
     pub(crate) fn has_local_quotas(rate_per_s: f64, hosts: usize) -> bool {
         rate_per_s + LOCAL_QUOTA_BURST_TOKENS >= hosts as f64
     }
 
-    /// Follows the limit and the number of hosts.
+    /// Sets the rate of the limit and the number of hosts.
     pub(crate) fn update_rate(&mut self, rate_per_s: f64, hosts: usize, now: Time) {
         let is_new = std::mem::take(&mut self.is_new);
         if Self::has_local_quotas(rate_per_s, hosts) {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A limit begins.
+    /// Starts a new limit: drops all tokens. The local quota is filled when its rate is set.
     pub(crate) fn reset(&mut self, now: Time) {
         self.granted_expiries.clear();
         self.is_new = true;
@@ -61,7 +61,7 @@
             || self.local_quota.available(now) > 0
     }
 
-    /// Takes a token, if there is one.
+    /// Consumes a token, if one is available.
     pub(crate) fn consume_token(&mut self, now: Time) {
         self.drop_expired(now);
         if self.granted_expiries.pop_front().is_none() && self.local_quota.available(now) > 0 {
--- a/crates/policy/src/upstream_limits/issuer_selection.rs
+++ b/crates/policy/src/upstream_limits/issuer_selection.rs
@@ -1,20 +1,20 @@
-//! Which host is the keeper of an upstream's limit.
+//! Selects the token issuer of an upstream's limit among the hosts.
 
 use super::*;
 
-/// Time for which a host that is not observed counts as one that may send, too: hosts that are cut
-/// off from each other for an hour must not both spend the whole limit.
+/// Time for which a host that is no longer observed still counts as one that may send requests.
+/// Hosts that are cut off from each other for an hour must not each use the whole limit.
 const HOST_RETENTION: Duration = Duration::from_secs(2 * 3_600);
 
 impl Neighbors {
-    /// Other hosts that may send requests, also those that are not observed now.
+    /// Number of other hosts that may send requests, including hosts that are not observed now.
     pub(crate) fn remembered_count(&self, own: &HostId, now: Time) -> usize {
-        // Those that exchange no notes with this one send, too.
+        // Hosts that exchange no notes with this host are in the list only, but send requests, too.
         let known = self.remembered_hosts(own, now).count();
         known.max(self.listed().saturating_sub(1))
     }
 
-    /// Those of them that exchange notes with this one.
+    /// Other hosts that may send requests and that exchange notes with this host.
     pub(crate) fn remembered_hosts(
         &self,
         own: &HostId,
@@ -25,13 +25,13 @@
         known.map(|(host, ..)| host)
     }
 
-    /// Whether a note of a host came within a time.
+    /// Whether the last note from a host arrived within a time.
     pub(crate) fn received_within(&self, host: &HostId, within: Duration, now: Time) -> bool {
         let last = self.last_received(host);
         last.is_some_and(|received| now.since(received) < within)
     }
 
-    /// Other hosts that live, as far as this one knows, and where they are reached.
+    /// Other hosts that this host considers alive, and their addresses.
     pub(crate) fn live_hosts(
         &self,
         own: &HostId,
@@ -45,8 +45,8 @@
 }
 
 impl Controller {
-    /// The host that keeps an upstream's limit, and where it is reached: `None` in the address
-    /// for this one. All hosts that observe each other work out the same one.
+    /// The host that issues tokens for an upstream, and its address; the address is `None` if the
+    /// issuer is this host. All hosts that observe each other select the same issuer.
     pub(crate) fn token_issuer(
         &self,
         upstream: &UpstreamId,
@@ -68,7 +68,7 @@
         )
     }
 
-    /// The part of a limit that the hosts which observe each other may spend.
+    /// Fraction of a limit that this host and the hosts that it considers alive may use together.
     pub(crate) fn reachable_fraction(&self, now: Time) -> f64 {
         let own = &self.options.host;
         let live = self.neighbors.live_hosts(own, now).count() + 1;
--- a/crates/policy/src/upstream_limits/issuing.rs
+++ b/crates/policy/src/upstream_limits/issuing.rs
@@ -1,21 +1,24 @@
-//! What a host does as the keeper of an upstream's limit.
+//! Issues tokens on the host that is the token issuer of an upstream's limit.
 
 use super::*;
 
-/// Time between two looks at who the keeper of each limit is …
+/// Base interval at which the issuer of each limit is selected again.
 const ISSUER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// … and for each host, as each look weighs all of them.
+/// Added to `ISSUER_CHECK_INTERVAL` for each host, because each selection computes a weight for
+/// every host.
 const ISSUER_CHECK_INTERVAL_PER_HOST: Duration = Duration::from_millis(2);
 
-/// Time between two looks at requests for which no token will come in time.
+/// Interval at which queued requests are checked for those that will get no token in time.
 const REFUSAL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest time for which tokens may be wanted.
+/// Longest time for which the issuer keeps a token request, even if the requesting host wants its
+/// tokens for longer.
 const MAX_ACCEPTED_LIFETIME: Duration = Duration::from_secs(10);
 
 impl Controller {
-    /// Looks who keeps which limit, and gives out tokens.
+    /// Announces limits, updates the issuers, refuses requests that will get no token in time, and
+    /// issues tokens.
     pub(crate) fn tick_limits(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.announce_limits(now, actions);
         if self.upstream_limits.is_empty() {
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Another host asks this one for tokens.
+    /// Handles a token request from another host.
     pub(crate) fn on_tokens_asked(
         &mut self,
         now: Time,
@@ -90,15 +93,16 @@
             self.push_upstream_notes(&[], &limits, &[from], actions);
             return;
         }
-        // A question whether this host is there asks no further, or two hosts that take each
-        // other for the keeper would never end.
+        // A request without wanted tokens asks only whether this host is alive. It must not cause
+        // another probe, or two hosts that consider each other the issuer would probe each
+        // other forever.
         if !state.limit.issuer.is_issuer() && !ask.wanted.is_empty() {
             self.probe_issuer(now, upstream, actions);
         }
         self.handle_token_request(now, Some(from), ask, actions);
     }
 
-    /// Takes a question for tokens, of another host or of this one.
+    /// Handles a token request from another host or from this one.
     pub(crate) fn handle_token_request(
         &mut self,
         now: Time,
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Gives out the tokens of an upstream that are there; names the hosts that got some.
+    /// Issues the available tokens of an upstream. Returns the hosts that got some.
     fn issue_tokens(
         &mut self,
         now: Time,
@@ -160,7 +164,7 @@
         hosts
     }
 
-    /// Tells a host which tokens it gets, and when the next ones can be expected.
+    /// Sends a host its tokens and the expected waits for the next ones.
     fn send_token_grant(
         &mut self,
         now: Time,
--- a/crates/policy/src/upstream_limits/limit_announcements.rs
+++ b/crates/policy/src/upstream_limits/limit_announcements.rs
@@ -1,15 +1,16 @@
-//! What hosts tell each other of limits.
+//! Announces limits between hosts.
 
 use super::*;
 
-/// Time between two reminders of a keeper, for hosts that start later …
+/// Base interval at which the issuer announces an unchanged limit again, for hosts that start
+/// later.
 const REANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// … and for each host, so that its traffic stays bounded.
+/// Added to `REANNOUNCE_INTERVAL` for each host, so that the issuer's traffic stays bounded.
 const REANNOUNCE_INTERVAL_PER_HOST: Duration = Duration::from_millis(50);
 
-/// By how much another host's word is taken to be older than it says: what was seen here goes
-/// first if the two are about as old.
+/// Added to the age of a limit that another host announces, so that a limit which this host learned
+/// itself takes precedence if both are about equally old.
 const REMOTE_AGE_MARGIN: Duration = Duration::from_millis(50);
 
 impl Controller {
--- a/crates/policy/src/upstream_limits/limit_change.rs
+++ b/crates/policy/src/upstream_limits/limit_change.rs
@@ -3,9 +3,10 @@
 /// A change of the limit that an upstream names, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitChange {
-    /// Requests that it takes from all hosts together; `None` for any number.
+    /// Requests per second that the upstream accepts from all hosts together; `None` without a
+    /// limit.
     pub limit: Option<Rate>,
-    /// Who saw it.
+    /// Where the limit comes from.
     pub source: NoticeSource,
     /// The upstream.
     pub upstream: UpstreamId,
--- a/crates/policy/src/upstream_limits/mod.rs
+++ b/crates/policy/src/upstream_limits/mod.rs
@@ -1,12 +1,13 @@
 //! Limits that upstreams name for the requests of all hosts together.
 //!
-//! In: what answers name, what other hosts tell, requests that wait. Out: whether this host may
-//! send an upstream one more request, which host it asks for that right, what it grants others.
+//! Input: limits in responses, limits announced by other hosts, and queued requests. Output:
+//! whether this host may send an upstream one more request, which host it asks for tokens, and
+//! which tokens it grants to other hosts.
 //!
-//! A token is the right to send a limited upstream one request. Each limited upstream has one
-//! keeper among the hosts, which all work out alike; it gives tokens out at the rate of the
-//! limit. Where the limit is large for so many hosts, each has a part of its own besides, for
-//! which it asks nobody.
+//! A token is the right to send one request to an upstream with a limit. Each such upstream has one
+//! token issuer among the hosts. All hosts compute the same issuer. The issuer grants tokens at the
+//! rate of the limit. If the limit is large enough for the number of hosts, each host also has a
+//! local quota, which it uses without asking.
 
 use super::*;
 
@@ -32,39 +33,39 @@
     upstream_limit::OpenTokenRequest,
 };
 
-/// Slowest rate at which a limited upstream is tried: one that takes nothing is asked now and
-/// then whether that still holds.
+/// Lowest rate at which tokens are issued, even if an upstream names a lower limit or zero. The few
+/// requests that are sent at this rate show whether the limit still holds.
 const MIN_RATE_PER_S: f64 = 0.1;
 
-/// Time for which a token may be used.
+/// Time for which a granted token may be used.
 const TOKEN_LIFETIME: Duration = Duration::from_millis(500);
 
-/// Time for which a limit is remembered after it was named, while the upstream is not listed.
+/// Time for which the limit of an upstream that is no longer listed is kept, counted from the
+/// request whose response named the limit.
 const LIMIT_RETENTION: Duration = Duration::from_secs(3_600);
 
 /// What a host knows of all limits.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamLimits {
-    /// Upstreams whose limit changed, while other hosts are notified.
+    /// Upstreams whose limit changed and for which announcements to other hosts are outstanding.
     unannounced: BTreeSet<UpstreamId>,
-    /// Upstreams that name one.
+    /// Upstreams that name a limit.
     limited: BTreeSet<UpstreamId>,
     next_issuer_check: Time,
     next_refusal_check: Time,
-    /// Hosts that did not answer, and until when they are passed over as keepers.
+    /// Hosts that did not answer token requests, and until when each is skipped as an issuer.
     unresponsive: HashMap<HostId, Time>,
 }
 
 impl UpstreamLimits {
-    /// Whether no upstream names one.
+    /// Whether no upstream names a limit.
     pub(crate) fn is_empty(&self) -> bool {
         self.limited.is_empty()
     }
 }
 
 impl Controller {
-    /// An upstream named its limit, or none, in the answer to a request that this host sent at
-    /// a moment.
+    /// Handles the limit in a response, or its absence. `sent` is when this host sent the request.
     pub(crate) fn on_limit_answered(
         &mut self,
         now: Time,
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Takes what an upstream named in the answer to a request sent at a moment; whether it is
-    /// news.
+    /// Records the limit that an upstream named in the response to a request sent at `sent`.
+    /// Returns whether the limit changed.
     fn record_limit(
         &mut self,
         now: Time,
@@ -118,7 +119,8 @@
         true
     }
 
-    /// Takes up the limits of upstreams that are listed again.
+    /// Restores the limits of upstreams that are listed again, and drops lapsed limits that are too
+    /// old.
     pub(crate) fn restore_lapsed_limits(&mut self, now: Time) {
         let pool = &mut self.pool;
         let restored = pool.restore_limits();
@@ -140,8 +142,8 @@
 }
 
 impl Pool {
-    /// Gives the upstreams the limits that they named before their entries lapsed, as their states
-    /// are new; tells which.
+    /// Gives upstreams that are listed again, and so have a new state, the limits that they had
+    /// before their entries lapsed. Returns these upstreams.
     fn restore_limits(&mut self) -> Vec<UpstreamId> {
         let mut restored = Vec::new();
         if self.lapsed_limits.is_empty() {
--- a/crates/policy/src/upstream_limits/token_bucket.rs
+++ b/crates/policy/src/upstream_limits/token_bucket.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Tokens that come at a rate, up to a number.
+/// A token bucket: tokens accrue at a fixed rate up to a capacity.
 #[derive(Debug, Default)]
 pub(crate) struct TokenBucket {
     refilled_at: Time,
@@ -10,13 +10,13 @@
 }
 
 impl TokenBucket {
-    /// Empties it; tokens come from now on.
+    /// Empties the bucket. Tokens accrue from `now` on.
     pub(crate) fn reset(&mut self, now: Time) {
         self.refilled_at = now;
         self.level = 0.0;
     }
 
-    /// Changes rate and size; what came so far came by the old ones.
+    /// Changes the rate and the capacity. Tokens accrue by the old values up to `now`.
     pub(crate) fn set_rate(&mut self, rate_per_s: f64, capacity: f64, now: Time) {
         self.refill(now);
         self.rate_per_s = rate_per_s;
@@ -24,7 +24,7 @@
         self.level = self.level.min(capacity);
     }
 
-    /// Has all tokens that it can hold.
+    /// Fills the bucket to its capacity.
     pub(crate) fn fill(&mut self) {
         self.level = self.capacity;
     }
@@ -39,18 +39,18 @@
         (self.level + added).min(self.capacity)
     }
 
-    /// Whole tokens that are there.
+    /// Whole tokens in the bucket.
     pub(crate) fn available(&self, now: Time) -> u32 {
         self.level(now) as u32
     }
 
-    /// Takes tokens that are there.
+    /// Takes tokens, which must be available.
     pub(crate) fn take(&mut self, count: u32, now: Time) {
         self.refill(now);
         self.level -= f64::from(count);
     }
 
-    /// Time in which so many tokens come.
+    /// Time in which `count` tokens accrue.
     pub(crate) fn refill_time(&self, count: u32) -> Duration {
         let refill_s = f64::from(count) / self.rate_per_s.max(f64::MIN_POSITIVE);
         Duration::try_from_secs_f64(refill_s).unwrap_or(Duration::MAX)
--- a/crates/policy/src/upstream_limits/token_issuer.rs
+++ b/crates/policy/src/upstream_limits/token_issuer.rs
@@ -1,19 +1,20 @@
 use super::*;
 
-/// Time from which a host believes itself to be the keeper to its first token. Meanwhile all
-/// others learn that the last keeper has gone, or this host observes those that it thought gone.
+/// Delay after which a host that has become the issuer issues its first token. In the meantime all
+/// other hosts learn that the previous issuer is gone, or this host again observes hosts that it
+/// considered gone. Without the delay two hosts could issue tokens at the same time.
 const TAKEOVER_DELAY: Duration = Duration::from_secs(2);
 
-/// Age of a limit up to which no other host can have been its keeper.
+/// Age up to which a limit is so new that no other host can have been its issuer.
 const NEW_LIMIT_AGE: Duration = Duration::from_secs(2);
 
-/// Tokens that a keeper holds at the most: one, and those of an eighth of a second.
+/// Time whose tokens an issuer accumulates at most, in addition to one token.
 const BURST_S: f64 = 0.125;
 
-/// A host that waits for tokens, for requests of one priority.
+/// A host that waits for tokens for requests of one priority.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingTokenRequest {
-    /// Where the host is reached; `None` for this host.
+    /// Address of the host; `None` for this host.
     pub(crate) address: Option<SocketAddr>,
     pub(crate) asked_us: u64,
     pub(crate) host: HostId,
@@ -21,7 +22,7 @@
     pub(crate) wanted: WantedTokens,
 }
 
-/// Tokens given to a host.
+/// Tokens issued to a host.
 #[derive(Debug)]
 pub(crate) struct IssuedTokens {
     pub(crate) address: Option<SocketAddr>,
@@ -30,23 +31,26 @@
     pub(crate) host: HostId,
 }
 
-/// The order in which priorities are served: requests that do not wait yet come last.
+/// Rank by which priorities are served, the lowest first. Tokens that no queued request waits for
+/// are served last.
 pub(crate) fn priority_rank(priority: Option<u8>) -> u16 {
     priority.map_or(u16::MAX, u16::from)
 }
 
-/// What the keeper of an upstream's limit has given out, and who waits.
+/// State of a host as the issuer of an upstream's tokens: the available tokens and the hosts that
+/// wait for them.
 #[derive(Debug, Default)]
 pub(crate) struct TokenIssuer {
     bucket: TokenBucket,
-    /// In the order in which hosts began to wait, or got their last token.
+    /// Ordered by when each host began to wait or got its last token.
     pending: Vec<PendingTokenRequest>,
-    /// From when on this host gives tokens out, if it is the keeper as far as it knows.
+    /// When this host starts to issue tokens; `None` if it does not consider itself the issuer.
     issues_from: Option<Time>,
 }
 
 impl TokenIssuer {
-    /// Notes whether this host is the keeper, and at which rate it gives tokens out.
+    /// Sets whether this host is the issuer, and at which rate it issues tokens. `age` is the age
+    /// of the limit.
     pub(crate) fn update_role(
         &mut self,
         is_issuer: bool,
@@ -76,8 +80,8 @@
         self.issues_from.is_some()
     }
 
-    /// Takes what a host wants, in place of what it wanted before. For a priority for which it
-    /// waits already it keeps its place.
+    /// Replaces the pending requests of a host. A request of a priority for which the host already
+    /// waits keeps its place in the queue.
     pub(crate) fn replace_requests(&mut self, host: &HostId, requests: Vec<PendingTokenRequest>) {
         let is_wanted = |pending: &PendingTokenRequest| {
             let same =
@@ -96,13 +100,14 @@
         }
     }
 
-    /// Whether tokens are wanted.
+    /// Whether any host waits for tokens.
     pub(crate) fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Expected time until a host's next token for requests of a priority. What is more urgent
-    /// goes first; of equal ones each gets one token at a time.
+    /// Expected wait until a host's next token for requests of a priority. More urgent requests of
+    /// other hosts are served first; of equally urgent requests, each host gets one token at a
+    /// time.
     pub(crate) fn expected_wait(&self, host: &HostId, priority: Option<u8>, now: Time) -> Duration {
         let own = priority_rank(priority);
         let others = self.pending.iter().filter(|request| request.host != *host);
@@ -119,8 +124,8 @@
         delay + self.bucket.refill_time(ahead.sum::<u32>() + 1)
     }
 
-    /// Gives out the tokens that are there, to the most urgent first, and of equal ones to who
-    /// has waited longest.
+    /// Issues the available tokens to the most urgent requests first and, among equally urgent
+    /// ones, to the host that has waited longest.
     pub(crate) fn issue_tokens(&mut self, now: Time) -> Vec<IssuedTokens> {
         self.pending
             .retain(|request| now < request.expires_at && request.wanted.count > 0);
@@ -130,7 +135,7 @@
         }
         while self.bucket.available(now) > 0 {
             let indexes = 0..self.pending.len();
-            // The first one of equal ones.
+            // `min_by_key` returns the first of several equal items, which has waited longest.
             let first =
                 indexes.min_by_key(|index| priority_rank(self.pending[*index].wanted.priority));
             let Some(index) = first else {
--- a/crates/policy/src/upstream_limits/token_limited.rs
+++ b/crates/policy/src/upstream_limits/token_limited.rs
@@ -1,9 +1,10 @@
-//! Requests that wait for nothing but a token.
+//! Queued requests that wait only for a token.
 
 use super::*;
 
 impl Controller {
-    /// Targets with requests that wait, none of whose upstreams may be sent one.
+    /// Targets that have queued requests, have an upstream that lacks only a token, and have no
+    /// upstream that accepts a request now.
     pub(crate) fn token_limited_targets(&self, now: Time) -> Vec<Target> {
         let waiting = self.lanes.iter().filter(|(_, lane)| !lane.is_empty());
         let token_limited = waiting.filter(|(target, _)| self.is_token_limited(target, now));
@@ -23,14 +24,14 @@
         state.takes_work(now) && !state.limit.has_token(now)
     }
 
-    /// Upstreams of a target that would take work if there were a token.
+    /// Upstreams of a target that would accept a request if this host had a token.
     pub(crate) fn token_limited_upstreams(&self, target: &Target, now: Time) -> Vec<UpstreamId> {
         let upstreams = self.pool.copies(target);
         let token_limited = upstreams.filter(|state| self.lacks_only_token(state, now));
         token_limited.map(|state| state.id.clone()).collect()
     }
 
-    /// Tokens that the requests of a target wait for, the most urgent first.
+    /// Tokens that the queued requests of a target wait for, the most urgent first.
     pub(crate) fn tokens_for_queued(&self, target: &Target) -> Vec<WantedTokens> {
         let mut counts: BTreeMap<u8, u32> = BTreeMap::new();
         for (_, facts) in self.queued_requests(target) {
@@ -54,8 +55,8 @@
         queued.filter(move |(_, facts)| facts.target == *target)
     }
 
-    /// Refuses requests for which no token will come in time, with the time after which one is
-    /// likely: their callers had better ask again than wait for nothing.
+    /// Refuses requests that will get no token before their deadline, so that their callers can
+    /// retry when a token is likely instead of waiting for a token that comes too late.
     pub(crate) fn refuse_token_limited(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.queued == 0 {
             return;
@@ -67,14 +68,15 @@
         }
     }
 
-    /// Requests that wait in vain, and for how long they would; the most urgent ones come first.
+    /// Queued requests that will get no token before their deadline, each with its expected wait,
+    /// the most urgent first.
     fn requests_missing_deadline(&self, target: &Target, now: Time) -> Vec<(RequestId, Duration)> {
         let upstreams = self.token_limited_upstreams(target, now);
         let limits: Vec<&UpstreamLimit> = upstreams
             .iter()
             .filter_map(|id| Some(&self.pool.get(id)?.limit))
             .collect();
-        // With many upstreams a few are asked.
+        // Of many upstreams only a few are asked for tokens, so only these have an expected wait.
         let asked_upstreams = limits
             .len()
             .clamp(1, token_requests::MAX_OPEN_TOKEN_REQUESTS);
--- a/crates/policy/src/upstream_limits/token_requests.rs
+++ b/crates/policy/src/upstream_limits/token_requests.rs
@@ -1,43 +1,45 @@
-//! Which tokens a host asks for.
+//! Requests tokens from the issuers of limits.
 
 use super::*;
 
-/// Time in which a keeper that lives answers.
+/// Time within which a live issuer answers.
 const ISSUER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Questions in a row without an answer after which a keeper is passed over …
+/// Consecutive unanswered token requests after which an issuer is skipped, unless a note from it
+/// arrived within `LIVE_WITHIN`.
 const MAX_UNANSWERED: u32 = 2;
 
-/// … unless a note of it came within this time …
+/// Age up to which the last note from an issuer shows that it is alive.
 const LIVE_WITHIN: Duration = Duration::from_millis(1_500);
 
-/// … and for how long.
+/// Time for which an issuer that does not answer is skipped.
 const SKIP_ISSUER_FOR: Duration = Duration::from_secs(3);
 
-/// Time for which tokens are wanted …
+/// Base time for which requested tokens are wanted.
 const TOKEN_REQUEST_LIFETIME: Duration = Duration::from_millis(250);
 
-/// … and for each host that may ask, so that the keeper's traffic stays bounded.
+/// Added to `TOKEN_REQUEST_LIFETIME` for each host that may ask, so that the issuer's traffic stays
+/// bounded.
 const TOKEN_REQUEST_LIFETIME_PER_HOST: Duration = Duration::from_millis(10);
 
-/// Longest time for which tokens are wanted at a slow rate.
+/// Longest time for which requested tokens are wanted at a low rate.
 const MAX_TOKEN_REQUEST_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Time between two questions for a token that no request waits for …
+/// Base interval between two requests for tokens that no queued request waits for.
 const PREFETCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// … and for each host that may ask.
+/// Added to `PREFETCH_INTERVAL` for each host that may ask.
 const PREFETCH_INTERVAL_PER_HOST: Duration = Duration::from_millis(100);
 
-/// Most upstreams of a target that are asked for at a time.
+/// Maximum number of upstreams of a target for which token requests are open at a time.
 pub(crate) const MAX_OPEN_TOKEN_REQUESTS: usize = 3;
 
-/// Most tokens of one question.
+/// Maximum number of tokens in one token request.
 const MAX_TOKENS_PER_REQUEST: u32 = 16;
 
 impl Controller {
-    /// Asks for the tokens that requests wait for, and now and then for one to spare; whether
-    /// some were granted at once, by this host itself.
+    /// Requests the tokens that queued requests wait for, and prefetches some at intervals. Returns
+    /// whether this host, as the issuer, granted itself tokens at once and requests are queued.
     pub(crate) fn request_tokens(&mut self, now: Time, actions: &mut Vec<Action>) -> bool {
         if self.upstream_limits.is_empty() {
             return false;
@@ -85,8 +87,8 @@
         granted
     }
 
-    /// The question that more urgent requests join, as all upstreams are asked already, and what
-    /// it asks then.
+    /// Merges more urgent wanted tokens into an open token request. Returns its upstream and the
+    /// merged tokens; `None` if `wanted` is not more urgent than each open request.
     fn merged_with_open_request(
         &self,
         open: &[UpstreamId],
@@ -113,8 +115,8 @@
         Some((upstream.clone(), merged.take(peer::MAX_WANTED).collect()))
     }
 
-    /// Asks the keeper of one more upstream how long requests of a priority would wait there, so
-    /// that those are refused early for which no token will come in time.
+    /// Asks the issuer of one more upstream how long requests of a priority would wait, so that
+    /// requests that will get no token in time are refused early.
     fn query_expected_wait(
         &mut self,
         now: Time,
@@ -141,7 +143,8 @@
         }
     }
 
-    /// Time for which tokens of a limit are wanted: at least until one comes.
+    /// Time for which requested tokens of a limit are wanted: at least until one token accrues, up
+    /// to `MAX_TOKEN_REQUEST_LIFETIME`.
     fn token_request_lifetime(&self, limit: &UpstreamLimit) -> Duration {
         let lifetime =
             TOKEN_REQUEST_LIFETIME + TOKEN_REQUEST_LIFETIME_PER_HOST * self.neighbors.len() as u32;
@@ -149,7 +152,8 @@
         lifetime.max(Duration::from_secs_f64(1.0 / rate_per_s).min(MAX_TOKEN_REQUEST_LIFETIME))
     }
 
-    /// By which of equally good upstreams this host asks first: others ask others.
+    /// Sort key that puts the upstream with the shortest expected wait first. Each host orders
+    /// equal waits differently, so that the hosts spread their token requests over the upstreams.
     fn shortest_wait_key(&self, upstream: &UpstreamId, priority: u8, now: Time) -> (u64, u64) {
         let limit = self.pool.get(upstream).map(|state| &state.limit);
         let wait = limit.and_then(|limit| limit.expected_wait(priority, now));
@@ -158,8 +162,9 @@
         (wait.as_millis() as u64, order)
     }
 
-    /// Guards against an upstream that is not used any more once it has named a limit: others
-    /// without one are preferred, and whether it still names one is known by its answers only.
+    /// Prefetches tokens for upstreams that have none. Without these tokens, an upstream that once
+    /// named a limit would get no more requests: upstreams without a limit are preferred, and only
+    /// a response shows whether an upstream still names a limit.
     fn prefetch_tokens(&mut self, now: Time, actions: &mut Vec<Action>) -> bool {
         let hosts = self.neighbors.len() as u32;
         let interval = PREFETCH_INTERVAL + PREFETCH_INTERVAL_PER_HOST * hosts;
@@ -194,7 +199,7 @@
         granted
     }
 
-    /// Whether requests came lately that an upstream could serve.
+    /// Whether requests that an upstream could serve arrived within a time.
     fn has_recent_demand(&self, upstream: &UpstreamId, now: Time, within: Duration) -> bool {
         let targets = self.pool.targets_of(upstream);
         let mut lanes = targets.iter().filter_map(|target| self.lanes.get(target));
@@ -205,7 +210,8 @@
         self.pool.get(upstream)?.limit.token_request.as_ref()
     }
 
-    /// Asks the keeper of a limit; whether it is this host, and gave some at once.
+    /// Sends a token request to the issuer of a limit. Returns whether this host is the issuer and
+    /// has a token now.
     fn send_token_request(
         &mut self,
         now: Time,
@@ -250,8 +256,8 @@
         }
     }
 
-    /// Asks the host that this one takes for the keeper whether it is there, as another host
-    /// seems not to reach it.
+    /// Asks the host that this one considers the issuer whether it is alive, because another host
+    /// seems unable to reach it.
     pub(crate) fn probe_issuer(
         &mut self,
         now: Time,
@@ -263,8 +269,9 @@
         }
     }
 
-    /// Gives up questions whose time is over, and passes over keepers that do not answer. One
-    /// whose notes come lives: with two keepers an upstream would get twice its limit.
+    /// Drops token requests that have expired, and skips issuers that do not answer. An issuer
+    /// whose notes still arrive is alive and is not skipped: with two issuers an upstream would get
+    /// twice its limit.
     pub(crate) fn expire_token_requests(&mut self, now: Time) {
         for upstream in self.upstream_limits.limited.clone() {
             let Some(state) = self.pool.get_mut(&upstream) else {
@@ -291,8 +298,8 @@
         }
     }
 
-    /// The keeper of a limit answered. What it grants counts for the time for which it was asked,
-    /// so that tokens which were long under way are not used.
+    /// Handles the answer of an issuer. Tokens that were requested too long ago are ignored, so
+    /// that grants delayed on the network are not used.
     pub(crate) fn on_tokens_granted(&mut self, now: Time, grant: &TokenGrant) {
         let max_age = MAX_TOKEN_REQUEST_LIFETIME
             + TOKEN_REQUEST_LIFETIME_PER_HOST * self.neighbors.len() as u32;
@@ -319,7 +326,8 @@
     }
 }
 
-/// What is wanted beyond what is asked for already, the most urgent first and not too much.
+/// The wanted tokens that are not in an open request yet, the most urgent first, at most
+/// `MAX_TOKENS_PER_REQUEST`.
 fn not_yet_requested(
     wanted: Vec<WantedTokens>,
     open_requests: &[&OpenTokenRequest],
--- a/crates/policy/src/upstream_limits/upstream_limit.rs
+++ b/crates/policy/src/upstream_limits/upstream_limit.rs
@@ -1,24 +1,24 @@
 use super::*;
 
-/// Age of a limit from which the next request goes where it was named, to see whether it still
-/// is. An upstream that names one is else the last to be chosen.
+/// Age of a limit from which the next request goes to the upstream that named the limit, to learn
+/// whether it still does. Otherwise upstreams with a limit are chosen last.
 const RECHECK_AGE: Duration = Duration::from_secs(5);
 
-/// A question for tokens that is under way.
+/// A token request to the issuer that is not yet fulfilled.
 #[derive(Debug)]
 pub(crate) struct OpenTokenRequest {
-    /// Whether the keeper answered.
+    /// Whether the issuer answered.
     pub(crate) answered: bool,
     pub(crate) issuer: HostId,
     pub(crate) sent: Time,
-    /// Until when the tokens are wanted.
+    /// When the tokens are no longer wanted.
     pub(crate) expires_at: Time,
-    /// Tokens that are wanted, the most urgent first.
+    /// Tokens that are still wanted, the most urgent first.
     pub(crate) wanted: Vec<WantedTokens>,
 }
 
 impl OpenTokenRequest {
-    /// Whether requests wait for its tokens.
+    /// Whether queued requests wait for its tokens.
     pub(crate) fn has_waiting_requests(&self) -> bool {
         let mut wanted = self.wanted.iter();
         wanted.any(|wanted| wanted.priority.is_some() && wanted.count > 0)
@@ -31,12 +31,12 @@
         same.map(|wanted| wanted.count).sum()
     }
 
-    /// Tokens that are still wanted.
+    /// Tokens that are still wanted for all priorities.
     pub(crate) fn total_wanted(&self) -> u32 {
         self.wanted.iter().map(|wanted| wanted.count).sum()
     }
 
-    /// Takes tokens that came.
+    /// Deducts granted tokens, those of the most urgent requests first.
     pub(crate) fn deduct_granted(&mut self, mut count: u32) {
         for wanted in &mut self.wanted {
             let taken = wanted.count.min(count);
@@ -49,7 +49,7 @@
 /// The limit that an upstream names, and this host's tokens for it.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamLimit {
-    /// When the request was sent whose answer named it.
+    /// When the request was sent whose response named the limit.
     as_of: Time,
     pub(crate) token_request: Option<OpenTokenRequest>,
     pub(crate) issuer: TokenIssuer,
@@ -57,11 +57,11 @@
     rate: Option<Rate>,
     pub(crate) tokens: HostTokens,
     pub(crate) announcements: AnnouncementSchedule,
-    /// Questions in a row that the keeper left without an answer.
+    /// Consecutive token requests that the issuer did not answer.
     pub(crate) unanswered: u32,
-    /// When the next token is expected for requests of a priority, by the keeper's last word.
+    /// When the issuer expects the next token for requests of each priority.
     expected_waits: Vec<(u8, Time)>,
-    /// When the keeper said so.
+    /// When these expected waits arrived.
     waits_received_at: Option<Time>,
 }
 
@@ -74,13 +74,13 @@
         self.as_of
     }
 
-    /// Requests a second by which tokens are given out; `None` without a limit.
+    /// Rate at which tokens are issued, in requests per second; `None` without a limit.
     pub(crate) fn rate_per_s(&self) -> Option<f64> {
         self.rate.map(|rate| rate.get().max(MIN_RATE_PER_S))
     }
 
-    /// Takes what an answer named, unless one to a later request is known: answers overtake
-    /// each other. Returns whether it is a change.
+    /// Updates the limit from a response, unless the response to a later request is known:
+    /// responses can arrive out of order. Returns whether the limit changed.
     pub(crate) fn update(&mut self, rate: Option<Rate>, sent: Time, now: Time) -> bool {
         if sent < self.as_of {
             return false;
@@ -93,7 +93,7 @@
         before != rate
     }
 
-    /// A limit begins: tokens come from now on.
+    /// Starts a new limit: tokens accrue from `now` on.
     fn reset(&mut self, now: Time) {
         self.token_request = None;
         self.issuer = TokenIssuer::default();
@@ -103,7 +103,7 @@
         self.waits_received_at = None;
     }
 
-    /// Notes how long requests have to wait for a token.
+    /// Records how long requests are expected to wait for a token.
     pub(crate) fn record_waits(&mut self, waits: &[ExpectedWait], now: Time) {
         let waits = waits.iter().filter_map(|expected| {
             let until = now.plus_ms(u64::from(expected.wait_ms));
@@ -116,14 +116,14 @@
         }
     }
 
-    /// Whether the keeper has announced lately how long requests wait.
+    /// Whether expected waits arrived from the issuer within `span`.
     pub(crate) fn has_recent_waits(&self, span: Duration, now: Time) -> bool {
         self.waits_received_at
             .is_some_and(|received| now.since(received) < span)
     }
 
-    /// Expected time to a token for a request of a priority, at least as long as for a more
-    /// urgent one; `None` as long as nothing is known.
+    /// Expected wait for a token for a request of a priority, at least as long as for more urgent
+    /// requests; `None` if no wait is known.
     pub(crate) fn expected_wait(&self, priority: u8, now: Time) -> Option<Duration> {
         let waits = self
             .expected_waits
@@ -132,24 +132,24 @@
         waits.map(|(_, until)| until.since(now)).max()
     }
 
-    /// Whether the limit was named long ago, so that it may hold no more.
+    /// Whether the limit was named so long ago that it may no longer hold.
     pub(crate) fn needs_recheck(&self, now: Time) -> bool {
         self.rate.is_some() && now.since(self.as_of) >= RECHECK_AGE
     }
 
-    /// Whether one more request may be sent there.
+    /// Whether one more request may be sent to the upstream.
     pub(crate) fn has_token(&self, now: Time) -> bool {
         self.rate.is_none() || self.tokens.has_token(now)
     }
 
-    /// A request is sent there.
+    /// Consumes a token for a request that is sent to the upstream.
     pub(crate) fn consume_token(&mut self, now: Time) {
         if self.rate.is_some() {
             self.tokens.consume_token(now);
         }
     }
 
-    /// What is announced to other hosts.
+    /// The limit as it is announced to other hosts.
     pub(crate) fn to_advertised(&self, upstream: &UpstreamId, now: Time) -> NamedLimit {
         let age_ms = now.since(self.as_of).as_millis();
         NamedLimit {
