--- a/crates/policy/src/upstream_notices/backing_off.rs
+++ b/crates/policy/src/upstream_notices/backing_off.rs
@@ -1,20 +1,21 @@
-//! Upstreams that refuse requests and want nothing from this host for a while.
+//! Records upstreams that refuse requests and ask this host to back off.
 
 use super::*;
 
-/// Longest backoff that is kept: an upstream that names a much longer one by mistake is tried
-/// again after it.
+/// Longest backoff that is accepted. An upstream that asks for a much longer one by mistake is
+/// tried again after this time.
 const MAX_BACKOFF: Duration = Duration::from_secs(300);
 
-/// Part of a backoff by which it is made longer at random: hosts that were refused together
-/// would all come back together.
+/// Maximum fraction of random jitter that is added to a backoff. Without jitter, hosts that were
+/// refused at the same time would all send again at the same time.
 const JITTER_FRACTION: f64 = 0.25;
 
-/// Most backoffs that are remembered for upstreams whose entry lapses and returns.
+/// Maximum number of backoffs that are kept apart from the upstreams' states, for upstreams whose
+/// entries lapse and return.
 const MAX_BACKOFFS: usize = 4_096;
 
 impl Controller {
-    /// Notes that an upstream wants nothing from this host for a while.
+    /// Records that an upstream asks this host to back off.
     pub(crate) fn note_backoff(
         &mut self,
         now: Time,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Gives the upstreams their backoffs, as their states may be new.
+    /// Applies the known backoffs to the states of the upstreams, which may be new.
     pub(crate) fn mark_backing_off(&mut self) {
         for state in &mut self.states {
             if let Some(until) = self.backoffs.get(&state.id) {
--- a/crates/policy/src/upstream_notices/departure.rs
+++ b/crates/policy/src/upstream_notices/departure.rs
@@ -1,15 +1,16 @@
 use super::*;
 
-/// What is known of an upstream's leaving.
+/// What each source says about whether an upstream is leaving.
 #[derive(Debug, Default)]
 pub(crate) struct Departure {
-    /// Said by this incarnation, so that nothing takes it back; whether first-hand.
+    /// Whether this incarnation of the upstream said that it is leaving, which cannot be revoked;
+    /// if so, whether this host knows that first-hand.
     stated: Option<bool>,
-    /// By the list of the own protocol, where a later list may take it back.
+    /// Whether the list of this host's own protocol says so. A later list may revoke it.
     listed: bool,
-    /// By its last load report.
+    /// Whether the upstream's last load report says so.
     reported: bool,
-    /// Until when another host's heartbeat is believed.
+    /// Until when the last heartbeat or heartbeat answer that says so is believed.
     advertised_until: Time,
 }
 
@@ -30,13 +31,14 @@
         self.advertised_until = until;
     }
 
-    /// Whether this host has it first-hand: what is announced to the others. Their own word is not
-    /// passed on, or it would go round for ever.
+    /// Whether this host knows first-hand that the upstream is leaving. Only this is announced to
+    /// other hosts: if hosts passed on what they learned from each other, the announcement would
+    /// circulate forever.
     pub(crate) const fn is_first_hand(&self) -> bool {
         self.listed || self.reported || matches!(self.stated, Some(true))
     }
 
-    /// Whether any source says so; one is enough.
+    /// Whether any source says that the upstream is leaving; one source is enough.
     pub(crate) fn is_known(&self, now: Time) -> bool {
         self.is_first_hand() || self.stated.is_some() || now < self.advertised_until
     }
--- a/crates/policy/src/upstream_notices/departures.rs
+++ b/crates/policy/src/upstream_notices/departures.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-/// Most upstreams that are remembered; the oldest ones go first.
+/// Maximum number of departures that are kept; the oldest one is evicted first.
 const MAX_DEPARTURES: usize = 4_096;
 
-/// Time after which one that is listed no more is forgotten.
+/// Time after which the departure of an upstream that is no longer listed is dropped.
 const DEPARTURE_RETENTION: Duration = Duration::from_secs(3_600);
 
-/// Time between two looks at which ones to forget.
+/// Interval at which old departures are dropped.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Incarnations that said that they leave.
+/// Incarnations of upstreams that said that they are leaving.
 ///
-/// Apart from the upstreams' states: an entry of the directory can lapse and return, and be read
-/// from an older copy, while the upstream goes on leaving.
+/// Kept apart from the upstreams' states: the directory entry of an upstream can lapse and return,
+/// or be read from an older copy, while the upstream is still leaving.
 #[derive(Debug, Default)]
 pub(crate) struct Departures {
     known: BTreeMap<UpstreamId, KnownDeparture>,
     next_cleanup: Time,
-    /// Those that other hosts are still to be notified of.
+    /// Departures that are still to be announced to other hosts.
     unannounced: BTreeSet<UpstreamId>,
 }
 
@@ -29,10 +29,10 @@
 }
 
 impl Departures {
-    /// Notes that an upstream said that it leaves; whether that is news.
+    /// Records that an upstream said that it is leaving. Returns whether this is news.
     pub(crate) fn note(&mut self, upstream: &UpstreamId, source: &NoticeSource, now: Time) -> bool {
         if *source != NoticeSource::Own {
-            // The other hosts learn of it in the same way.
+            // The other hosts learn of the departure from the same source.
             self.unannounced.remove(upstream);
         }
         let first_hand = source.is_first_hand();
@@ -50,7 +50,7 @@
         true
     }
 
-    /// Lets the other hosts be notified of one from a moment on.
+    /// Schedules the announcements of a departure to the other hosts, the first one at `due`.
     pub(crate) fn schedule_announcement(&mut self, upstream: &UpstreamId, due: Time) {
         if let Some(departure) = self.known.get_mut(upstream) {
             departure.announcements.schedule_at(due);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Those that the other hosts are to be notified of now.
+    /// Departures that are to be announced to the other hosts now.
     pub(crate) fn take_due(&mut self, now: Time) -> Vec<UpstreamId> {
         let known = &mut self.known;
         let mut due = Vec::new();
@@ -74,17 +74,17 @@
         due
     }
 
-    /// Whether an upstream leaves; if so, whether that is known first-hand.
+    /// Whether the departure of an upstream is known first-hand; `None` if it is not leaving.
     pub(crate) fn first_hand(&self, upstream: &UpstreamId) -> Option<bool> {
         self.known.get(upstream).map(|known| known.first_hand)
     }
 
-    /// Whether any upstream leaves.
+    /// Whether no departure is known.
     pub(crate) fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Forgets old ones that are not listed.
+    /// Drops old departures of upstreams that are not listed.
     pub(crate) fn drop_expired(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Time) {
         if now < self.next_cleanup {
             return;
--- a/crates/policy/src/upstream_notices/leaving.rs
+++ b/crates/policy/src/upstream_notices/leaving.rs
@@ -1,13 +1,14 @@
-//! Upstreams that say that they leave.
+//! Handles upstreams that say that they are leaving.
 
 use super::*;
 
-/// Time in which a directory that answers lists what an answer said: the other hosts then read
-/// it there, and need no notice.
+/// Time within which a reachable directory lists a departure that a response reported. The other
+/// hosts then read the departure there and need no announcement.
 const DIRECTORY_LISTING_DELAY: Duration = Duration::from_secs(1);
 
 impl Controller {
-    /// Notes that an upstream said that it leaves. Nothing takes that back for its incarnation.
+    /// Records that an upstream said that it is leaving. Nothing revokes this for
+    /// that incarnation of the upstream.
     pub(crate) fn note_leaving(
         &mut self,
         now: Time,
@@ -39,7 +40,7 @@
         }));
     }
 
-    /// Takes over which upstreams the directory lists as leaving.
+    /// Records the upstreams that the directory lists as leaving.
     pub(crate) fn note_listed_leaving(&mut self, now: Time, leaving: &BTreeSet<UpstreamId>) {
         for upstream in leaving {
             self.pool
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Tells the other hosts of upstreams that leave, and refuses what none will take in time.
+    /// Announces departures to the other hosts, and refuses requests that no upstream will accept
+    /// in time.
     pub(crate) fn tick_notices(&mut self, now: Time, actions: &mut Vec<Action>) {
         let due = self.pool.departures.take_due(now);
         if !due.is_empty() {
@@ -60,7 +62,7 @@
 }
 
 impl Pool {
-    /// Notes that an upstream said that it leaves; whether that is news.
+    /// Records that an upstream said that it is leaving. Returns whether this is news.
     pub(crate) fn record_departure(
         &mut self,
         upstream: &UpstreamId,
@@ -77,7 +79,7 @@
         is_news
     }
 
-    /// Marks the upstreams that are known to leave, as their states may be new.
+    /// Applies the known departures to the states of the upstreams, which may be new.
     pub(crate) fn mark_leaving(&mut self) {
         for state in &mut self.states {
             let listed = self.listed_leaving.contains(&state.id);
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Whether any upstream leaves, or wants nothing for a while.
+    /// Whether any upstream is leaving or has asked for a backoff.
     pub(crate) fn has_notices(&self) -> bool {
         !self.departures.is_empty() || !self.backoffs.is_empty()
     }
--- a/crates/policy/src/upstream_notices/leaving_detected.rs
+++ b/crates/policy/src/upstream_notices/leaving_detected.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// An upstream that is newly known to leave, for the log.
+/// An upstream that is newly known to be leaving, for the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LeavingDetected {
-    /// Who received it.
+    /// Where this host learned it.
     pub source: NoticeSource,
     /// The upstream.
     pub upstream: UpstreamId,
--- a/crates/policy/src/upstream_notices/mod.rs
+++ b/crates/policy/src/upstream_notices/mod.rs
@@ -1,8 +1,8 @@
-//! What upstreams say of themselves in the heads of their answers.
+//! Notices that upstreams send in the headers of their responses.
 //!
-//! In: one notice for each answer, whatever became of its request, and what other hosts and the
-//! directory say. Out: which upstreams get nothing more, what other hosts learn, and which
-//! requests are refused as no upstream will take them in time.
+//! Input: one notice for each response, whatever the outcome of its request, and what other hosts
+//! and the directory report. Output: which upstreams get no more requests, what other hosts are
+//! told, and which requests are refused because no upstream will accept them in time.
 
 use super::*;
 
@@ -24,7 +24,7 @@
 };
 
 impl Controller {
-    /// An upstream said something of itself in the answer to a request sent at a moment.
+    /// Handles the notice in a response to a request sent at `sent`.
     pub(crate) fn on_notice_answered(
         &mut self,
         now: Time,
@@ -41,7 +41,7 @@
         self.note_backoff(now, upstream, &notice.backoff);
     }
 
-    /// Another host announced what upstreams say of themselves.
+    /// Handles a note in which another host passes on notices of upstreams.
     pub(crate) fn on_upstream_notices(
         &mut self,
         now: Time,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Tells other hosts, in as many datagrams as that takes.
+    /// Sends departures and limits to other hosts, in as many datagrams as needed.
     pub(crate) fn push_upstream_notes(
         &self,
         leaving: &[UpstreamId],
--- a/crates/policy/src/upstream_notices/notice_source.rs
+++ b/crates/policy/src/upstream_notices/notice_source.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// Who received what an upstream says of itself.
+/// Where this host learned of an upstream's notice.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum NoticeSource {
     /// The installation's directory.
     Directory,
     /// Another host.
     Host(HostId),
-    /// This host.
+    /// A response to this host.
     Own,
 }
 
 impl NoticeSource {
-    /// The kind of source as it stands in metrics.
+    /// The kind of source, as the label in metrics.
     pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Directory => "directory",
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The other host, if it was one.
+    /// The other host, if it is the source.
     pub const fn host(&self) -> Option<&HostId> {
         match self {
             Self::Host(host) => Some(host),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether this host received it from the upstream or from the directory.
+    /// Whether this host learned it from the upstream itself or from the directory.
     pub(crate) const fn is_first_hand(&self) -> bool {
         !matches!(self, Self::Host(_))
     }
--- a/crates/policy/src/upstream_notices/unavailable.rs
+++ b/crates/policy/src/upstream_notices/unavailable.rs
@@ -1,22 +1,23 @@
-//! Requests that no upstream will take in time, by what the upstreams say of themselves.
+//! Refuses requests that, by the upstreams' notices, no upstream will accept in time.
 
 use super::*;
 
-/// Advice to return where all upstreams leave: others may be listed by then.
+/// `Retry-After` for callers if all upstreams are leaving: others may be listed by then.
 const LEAVING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// When the upstreams of a target take requests again.
+/// When the upstreams of a target accept requests again.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum NextAvailability {
-    /// Once their backoffs are over, the first one at this moment.
+    /// When the first of their backoffs ends.
     At(Time),
-    /// Not any more, as all leave.
+    /// Never, because all of them are leaving.
     Never,
 }
 
 impl Controller {
-    /// Refuses requests that wait in vain. Where all upstreams leave they wait until their first
-    /// token is due, as others may be listed meanwhile.
+    /// Refuses queued requests that no upstream will accept in time. If all upstreams are leaving,
+    /// requests are refused only when their first token is due, because other upstreams may be
+    /// listed in the meantime.
     pub(crate) fn refuse_unavailable(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.queued == 0 || !self.pool.has_notices() {
             return;
@@ -40,7 +41,8 @@
         }
     }
 
-    /// `None` while one may take requests now, or nothing is known of when it will.
+    /// When the upstreams of a target accept requests again; `None` if one may accept them now, or
+    /// if that time is unknown.
     fn next_availability(&self, target: &Target, now: Time) -> Option<NextAvailability> {
         let upstreams = self.pool.copies(target);
         let mut next = None;
