--- a/crates/policy/src/upstream_limits/token_requests.rs
+++ b/crates/policy/src/upstream_limits/token_requests.rs
@@ -87,8 +87,9 @@
         granted
     }
 
-    /// Merges more urgent wanted tokens into an open token request. Returns its upstream and the
-    /// merged tokens; `None` if `wanted` is not more urgent than each open request.
+    /// Merges wanted tokens into the least urgent open token request, for when no further request
+    /// may be opened. Returns the upstream and the merged tokens; `None` if `wanted` is not more
+    /// urgent than that request.
     fn merged_with_open_request(
         &self,
         open: &[UpstreamId],
--- a/crates/policy/src/upstream_notices/departures.rs
+++ b/crates/policy/src/upstream_notices/departures.rs
@@ -75,7 +75,7 @@
     }
 
     /// Whether the departure of an upstream is known first-hand; `None` if it is not leaving.
-    pub(crate) fn first_hand(&self, upstream: &UpstreamId) -> Option<bool> {
+    pub(crate) fn known_first_hand(&self, upstream: &UpstreamId) -> Option<bool> {
         self.known.get(upstream).map(|known| known.first_hand)
     }
 
--- a/crates/policy/src/upstream_notices/leaving.rs
+++ b/crates/policy/src/upstream_notices/leaving.rs
@@ -71,7 +71,7 @@
     ) -> bool {
         let is_news = self.departures.note(upstream, source, now);
         if let (Some(first_hand), Some(place)) = (
-            self.departures.first_hand(upstream),
+            self.departures.known_first_hand(upstream),
             self.index.get(upstream),
         ) {
             self.states[*place].departure.note_stated(first_hand);
@@ -84,7 +84,7 @@
         for state in &mut self.states {
             let listed = self.listed_leaving.contains(&state.id);
             state.departure.note_listed(listed);
-            if let Some(first_hand) = self.departures.first_hand(&state.id) {
+            if let Some(first_hand) = self.departures.known_first_hand(&state.id) {
                 state.departure.note_stated(first_hand);
             }
         }
