--- a/crates/policy/src/upstream_notices/departure.rs
+++ b/crates/policy/src/upstream_notices/departure.rs
@@ -1,21 +1,22 @@
 use super::*;
 
-/// What is known of an upstream's leaving.
+/// What each source says about whether an upstream is leaving.
 #[derive(Debug, Default)]
 pub(crate) struct Departure {
-    /// Said by this incarnation, so that nothing takes it back; whether first-hand.
-    announced: Option<bool>,
-    /// By the list of the own protocol, where a later list may take it back.
+    /// Whether this incarnation of the upstream said that it is leaving, which cannot be revoked;
+    /// if so, whether this host knows that first-hand.
+    stated: Option<bool>,
+    /// Whether the list of this host's own protocol says so. A later list may revoke it.
     listed: bool,
-    /// By its last load report.
+    /// Whether the upstream's last load report says so.
     reported: bool,
-    /// Until when another host's heartbeat is believed.
+    /// Until when the last heartbeat or heartbeat answer that says so is believed.
     advertised_until: Time,
 }
 
 impl Departure {
-    pub(crate) const fn announce(&mut self, first_hand: bool) {
-        self.announced = Some(first_hand);
+    pub(crate) const fn note_stated(&mut self, first_hand: bool) {
+        self.stated = Some(first_hand);
     }
 
     pub(crate) const fn note_listed(&mut self, listed: bool) {
@@ -30,14 +31,15 @@
         self.advertised_until = until;
     }
 
-    /// Whether this host has it first-hand: what is announced to the others. Their own word is not
-    /// passed on, or it would go round for ever.
+    /// Whether this host knows first-hand that the upstream is leaving. Only this is announced to
+    /// other hosts: if hosts passed on what they learned from each other, the announcement would
+    /// circulate forever.
     pub(crate) const fn is_first_hand(&self) -> bool {
-        self.listed || self.reported || matches!(self.announced, Some(true))
+        self.listed || self.reported || matches!(self.stated, Some(true))
     }
 
-    /// Whether any source says so; one is enough.
+    /// Whether any source says that the upstream is leaving; one source is enough.
     pub(crate) fn is_known(&self, now: Time) -> bool {
-        self.is_first_hand() || self.announced.is_some() || now < self.advertised_until
+        self.is_first_hand() || self.stated.is_some() || now < self.advertised_until
     }
 }
--- a/crates/policy/src/upstream_notices/departures.rs
+++ b/crates/policy/src/upstream_notices/departures.rs
@@ -1,38 +1,38 @@
 use super::*;
 
-/// Most upstreams that are remembered; the oldest ones go first.
-const MAX_REMEMBERED: usize = 4_096;
+/// Maximum number of departures that are kept; the oldest one is evicted first.
+const MAX_DEPARTURES: usize = 4_096;
 
-/// Time after which one that is listed no more is forgotten.
-const REMEMBERED: Duration = Duration::from_secs(3_600);
+/// Time after which the departure of an upstream that is no longer listed is dropped.
+const DEPARTURE_RETENTION: Duration = Duration::from_secs(3_600);
 
-/// Time between two looks at which ones to forget.
-const FORGET_INTERVAL: Duration = Duration::from_secs(60);
+/// Interval at which old departures are dropped.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Incarnations that said that they leave.
+/// Incarnations of upstreams that said that they are leaving.
 ///
-/// Apart from the upstreams' states: an entry of the directory can lapse and return, and be read
-/// from an older copy, while the upstream goes on leaving.
+/// Kept apart from the upstreams' states: the directory entry of an upstream can lapse and return,
+/// or be read from an older copy, while the upstream is still leaving.
 #[derive(Debug, Default)]
 pub(crate) struct Departures {
-    known: BTreeMap<UpstreamId, Announced>,
-    next_forget: Time,
-    /// Those that other hosts are still to be notified of.
+    known: BTreeMap<UpstreamId, KnownDeparture>,
+    next_cleanup: Time,
+    /// Departures that are still to be announced to other hosts.
     unannounced: BTreeSet<UpstreamId>,
 }
 
 #[derive(Debug)]
-struct Announced {
+struct KnownDeparture {
     first_hand: bool,
-    noted: Time,
-    telling: Telling,
+    noted_at: Time,
+    announcements: AnnouncementSchedule,
 }
 
 impl Departures {
-    /// Notes that an upstream said that it leaves; whether that is news.
+    /// Records that an upstream said that it is leaving. Returns whether this is news.
     pub(crate) fn note(&mut self, upstream: &UpstreamId, source: &NoticeSource, now: Time) -> bool {
         if *source != NoticeSource::Own {
-            // The other hosts learn of it in the same way.
+            // The other hosts learn of the departure from the same source.
             self.unannounced.remove(upstream);
         }
         let first_hand = source.is_first_hand();
@@ -40,65 +40,65 @@
             known.first_hand |= first_hand;
             return false;
         }
-        self.make_room();
-        let announced = Announced {
+        self.evict_oldest();
+        let departure = KnownDeparture {
             first_hand,
-            noted: now,
-            telling: Telling::default(),
+            noted_at: now,
+            announcements: AnnouncementSchedule::default(),
         };
-        self.known.insert(upstream.clone(), announced);
+        self.known.insert(upstream.clone(), departure);
         true
     }
 
-    /// Lets the other hosts be notified of one from a moment on.
-    pub(crate) fn tell_from(&mut self, upstream: &UpstreamId, due: Time) {
-        if let Some(announced) = self.known.get_mut(upstream) {
-            announced.telling.restart_at(due);
+    /// Schedules the announcements of a departure to the other hosts, the first one at `due`.
+    pub(crate) fn schedule_announcement(&mut self, upstream: &UpstreamId, due: Time) {
+        if let Some(departure) = self.known.get_mut(upstream) {
+            departure.announcements.schedule_at(due);
             self.unannounced.insert(upstream.clone());
         }
     }
 
-    /// Those that the other hosts are to be notified of now.
+    /// Departures that are to be announced to the other hosts now.
     pub(crate) fn take_due(&mut self, now: Time) -> Vec<UpstreamId> {
         let known = &mut self.known;
         let mut due = Vec::new();
         self.unannounced.retain(|id| {
-            let Some(announced) = known.get_mut(id) else {
+            let Some(departure) = known.get_mut(id) else {
                 return false;
             };
-            if announced.telling.take(now, None) {
+            if departure.announcements.take_due(now, None) {
                 due.push(id.clone());
             }
-            !announced.telling.is_done()
+            !departure.announcements.is_done()
         });
         due
     }
 
-    /// Whether an upstream leaves; if so, whether that is known first-hand.
-    pub(crate) fn get(&self, upstream: &UpstreamId) -> Option<bool> {
+    /// Whether the departure of an upstream is known first-hand; `None` if it is not leaving.
+    pub(crate) fn known_first_hand(&self, upstream: &UpstreamId) -> Option<bool> {
         self.known.get(upstream).map(|known| known.first_hand)
     }
 
-    /// Whether any upstream leaves.
+    /// Whether no departure is known.
     pub(crate) fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Forgets old ones that are not listed.
-    pub(crate) fn forget(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Time) {
-        if now < self.next_forget {
+    /// Drops old departures of upstreams that are not listed.
+    pub(crate) fn drop_expired(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Time) {
+        if now < self.next_cleanup {
             return;
         }
-        self.next_forget = now + FORGET_INTERVAL;
+        self.next_cleanup = now + CLEANUP_INTERVAL;
         self.known
-            .retain(|id, known| now.since(known.noted) < REMEMBERED || is_listed(id));
+            .retain(|id, known| now.since(known.noted_at) < DEPARTURE_RETENTION || is_listed(id));
     }
 
-    fn make_room(&mut self) {
-        if self.known.len() < MAX_REMEMBERED {
+    fn evict_oldest(&mut self) {
+        if self.known.len() < MAX_DEPARTURES {
             return;
         }
-        let oldest = self.known.iter().min_by_key(|(_, known)| known.noted);
+        let oldest = self.known.iter().min_by_key(|(_, known)| known.noted_at);
         if let Some(id) = oldest.map(|(id, _)| id.clone()) {
             self.known.remove(&id);
         }
--- a/crates/policy/src/upstream_notices/mod.rs
+++ b/crates/policy/src/upstream_notices/mod.rs
@@ -1,27 +1,30 @@
-//! What upstreams say of themselves in the heads of their answers.
+//! Notices that upstreams send in the headers of their responses.
 //!
-//! In: one notice for each answer, whatever became of its request, and what other hosts and the
-//! directory say. Out: which upstreams get nothing more, what other hosts learn, and which
-//! requests are refused as no upstream will take them in time.
+//! Input: one notice for each response, whatever the outcome of its request, and what other hosts
+//! and the directory report. Output: which upstreams get no more requests, what other hosts are
+//! told, and which requests are refused because no upstream will accept them in time.
 
 use super::*;
 
+mod announcement_schedule;
 mod backing_off;
 mod backoff;
 mod departure;
 mod departures;
 mod leaving;
-mod leaving_noted;
+mod leaving_detected;
 mod notice_source;
-mod telling;
 mod unavailable;
 
-pub use {leaving_noted::LeavingNoted, notice_source::NoticeSource};
+pub use {leaving_detected::LeavingDetected, notice_source::NoticeSource};
 
-pub(crate) use {backoff::Backoff, departure::Departure, departures::Departures, telling::Telling};
+pub(crate) use {
+    announcement_schedule::AnnouncementSchedule, backoff::Backoff, departure::Departure,
+    departures::Departures,
+};
 
 impl Controller {
-    /// An upstream said something of itself in the answer to a request sent at a moment.
+    /// Handles the notice in a response to a request sent at `sent`.
     pub(crate) fn on_notice_answered(
         &mut self,
         now: Time,
@@ -38,7 +41,7 @@
         self.note_backoff(now, upstream, &notice.backoff);
     }
 
-    /// Another host announced what upstreams say of themselves.
+    /// Handles a note in which another host passes on notices of upstreams.
     pub(crate) fn on_upstream_notices(
         &mut self,
         now: Time,
@@ -46,7 +49,7 @@
         actions: &mut Vec<Action>,
     ) {
         for limit in &note.limits {
-            self.learn_limit(now, &note.host, limit, actions);
+            self.record_announced_limit(now, &note.host, limit, actions);
         }
         for upstream in &note.rejected {
             self.learn_rejected(now, upstream);
@@ -57,7 +60,7 @@
         }
     }
 
-    /// Tells other hosts, in as many datagrams as that takes.
+    /// Sends departures and limits to other hosts, in as many datagrams as needed.
     pub(crate) fn push_upstream_notes(
         &self,
         leaving: &[UpstreamId],
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -38,7 +38,7 @@
     policy::{
         Action, AdmissionChange, Arrival, AttemptEnd, BrittleNoted, ClaimAnswer, ClaimRequest,
         Controller, ControllerOptions, CrashNoted, CrashSource, Event, FetchEnd, HostPhase,
-        LeavingNoted, LimitNoted, Outcome, OutcomeEnd, PathChange, PrefixHash, Refusal,
+        LeavingDetected, LimitChange, Outcome, OutcomeEnd, PathChange, PrefixHash, Refusal,
         RefusalReason, RelayRules, Repeatability, Routed, SendOrder, Settlement, SlotRules,
         SpeedNoted, StoredAnswer, Target, TransferSlots, WasteCause, WorkingSet,
     },
