--- a/crates/policy/benches/decision/main.rs
+++ b/crates/policy/benches/decision/main.rs
@@ -99,7 +99,7 @@
         now = now.plus_ms(1);
         let (request, attempt) = running.pop_front().unwrap();
         let end = AttemptEnd::Completed {
-            answer: None,
+            response: None,
             longest_pause: Duration::ZERO,
             tokens: Tokens::new(100),
         };
--- a/crates/policy/benches/decision/setup.rs
+++ b/crates/policy/benches/decision/setup.rs
@@ -81,7 +81,7 @@
         key_hash: Some(KeyHash::of_key(&(number % teams).to_string())),
         max_output: None,
         prefix: None,
-        prompt: Tokens::new(100),
+        prompt_tokens: Tokens::new(100),
         repeatability: Repeatability::AsConfigured,
         request: RequestId::new(number as u64),
         routed: None,
--- a/crates/policy/benches/overload/controllers.rs
+++ b/crates/policy/benches/overload/controllers.rs
@@ -151,7 +151,7 @@
             key_hash: Some(KeyHash::of_key(if class.trial { "trial" } else { "paid" })),
             max_output: None,
             prefix: None,
-            prompt: Tokens::default(),
+            prompt_tokens: Tokens::default(),
             repeatability: Repeatability::AsConfigured,
             request: RequestId::new(request as u64),
             routed: None,
@@ -167,7 +167,7 @@
             now,
             request,
             AttemptEnd::Completed {
-                answer,
+                response: answer,
                 longest_pause: Duration::ZERO,
                 tokens,
             },
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -143,7 +143,7 @@
     /// Give a request the stored answer of an earlier one with the same key.
     Replay {
         /// The stored answer.
-        answer: StoredAnswer,
+        answer: StoredResponse,
         /// The request.
         request: RequestId,
     },
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -250,7 +250,7 @@
             }
             Event::PeersListed { in_all, peers } => {
                 if let Some(in_all) = in_all {
-                    self.retries.note_hosts(now, in_all);
+                    self.retries.update_host_count(now, in_all);
                 }
                 let ControllerOptions {
                     failure_domain,
@@ -276,7 +276,7 @@
             } => self.on_progress(now, request, attempt, longest_pause, tokens),
             Event::QueueLimitChanged(max_queued) => self.options.max_queued = max_queued,
             Event::RulesChanged(rules) => {
-                self.retries.follow(&rules);
+                self.retries.update_rules(&rules);
                 self.options.relay = Some(rules);
             }
             Event::Ticked => self.on_tick(now, actions),
@@ -452,12 +452,12 @@
 
     /// Hosts of the installation among which extra retries are divided; 0 before they are known.
     pub const fn hosts_listed(&self) -> u32 {
-        self.retries.hosts()
+        self.retries.host_count()
     }
 
     /// Retries that this host may make now, for each target that was asked for.
     pub fn retries_left(&self, now: Time) -> Vec<(Target, f64)> {
-        let left = self.retries.left(now);
+        let left = self.retries.remaining(now);
         left.map(|(target, left)| (target.clone(), left)).collect()
     }
 
@@ -511,7 +511,7 @@
             self.deadlines.pop_first();
             self.refuse_overdue(now, request, actions);
         }
-        self.return_parked(now);
+        self.requeue_parked(now);
         self.serve_if_ready(now);
         self.tick_speeds(now, actions);
         self.tick_peering(now, actions);
--- a/crates/policy/src/crashes/barring.rs
+++ b/crates/policy/src/crashes/barring.rs
@@ -30,7 +30,8 @@
         let broken = ObservedCrash {
             at: now,
             fingerprint,
-            is_weak: request.stage.streams || self.crashes.finished.last(&fingerprint).is_some(),
+            is_weak: request.stage.is_streaming
+                || self.crashes.finished.last(&fingerprint).is_some(),
             upstream: upstream.clone(),
         };
         match self.crashes.suspects.note_broken(broken) {
--- a/crates/policy/src/duties/reporting.rs
+++ b/crates/policy/src/duties/reporting.rs
@@ -122,7 +122,7 @@
     /// Counts a request that was answered whole, if that was not done with its first token.
     pub(crate) fn note_answered(&mut self, now: Time, request: &mut Request<Running>) {
         self.note_call_begun(now, request);
-        let team = request.take_uncounted();
+        let team = request.take_uncounted_team();
         self.note_begun(now, now, team);
     }
 
@@ -132,14 +132,14 @@
         &mut self,
         now: Time,
         request: &mut Request<Running>,
-        failure: &Failure,
+        failure: &AttemptFailure,
     ) {
         if failure.verdict == Verdict::NotRun {
             return;
         }
         self.note_call_begun(now, request);
         if failure.cause == FailureCause::ErrorStatus {
-            let team = request.take_uncounted();
+            let team = request.take_uncounted_team();
             self.note_begun(now, now, team);
         }
     }
@@ -148,7 +148,7 @@
     /// engine begins with the first token.
     pub(crate) fn note_call_begun(&mut self, now: Time, request: &mut Request<Running>) {
         if matches!(request.facts.target, Target::Service(_)) {
-            let team = request.take_uncounted();
+            let team = request.take_uncounted_team();
             self.note_begun(now, request.stage.sent, team);
         }
     }
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -22,7 +22,7 @@
     /// The table answered a claim, or did not.
     ClaimAnswered {
         /// What it said.
-        answer: ClaimAnswer,
+        answer: ClaimResult,
         /// The request.
         request: RequestId,
     },
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -64,9 +64,9 @@
     reach::ReachNoted,
     relay_rules::RelayRules,
     requests::{
-        Arrival, AttemptEnd, ClaimAnswer, ClaimRequest, Outcome, OutcomeEnd, PrefixHash, Refusal,
-        RefusalReason, Repeatability, Routed, SendInputs, Settlement, StoredAnswer, Target,
-        WasteCause,
+        Arrival, AttemptEnd, ClaimRequest, ClaimResult, Outcome, OutcomeEnd, PrefixHash, Refusal,
+        RefusalReason, Repeatability, RoutedRequest, SendInputs, Settlement, StoredResponse,
+        Target, WasteCause,
     },
     transfers::{TransferSearch, TransferSlots},
     upstream_limits::LimitNoted,
@@ -83,7 +83,9 @@
     prompt_transfers::{PromptCopies, PromptFetch, TransferLink},
     queueing::{Lane, LengthEstimate, PRESSING_TIERS, QueuedItem, Rank, TeamLimits, Urgency},
     reach::{OwnPaths, TransitHosts},
-    requests::{Claiming, Failure, Queued, Request, RequestFacts, RetryBudgets, Running, Stage},
+    requests::{
+        AttemptFailure, Claiming, Queued, Request, RequestFacts, RetryBudgets, Running, Stage,
+    },
     upstream_limits::{UpstreamLimit, UpstreamLimits},
     upstream_notices::{Backoff, Departure, Departures, Telling},
     upstreams::{
--- a/crates/policy/src/overload/early_refusal.rs
+++ b/crates/policy/src/overload/early_refusal.rs
@@ -120,7 +120,7 @@
     /// The answer of a request ended.
     pub(crate) fn note_answer_end(&mut self, now: Time, request: &Request<Running>) {
         let facts = &request.facts;
-        if let Some(began) = request.began()
+        if let Some(began) = request.first_token_at()
             && let Some(class) = self.early_refusal.of(&facts.target, &facts.class)
         {
             class.end.note_answer(now, now.since(began));
@@ -134,7 +134,7 @@
         if now.since(facts.arrived) < limit.mul_f64(MOST_OF_LIMIT) {
             return;
         }
-        if request.began().is_some() {
+        if request.first_token_at().is_some() {
             self.note_answer_end(now, request);
             return;
         }
@@ -210,7 +210,7 @@
             let facts = &request.facts;
             let class = going_on.entry((facts.target.clone(), facts.class.clone()));
             let class = class.or_default();
-            match request.began() {
+            match request.first_token_at() {
                 Some(began) => class.answering.push(now.since(began)),
                 None => class.waiting.push(now.since(request.stage.sent)),
             }
--- a/crates/policy/src/prompt_transfers/starting.rs
+++ b/crates/policy/src/prompt_transfers/starting.rs
@@ -12,7 +12,7 @@
         let facts = &request.facts;
         let upstream = &request.stage.upstream;
         let wanted = facts.placement(
-            &request.broken,
+            &request.failed_upstreams,
             None,
             facts.rank,
             self.stream_share(&facts.target),
--- a/crates/policy/src/queueing/admission.rs
+++ b/crates/policy/src/queueing/admission.rs
@@ -136,7 +136,7 @@
         &mut self,
         document: &Document,
         arrival: &Arrival,
-        routed: &Routed,
+        routed: &RoutedRequest,
         now: Time,
     ) -> Result<Resolved, Refusal> {
         let class_id = arrival.class.as_ref();
@@ -284,7 +284,7 @@
         let output =
             self.length
                 .estimate(&resolved.class_id, &resolved.team_id, arrival.max_output);
-        let prompt_cost = u64::from(arrival.prompt.get()) / PROMPT_TOKENS_PER_OUTPUT_TOKEN;
+        let prompt_cost = u64::from(arrival.prompt_tokens.get()) / PROMPT_TOKENS_PER_OUTPUT_TOKEN;
         let due = now.plus_ms(resolved.class.first_token_target_ms);
         let item = QueuedItem {
             cost: u64::from(output.get()) + prompt_cost,
@@ -400,11 +400,11 @@
         attempts: 0,
         class: None,
         end: refusal.reason.end(),
-        expected: None,
+        expected_duration: None,
         first_token: None,
-        limit: None,
+        time_limit: None,
         longest_pause: Duration::ZERO,
-        lasted: Duration::ZERO,
+        duration: Duration::ZERO,
         met_target: false,
         reason: Some(refusal.reason),
         request,
--- a/crates/policy/src/queueing/dispatch.rs
+++ b/crates/policy/src/queueing/dispatch.rs
@@ -158,7 +158,7 @@
             let facts = &request.facts;
             let priority = facts.engine_priority;
             self.retries
-                .note_first_attempt(&facts.target, priority, now);
+                .record_first_attempt(&facts.target, priority, now);
         }
         let attempt = self.new_attempt();
         let unclaimed = request
@@ -175,7 +175,7 @@
             None => {
                 let mut request = request.send(upstream, attempt, priority, now);
                 self.start_prompt(now, &mut request);
-                request.stage.waiting = self.waiting_before(&request);
+                request.stage.prompt_tokens_ahead = self.waiting_before(&request);
                 self.push_send(now, &mut request, None, actions);
                 Stage::Running(request)
             }
@@ -216,19 +216,19 @@
                 inputs: Box::new(SendInputs {
                     attempt: request.attempts,
                     backlog: state.backlog,
-                    brittle: state.brittleness.rate(),
+                    rejection_limit: state.brittleness.rate(),
                     class: request.facts.class.clone(),
                     expected_wait: Duration::from_secs_f64(state.waiting_ms() / 1_000.0),
                     fetch_source: fetch.map(|fetch| fetch.source.clone()),
                     fetch_tokens: fetch.map(|fetch| fetch.tokens).unwrap_or_default(),
                     fingerprint: request.facts.fingerprint,
                     in_flight: state.in_flight,
-                    limit: state.limit.rate(),
+                    rate_limit: state.limit.rate(),
                     others_age: self.neighbors.oldest_age(now),
                     others_backlog: state.others_backlog,
                     others_in_flight: state.others,
-                    prompt: placement::shared_chain(&request.facts.parts),
-                    unread: running.prefill,
+                    shared_parts_hash: placement::shared_chain(&request.facts.parts),
+                    prefill_tokens: running.prefill,
                     waited: now.since(request.facts.arrived),
                 }),
                 paths,
--- a/crates/policy/src/requests/arrival.rs
+++ b/crates/policy/src/requests/arrival.rs
@@ -20,7 +20,7 @@
 
 /// What is known of a request that is relayed by a route.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Routed {
+pub struct RoutedRequest {
     /// Parts of its prompt in order.
     pub parts: Vec<PromptPart>,
     /// Whether it needs no key.
@@ -43,13 +43,13 @@
     /// Start of the prompt.
     pub prefix: Option<PrefixHash>,
     /// Length of the prompt, estimated.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Whether it may run more than once.
     pub repeatability: Repeatability,
     /// Id within this host.
     pub request: RequestId,
     /// What is known of it if a route relays it.
-    pub routed: Option<Routed>,
+    pub routed: Option<RoutedRequest>,
     /// What it asks for.
     pub target: Target,
 }
--- a/crates/policy/src/requests/attempt_end.rs
+++ b/crates/policy/src/requests/attempt_end.rs
@@ -6,7 +6,7 @@
     /// The whole answer came and was passed on.
     Completed {
         /// The answer, where it is to be kept for a repeated key.
-        answer: Option<StoredAnswer>,
+        response: Option<StoredResponse>,
         /// Longest time between two parts that the caller was sent.
         longest_pause: Duration,
         /// Tokens since the last progress event.
--- a/crates/policy/src/requests/attempts.rs
+++ b/crates/policy/src/requests/attempts.rs
@@ -5,7 +5,7 @@
 
 /// Upstreams that may refuse a relayed request, or be out of reach, before it
 /// is refused: by then the next one would hardly be better.
-const MAX_NOT_RUN: usize = 4;
+const MAX_NOT_RUN_ATTEMPTS: usize = 4;
 
 impl Controller {
     pub(crate) fn on_progress(
@@ -23,38 +23,40 @@
             return;
         }
         let span = now.since(request.stage.last_progress);
-        let is_first = request.stage.tokens.get() == 0;
-        request.note_tokens(now, tokens);
+        let is_first_token = request.stage.tokens.get() == 0;
+        request.record_tokens(now, tokens);
         request.longest_pause = longest_pause;
         let upstream = request.stage.upstream.clone();
         let sent = request.stage.sent;
-        let lead = now.since(sent);
+        let time_to_first_token = now.since(sent);
         let target = request.facts.target.clone();
-        let waiting = request.stage.waiting;
-        let unread = request.surely_unread();
+        let tokens_ahead = request.stage.prompt_tokens_ahead;
+        let unshared_tokens = request.unshared_prompt_tokens();
         let is_fetched = request.stage.fetch.is_some();
         let class = request.facts.class.clone();
         let prefill = std::mem::take(&mut request.stage.prefill);
-        let begins = !std::mem::replace(&mut request.stage.streams, true);
+        let is_first_on_upstream = !std::mem::replace(&mut request.stage.is_streaming, true);
         let is_rendezvous = request.stage.is_rendezvous;
         let is_direct = request.stage.is_direct;
-        let read = begins.then(|| request.facts.parts.clone());
-        let team = request.take_uncounted();
+        let read_parts = is_first_on_upstream.then(|| request.facts.parts.clone());
+        let team = request.take_uncounted_team();
         self.note_begun(now, now, team);
-        if let Some(parts) = read {
+        if let Some(parts) = read_parts {
             self.note_prompt_read(&upstream, &parts, is_rendezvous);
         }
         self.pool.note_responsive(&upstream, now);
         self.note_path_answered(now, &upstream, is_direct);
         if let Some(state) = self.pool.get_mut(&upstream) {
             state.end_prefill(prefill);
-            if begins && !is_fetched {
-                state.speed.note_lead(unread, waiting, lead, now);
+            if is_first_on_upstream && !is_fetched {
+                state
+                    .speed
+                    .note_lead(unshared_tokens, tokens_ahead, time_to_first_token, now);
             }
-            state.streams += u32::from(begins);
+            state.streams += u32::from(is_first_on_upstream);
             state.backoff.note_taken(sent);
         }
-        if !is_first {
+        if !is_first_token {
             if let Some(state) = self.pool.get_mut(&upstream) {
                 state.note_tokens(tokens, span);
             }
@@ -62,9 +64,9 @@
         }
         self.crashes.note_alive(&upstream, sent);
         self.note_congestion(&target, false);
-        self.note_first_token(now, &target, &class, lead);
+        self.note_first_token(now, &target, &class, time_to_first_token);
         if let Some(lane) = self.lanes.get_mut(&target) {
-            lane.note_lead(lead);
+            lane.note_lead(time_to_first_token);
         }
     }
 
@@ -86,13 +88,13 @@
         };
         match end {
             AttemptEnd::Completed {
-                answer,
+                response,
                 longest_pause,
                 tokens,
             } => {
-                request.note_rest(now, tokens);
+                request.add_tokens(now, tokens);
                 request.longest_pause = longest_pause;
-                self.on_completed(now, request, answer, actions);
+                self.on_completed(now, request, response, actions);
             }
             AttemptEnd::Failed {
                 cause,
@@ -100,8 +102,8 @@
                 tokens,
                 verdict,
             } => {
-                request.note_rest(now, tokens);
-                let failure = Failure {
+                request.add_tokens(now, tokens);
+                let failure = AttemptFailure {
                     cause,
                     delivered,
                     verdict,
@@ -115,16 +117,16 @@
         &mut self,
         now: Time,
         mut request: Request<Running>,
-        answer: Option<StoredAnswer>,
+        response: Option<StoredResponse>,
         actions: &mut Vec<Action>,
     ) {
         self.note_answered(now, &mut request);
-        if !request.stage.streams {
+        if !request.stage.is_streaming {
             let stage = &request.stage;
             self.note_prompt_read(&stage.upstream, &request.facts.parts, stage.is_rendezvous);
         }
         self.note_answer_end(now, &request);
-        self.leave_upstream(now, &request);
+        self.release_slot(now, &request);
         self.pool.note_responsive(&request.stage.upstream, now);
         self.note_path_answered(now, &request.stage.upstream, request.stage.is_direct);
         if let Some(state) = self.pool.get_mut(&request.stage.upstream) {
@@ -142,7 +144,7 @@
         self.limits.release(&facts.team);
         self.length.note(&facts.class, &facts.team, request.tokens);
         if let Some(attempt) = request.claimed_by {
-            settle(&request, attempt, Verdict::Ran, answer, actions);
+            push_settlement(&request, attempt, Verdict::Ran, response, actions);
         }
         let upstream = Some(request.stage.upstream.clone());
         let outcome = request.outcome(OutcomeEnd::Finished, Verdict::Ran, upstream, now);
@@ -153,29 +155,31 @@
         &mut self,
         now: Time,
         mut request: Request<Running>,
-        failure: &Failure,
+        failure: &AttemptFailure,
         actions: &mut Vec<Action>,
     ) {
         request.verdict = request.verdict.join(failure.verdict);
-        request.runs += u32::from(failure.verdict != Verdict::NotRun);
+        request.possible_runs += u32::from(failure.verdict != Verdict::NotRun);
         self.note_failed_begun(now, &mut request, failure);
         self.note_unfinished(now, &request);
-        let is_own_fault = failure.cause.is_of_connection() && self.is_path_lost(&request.stage);
-        if !is_own_fault {
-            self.note_failure(now, &request, failure.cause);
+        let is_path_failure = failure.cause.is_of_connection() && self.is_path_lost(&request.stage);
+        if !is_path_failure {
+            self.record_attempt_failure(now, &request, failure.cause);
         }
         if failure.cause == FailureCause::Busy {
             self.note_rejected(now, &request.stage.upstream, actions);
             self.note_congestion(&request.facts.target, true);
         } else {
-            request.broken.push(request.stage.upstream.clone());
+            request
+                .failed_upstreams
+                .push(request.stage.upstream.clone());
         }
         match failure.cause {
             FailureCause::WrongInstance => {
                 self.note_ended(now, &request.stage.upstream, actions);
             }
             FailureCause::Reset | FailureCause::Silent | FailureCause::Truncated
-                if !is_own_fault =>
+                if !is_path_failure =>
             {
                 self.note_broken(now, &request, actions);
             }
@@ -191,22 +195,27 @@
             self.resume_or_break(now, request, failure, actions);
             return;
         }
-        self.leave_upstream(now, &request);
+        self.release_slot(now, &request);
         if self.may_retry(now, &request, failure) {
             let tokens = request.stage.tokens;
-            request.waste(WasteCause::Repeated, tokens);
+            request.add_wasted_tokens(WasteCause::Repeated, tokens);
             request.tokens = Tokens::default();
             request.first_token = None;
             self.enqueue(now, request.requeue());
             return;
         }
         let tokens = request.stage.tokens;
-        request.waste(WasteCause::CutOff, tokens);
+        request.add_wasted_tokens(WasteCause::CutOff, tokens);
         self.limits.release(&request.facts.team);
         self.refuse_failed(now, request, actions);
     }
 
-    fn note_failure(&mut self, now: Time, request: &Request<Running>, cause: FailureCause) {
+    fn record_attempt_failure(
+        &mut self,
+        now: Time,
+        request: &Request<Running>,
+        cause: FailureCause,
+    ) {
         let upstream = &request.stage.upstream;
         if let Some(state) = self.pool.get_mut(upstream) {
             state.record.note_failure(now);
@@ -235,49 +244,54 @@
 
     /// A request that may have run, on this attempt or an earlier one, is sent
     /// again only if running twice does no harm.
-    fn may_retry(&mut self, now: Time, request: &Request<Running>, failure: &Failure) -> bool {
+    fn may_retry(
+        &mut self,
+        now: Time,
+        request: &Request<Running>,
+        failure: &AttemptFailure,
+    ) -> bool {
         let facts = &request.facts;
         if failure.cause == FailureCause::Busy && self.yields(&facts.target, &facts.class) {
             return false;
         }
-        let harmless = facts.idempotent || request.verdict == Verdict::NotRun;
-        if !harmless || self.is_barred(now, facts) || now > facts.deadline {
+        let is_safe_to_retry = facts.idempotent || request.verdict == Verdict::NotRun;
+        if !is_safe_to_retry || self.is_barred(now, facts) || now > facts.deadline {
             return false;
         }
         let target = &request.facts.target;
         let priority = request.facts.engine_priority;
         if self.options.relay.is_some() && failure.verdict == Verdict::NotRun {
             // One that never left is no load either.
-            let unsent = failure.cause == FailureCause::Connect;
-            let few = request.tried.len() < MAX_NOT_RUN;
-            return few && (unsent || self.retries.take(target, priority, now));
+            let is_unsent = failure.cause == FailureCause::Connect;
+            let has_tries_left = request.tried.len() < MAX_NOT_RUN_ATTEMPTS;
+            return has_tries_left && (is_unsent || self.retries.take_retry(target, priority, now));
         }
         if failure.cause == FailureCause::Busy {
             return true;
         }
-        self.has_attempts_left(request) && self.retries.take(target, priority, now)
+        self.has_attempts_left(request) && self.retries.take_retry(target, priority, now)
     }
 
     /// Whether the class allows one more attempt, after the one that has just
     /// failed. In an installation only attempts on which the request may have run
-    /// count; of the others there may be [`MAX_NOT_RUN`].
+    /// count; of the others there may be [`MAX_NOT_RUN_ATTEMPTS`].
     pub(crate) fn has_attempts_left(&self, request: &Request<Running>) -> bool {
-        let made = request.tried.len() as u32 + 1;
+        let attempts_made = request.tried.len() as u32 + 1;
         if self.options.relay.is_none() {
-            return made < request.facts.max_attempts;
+            return attempts_made < request.facts.max_attempts;
         }
-        let unsent = made - request.runs.min(made);
-        request.runs < request.facts.max_attempts && unsent <= MAX_NOT_RUN as u32
+        let not_run = attempts_made - request.possible_runs.min(attempts_made);
+        request.possible_runs < request.facts.max_attempts && not_run <= MAX_NOT_RUN_ATTEMPTS as u32
     }
 
     /// Gives the slot back.
-    pub(crate) fn leave_upstream(&mut self, now: Time, request: &Request<Running>) {
-        if !request.stage.streams {
+    pub(crate) fn release_slot(&mut self, now: Time, request: &Request<Running>) {
+        if !request.stage.is_streaming {
             self.note_prompt_unread(&request.stage.upstream, &request.facts.parts);
         }
         if let Some(state) = self.pool.get_mut(&request.stage.upstream) {
             state.end_prefill(request.stage.prefill);
-            let streams = u32::from(request.stage.streams);
+            let streams = u32::from(request.stage.is_streaming);
             state.streams = state.streams.saturating_sub(streams);
         }
         self.pool.end(&request.stage.upstream, &request.facts, now);
@@ -287,22 +301,22 @@
 impl Request<Running> {
     /// Prompt tokens that the engine has to read in any case: those of the part that no other request
     /// has.
-    fn surely_unread(&self) -> Tokens {
-        let own = self.facts.parts.last().map(|part| part.tokens);
-        let own = own.filter(|own| *own <= self.stage.prefill);
-        own.unwrap_or_default()
+    fn unshared_prompt_tokens(&self) -> Tokens {
+        let last = self.facts.parts.last().map(|part| part.tokens);
+        let last = last.filter(|last| *last <= self.stage.prefill);
+        last.unwrap_or_default()
     }
 
-    fn note_tokens(&mut self, now: Time, tokens: Tokens) {
+    fn record_tokens(&mut self, now: Time, tokens: Tokens) {
         if self.first_token.is_none() {
             self.first_token = Some(now.since(self.facts.arrived));
         }
-        self.note_rest(now, tokens);
+        self.add_tokens(now, tokens);
     }
 
     /// Counts tokens without taking them as a sign of the first one: the end
     /// of an answer that came as a whole says nothing of its first token.
-    fn note_rest(&mut self, now: Time, tokens: Tokens) {
+    fn add_tokens(&mut self, now: Time, tokens: Tokens) {
         self.stage.last_progress = now;
         self.stage.tokens = Tokens::new(self.stage.tokens.get() + tokens.get());
         self.tokens = Tokens::new(self.tokens.get() + tokens.get());
--- a/crates/policy/src/requests/claims.rs
+++ b/crates/policy/src/requests/claims.rs
@@ -3,20 +3,20 @@
 use super::*;
 
 /// Advice to retry while another attempt with the same key is in progress.
-const IN_PROGRESS_RETURN: Duration = Duration::from_secs(1);
+const IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Time that a request is put aside when the store refused its claim.
-const PARK_PAUSE: Duration = Duration::from_millis(500);
+const PARK_DURATION: Duration = Duration::from_millis(500);
 
 /// Advice to retry after the store gave no answer.
-const STORE_RETURN: Duration = Duration::from_secs(2);
+const STORE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Controller {
     pub(crate) fn on_claim_answered(
         &mut self,
         now: Time,
         id: RequestId,
-        answer: ClaimAnswer,
+        result: ClaimResult,
         actions: &mut Vec<Action>,
     ) {
         let request = match self.requests.remove(&id) {
@@ -27,16 +27,16 @@
             }
             None => return,
         };
-        if request.stage.caller_gone && answer != ClaimAnswer::Ours {
-            self.release_claiming(now, &request);
+        if request.stage.caller_gone && result != ClaimResult::Granted {
+            self.release_slot_and_limit(now, &request);
             let outcome = request.outcome(OutcomeEnd::CallerGone, Verdict::NotRun, None, now);
             actions.push(Action::Record(outcome));
             return;
         }
-        match answer {
-            ClaimAnswer::Ours => self.on_claim_granted(now, request, actions),
-            ClaimAnswer::Ran(Some(answer)) => {
-                self.release_claiming(now, &request);
+        match result {
+            ClaimResult::Granted => self.on_claim_granted(now, request, actions),
+            ClaimResult::Ran(Some(answer)) => {
+                self.release_slot_and_limit(now, &request);
                 actions.push(Action::Replay {
                     answer,
                     request: id,
@@ -45,10 +45,10 @@
                 let outcome = request.outcome(end, Verdict::Ran, None, now);
                 actions.push(Action::Record(outcome));
             }
-            ClaimAnswer::NotTried => self.park(now, request),
+            ClaimResult::NotWritten => self.park(now, request),
             other => {
                 let refusal = self.claim_refusal(&other);
-                self.release_claiming(now, &request);
+                self.release_slot_and_limit(now, &request);
                 self.finish_refused(now, &request, refusal, actions);
             }
         }
@@ -68,7 +68,7 @@
             .is_some_and(|state| state.takes_work(now));
         let in_time = now <= request.facts.deadline;
         if open && in_time && !request.stage.caller_gone {
-            let mut request = request.granted(now);
+            let mut request = request.into_running(now);
             self.push_send(now, &mut request, None, actions);
             self.requests.insert(request.id, Stage::Running(request));
             return;
@@ -76,11 +76,11 @@
         let attempt = request.stage.attempt;
         if in_time && !request.stage.caller_gone {
             self.pool.end(&request.stage.upstream, &request.facts, now);
-            self.enqueue(now, request.granted(now).requeue());
+            self.enqueue(now, request.into_running(now).requeue());
             return;
         }
-        self.release_claiming(now, &request);
-        settle(&request, attempt, Verdict::NotRun, None, actions);
+        self.release_slot_and_limit(now, &request);
+        push_settlement(&request, attempt, Verdict::NotRun, None, actions);
         if request.stage.caller_gone {
             let outcome = request.outcome(OutcomeEnd::CallerGone, Verdict::NotRun, None, now);
             actions.push(Action::Record(outcome));
@@ -90,24 +90,24 @@
         self.finish_refused(now, &request, refusal, actions);
     }
 
-    fn claim_refusal(&mut self, answer: &ClaimAnswer) -> Refusal {
-        match answer {
-            ClaimAnswer::InProgress => Refusal {
+    fn claim_refusal(&mut self, result: &ClaimResult) -> Refusal {
+        match result {
+            ClaimResult::InProgress => Refusal {
                 reason: RefusalReason::InProgress,
-                retry_after: Some(self.spread(IN_PROGRESS_RETURN)),
+                retry_after: Some(self.spread(IN_PROGRESS_RETRY_AFTER)),
                 verdict: Verdict::MayHaveRun,
             },
-            ClaimAnswer::MayHaveRun => Refusal {
+            ClaimResult::MayHaveRun => Refusal {
                 reason: RefusalReason::OutcomeUnknown,
                 retry_after: None,
                 verdict: Verdict::MayHaveRun,
             },
-            ClaimAnswer::Reused => Refusal::not_run(RefusalReason::KeyReused),
-            ClaimAnswer::NotTried | ClaimAnswer::Unknown => Refusal {
-                retry_after: Some(self.spread(STORE_RETURN)),
+            ClaimResult::KeyReused => Refusal::not_run(RefusalReason::KeyReused),
+            ClaimResult::NotWritten | ClaimResult::Unknown => Refusal {
+                retry_after: Some(self.spread(STORE_RETRY_AFTER)),
                 ..Refusal::not_run(RefusalReason::StoreUnavailable)
             },
-            ClaimAnswer::Ran(_) | ClaimAnswer::Ours => Refusal {
+            ClaimResult::Ran(_) | ClaimResult::Granted => Refusal {
                 reason: RefusalReason::AnswerNotKept,
                 retry_after: None,
                 verdict: Verdict::Ran,
@@ -121,13 +121,13 @@
         self.pool.end(&request.stage.upstream, &request.facts, now);
         let request = request.park();
         self.deadlines.insert((request.facts.deadline, request.id));
-        self.parked.insert((now + PARK_PAUSE, request.id));
+        self.parked.insert((now + PARK_DURATION, request.id));
         self.queued += 1;
         self.requests.insert(request.id, Stage::Queued(request));
     }
 
     /// Returns requests to their queues whose time aside has passed.
-    pub(crate) fn return_parked(&mut self, now: Time) {
+    pub(crate) fn requeue_parked(&mut self, now: Time) {
         while let Some((until, id)) = self.parked.first().copied() {
             if until > now {
                 return;
@@ -140,25 +140,25 @@
         }
     }
 
-    fn release_claiming(&mut self, now: Time, request: &Request<Claiming>) {
+    fn release_slot_and_limit(&mut self, now: Time, request: &Request<Claiming>) {
         self.pool.end(&request.stage.upstream, &request.facts, now);
         self.limits.release(&request.facts.team);
     }
 }
 
 /// Orders the end of a claimed request to be written into the table.
-pub(crate) fn settle<S>(
+pub(crate) fn push_settlement<S>(
     request: &Request<S>,
     attempt: AttemptId,
     verdict: Verdict,
-    answer: Option<StoredAnswer>,
+    response: Option<StoredResponse>,
     actions: &mut Vec<Action>,
 ) {
     let Some((key, _)) = &request.facts.key else {
         return;
     };
     actions.push(Action::Settle(Settlement {
-        answer,
+        response,
         attempt,
         key: key.clone(),
         team: request.facts.team.clone(),
--- a/crates/policy/src/requests/mod.rs
+++ b/crates/policy/src/requests/mod.rs
@@ -4,11 +4,11 @@
 
 mod arrival;
 mod attempt_end;
+mod attempt_failure;
 mod attempts;
-mod claim_answer;
 mod claim_request;
+mod claim_result;
 mod claims;
-mod failure;
 mod outcome;
 mod refusal;
 mod refusal_reason;
@@ -18,28 +18,28 @@
 mod retry_budgets;
 mod send_inputs;
 mod settlement;
-mod stored_answer;
+mod stored_response;
 mod target;
-mod waste;
+mod waste_cause;
 
 pub use {
-    arrival::{Arrival, PrefixHash, Repeatability, Routed},
+    arrival::{Arrival, PrefixHash, Repeatability, RoutedRequest},
     attempt_end::AttemptEnd,
-    claim_answer::ClaimAnswer,
     claim_request::ClaimRequest,
+    claim_result::ClaimResult,
     outcome::{Outcome, OutcomeEnd},
     refusal::Refusal,
     refusal_reason::RefusalReason,
     send_inputs::SendInputs,
     settlement::Settlement,
-    stored_answer::StoredAnswer,
+    stored_response::StoredResponse,
     target::Target,
-    waste::WasteCause,
+    waste_cause::WasteCause,
 };
 
 pub(crate) use {
-    claims::settle,
-    failure::Failure,
+    attempt_failure::AttemptFailure,
+    claims::push_settlement,
     request::{Claiming, Queued, Request, RequestFacts, Running, Stage},
     retry_budgets::RetryBudgets,
 };
--- a/crates/policy/src/requests/outcome.rs
+++ b/crates/policy/src/requests/outcome.rs
@@ -45,13 +45,13 @@
     /// In which way it ended.
     pub end: OutcomeEnd,
     /// Time in which it was expected to end, where it was refused for that.
-    pub expected: Option<Duration>,
+    pub expected_duration: Option<Duration>,
     /// Time from arrival to the first token, where one came.
     pub first_token: Option<Duration>,
     /// How long its caller waits, where that is known.
-    pub limit: Option<Duration>,
+    pub time_limit: Option<Duration>,
     /// Time from arrival to the end.
-    pub lasted: Duration,
+    pub duration: Duration,
     /// Longest time between two parts of the answer that the caller was sent.
     pub longest_pause: Duration,
     /// Whether it finished within its class's targets.
--- a/crates/policy/src/requests/refusing.rs
+++ b/crates/policy/src/requests/refusing.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// Advice to retry after every attempt failed.
-const FAILED_RETURN: Duration = Duration::from_secs(1);
+const FAILED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Controller {
     pub(crate) fn refuse_failed(
@@ -14,12 +14,12 @@
         actions: &mut Vec<Action>,
     ) {
         if let Some(attempt) = request.claimed_by {
-            settle(&request, attempt, request.verdict, None, actions);
+            push_settlement(&request, attempt, request.verdict, None, actions);
         }
-        let retry = request.facts.idempotent || request.verdict == Verdict::NotRun;
+        let is_retriable = request.facts.idempotent || request.verdict == Verdict::NotRun;
         let refusal = Refusal {
             reason: RefusalReason::UpstreamFailed,
-            retry_after: retry.then(|| self.spread(FAILED_RETURN)),
+            retry_after: is_retriable.then(|| self.spread(FAILED_RETRY_AFTER)),
             verdict: request.verdict,
         };
         self.finish_refused(now, &request, refusal, actions);
@@ -34,12 +34,12 @@
         actions: &mut Vec<Action>,
     ) {
         let barred_for = self.crashes.barred_for(&request.facts.fingerprint, now);
-        let retry_after = barred_for.unwrap_or_else(|| self.spread(FAILED_RETURN));
-        self.refuse_with(now, &request, reason, retry_after, actions);
+        let retry_after = barred_for.unwrap_or_else(|| self.spread(FAILED_RETRY_AFTER));
+        self.refuse_with_retry_after(now, &request, reason, retry_after, actions);
     }
 
     /// The same, with the time after which its caller may come again.
-    pub(crate) fn refuse_with(
+    pub(crate) fn refuse_with_retry_after(
         &mut self,
         now: Time,
         request: &Request<Queued>,
@@ -49,7 +49,7 @@
     ) {
         self.limits.release(&request.facts.team);
         if let Some(attempt) = request.claimed_by {
-            settle(request, attempt, request.verdict, None, actions);
+            push_settlement(request, attempt, request.verdict, None, actions);
         }
         let refusal = Refusal {
             reason,
@@ -74,7 +74,7 @@
         let is_early = refusal.reason == RefusalReason::NoTimeLeft;
         let expected = is_early.then(|| self.expected_end(&request.facts));
         actions.push(Action::Record(Outcome {
-            expected: expected.flatten(),
+            expected_duration: expected.flatten(),
             reason: Some(refusal.reason),
             ..outcome
         }));
@@ -86,28 +86,28 @@
             Some(Stage::Queued(request)) => {
                 self.requests.insert(id, Stage::Queued(request));
                 if let Some(request) = self.unqueue(now, id) {
-                    self.forget_queued(now, &request, actions);
+                    self.drop_queued(now, &request, actions);
                 }
             }
             Some(Stage::Claiming(mut request)) => {
                 request.stage.caller_gone = true;
                 self.requests.insert(id, Stage::Claiming(request));
             }
-            Some(Stage::Running(request)) => self.forget_running(now, request, actions),
+            Some(Stage::Running(request)) => self.cancel_running(now, request, actions),
         }
     }
 
-    fn forget_queued(&mut self, now: Time, request: &Request<Queued>, actions: &mut Vec<Action>) {
+    fn drop_queued(&mut self, now: Time, request: &Request<Queued>, actions: &mut Vec<Action>) {
         self.limits.release(&request.facts.team);
         if let Some(attempt) = request.claimed_by {
-            settle(request, attempt, request.verdict, None, actions);
+            push_settlement(request, attempt, request.verdict, None, actions);
         }
         let outcome = request.outcome(OutcomeEnd::CallerGone, request.verdict, None, now);
         actions.push(Action::Record(outcome));
     }
 
     /// Cancels the attempt, so that the engine spends nothing more on it.
-    fn forget_running(
+    fn cancel_running(
         &mut self,
         now: Time,
         mut request: Request<Running>,
@@ -115,13 +115,13 @@
     ) {
         self.note_call_begun(now, &mut request);
         self.note_unfinished(now, &request);
-        self.leave_upstream(now, &request);
+        self.release_slot(now, &request);
         self.limits.release(&request.facts.team);
         let tokens = request.stage.tokens;
-        request.waste(WasteCause::Discarded, tokens);
+        request.add_wasted_tokens(WasteCause::Discarded, tokens);
         let verdict = request.verdict.join(Verdict::MayHaveRun);
         if let Some(attempt) = request.claimed_by {
-            settle(&request, attempt, verdict, None, actions);
+            push_settlement(&request, attempt, verdict, None, actions);
         }
         actions.push(Action::Cancel {
             attempt: request.stage.attempt,
--- a/crates/policy/src/requests/request.rs
+++ b/crates/policy/src/requests/request.rs
@@ -72,7 +72,7 @@
 pub(crate) struct Request<S> {
     pub(crate) attempts: u32,
     /// Upstreams that broke it, rather than refused it: nothing is fetched from them for it.
-    pub(crate) broken: Vec<UpstreamId>,
+    pub(crate) failed_upstreams: Vec<UpstreamId>,
     /// Attempt that holds the claim of the idempotency key.
     pub(crate) claimed_by: Option<AttemptId>,
     pub(crate) facts: RequestFacts,
@@ -80,12 +80,12 @@
     pub(crate) first_token: Option<Duration>,
     pub(crate) id: RequestId,
     /// Whether it was counted as begun.
-    pub(crate) is_counted: bool,
+    pub(crate) is_usage_counted: bool,
     pub(crate) item: QueuedItem,
     /// Longest time between two parts of the answer that the caller was sent.
     pub(crate) longest_pause: Duration,
     /// Ended attempts on which it may have run.
-    pub(crate) runs: u32,
+    pub(crate) possible_runs: u32,
     pub(crate) stage: S,
     /// Tokens delivered to the caller.
     pub(crate) tokens: Tokens,
@@ -129,16 +129,16 @@
     /// first token.
     pub(crate) prefill: Tokens,
     pub(crate) priority: u8,
-    pub(crate) resumes: u32,
+    pub(crate) resume_count: u32,
     pub(crate) sent: Time,
     /// Whether this attempt has brought tokens, and counts as a stream of its
     /// upstream.
-    pub(crate) streams: bool,
+    pub(crate) is_streaming: bool,
     /// Tokens of this attempt.
     pub(crate) tokens: Tokens,
     pub(crate) upstream: UpstreamId,
     /// Prompt tokens that were known to wait there before its own.
-    pub(crate) waiting: u64,
+    pub(crate) prompt_tokens_ahead: u64,
 }
 
 /// A request in any stage.
@@ -170,12 +170,12 @@
             last_progress: now,
             prefill: Tokens::default(),
             priority,
-            resumes: 0,
+            resume_count: 0,
             sent: now,
-            streams: false,
+            is_streaming: false,
             tokens: Tokens::default(),
             upstream,
-            waiting: 0,
+            prompt_tokens_ahead: 0,
         }
     }
 }
@@ -184,15 +184,15 @@
     pub(crate) fn new(id: RequestId, facts: RequestFacts, item: QueuedItem) -> Self {
         Self {
             attempts: 0,
-            broken: Vec::new(),
+            failed_upstreams: Vec::new(),
             claimed_by: None,
             facts,
             first_token: None,
             id,
-            is_counted: false,
+            is_usage_counted: false,
             item,
             longest_pause: Duration::ZERO,
-            runs: 0,
+            possible_runs: 0,
             stage: Queued { parked: false },
             tokens: Tokens::default(),
             tried: Vec::new(),
@@ -232,7 +232,7 @@
         self.with_stage(Queued { parked: true })
     }
 
-    pub(crate) fn granted(mut self, now: Time) -> Request<Running> {
+    pub(crate) fn into_running(mut self, now: Time) -> Request<Running> {
         let Claiming {
             attempt,
             priority,
@@ -246,34 +246,34 @@
 
 impl Request<Running> {
     /// On to another upstream, to go on after the last event.
-    pub(crate) fn moved(
+    pub(crate) fn move_to(
         mut self,
         upstream: UpstreamId,
         attempt: AttemptId,
         now: Time,
     ) -> Request<Running> {
-        let left = std::mem::replace(&mut self.stage.upstream, upstream);
-        self.tried.push(left);
+        let previous = std::mem::replace(&mut self.stage.upstream, upstream);
+        self.tried.push(previous);
         self.attempts += 1;
         self.stage.attempt = attempt;
         self.stage.is_abandoned = false;
         self.stage.last_progress = now;
-        self.stage.resumes += 1;
+        self.stage.resume_count += 1;
         self.stage.sent = now;
-        self.stage.streams = false;
+        self.stage.is_streaming = false;
         self
     }
 
     /// When its first token came, if one came.
-    pub(crate) fn began(&self) -> Option<Time> {
+    pub(crate) fn first_token_at(&self) -> Option<Time> {
         Some(self.facts.arrived + self.first_token?)
     }
 
     /// The team for which the request is to be counted as begun; `None` if it was before, or
     /// has no team.
-    pub(crate) fn take_uncounted(&mut self) -> Option<TeamId> {
-        let is_counted = std::mem::replace(&mut self.is_counted, true);
-        (!is_counted && !self.facts.public).then(|| self.facts.team.clone())
+    pub(crate) fn take_uncounted_team(&mut self) -> Option<TeamId> {
+        let was_counted = std::mem::replace(&mut self.is_usage_counted, true);
+        (!was_counted && !self.facts.public).then(|| self.facts.team.clone())
     }
 
     /// Back to the queue, for another attempt.
@@ -287,15 +287,15 @@
     fn with_stage<T>(self, stage: T) -> Request<T> {
         Request {
             attempts: self.attempts,
-            broken: self.broken,
+            failed_upstreams: self.failed_upstreams,
             claimed_by: self.claimed_by,
             facts: self.facts,
             first_token: self.first_token,
             id: self.id,
-            is_counted: self.is_counted,
+            is_usage_counted: self.is_usage_counted,
             item: self.item,
             longest_pause: self.longest_pause,
-            runs: self.runs,
+            possible_runs: self.possible_runs,
             stage,
             tokens: self.tokens,
             tried: self.tried,
@@ -305,7 +305,7 @@
     }
 
     /// Counts tokens that were computed in vain.
-    pub(crate) fn waste(&mut self, cause: WasteCause, tokens: Tokens) {
+    pub(crate) fn add_wasted_tokens(&mut self, cause: WasteCause, tokens: Tokens) {
         if tokens.get() == 0 {
             return;
         }
@@ -341,10 +341,10 @@
             attempts: self.attempts,
             class: Some(self.facts.class.clone()),
             end,
-            expected: None,
+            expected_duration: None,
             first_token: self.first_token,
-            lasted: now.since(self.facts.arrived),
-            limit: Some(self.facts.deadline.since(self.facts.arrived)),
+            duration: now.since(self.facts.arrived),
+            time_limit: Some(self.facts.deadline.since(self.facts.arrived)),
             longest_pause: self.longest_pause,
             met_target: end == OutcomeEnd::Finished && self.met_target(now),
             reason: None,
--- a/crates/policy/src/requests/resuming.rs
+++ b/crates/policy/src/requests/resuming.rs
@@ -12,31 +12,31 @@
         &mut self,
         now: Time,
         request: Request<Running>,
-        failure: &Failure,
+        failure: &AttemptFailure,
         actions: &mut Vec<Action>,
     ) {
-        let resumes = match self.pool.get(&request.stage.upstream) {
+        let engine_resumes = match self.pool.get(&request.stage.upstream) {
             Some(state) => matches!(&state.definition, Upstream::Engine(engine) if engine.resumes),
             None => false,
         };
         let Some(mut request) = self.move_stream(now, request, failure, actions) else {
             return;
         };
-        let worth_it =
+        let is_worth_resuming =
             failure.cause != FailureCause::ErrorStatus && !self.is_barred(now, &request.facts);
-        if resumes && worth_it && request.stage.resumes < MAX_RESUMES {
-            request.stage.resumes += 1;
+        if engine_resumes && is_worth_resuming && request.stage.resume_count < MAX_RESUMES {
+            request.stage.resume_count += 1;
             let attempt = request.stage.attempt;
             self.push_send(now, &mut request, Some(attempt), actions);
             self.requests.insert(request.id, Stage::Running(request));
             return;
         }
-        self.leave_upstream(now, &request);
+        self.release_slot(now, &request);
         self.limits.release(&request.facts.team);
         let tokens = request.stage.tokens;
-        request.waste(WasteCause::CutOff, tokens);
+        request.add_wasted_tokens(WasteCause::CutOff, tokens);
         if let Some(attempt) = request.claimed_by {
-            settle(&request, attempt, request.verdict, None, actions);
+            push_settlement(&request, attempt, request.verdict, None, actions);
         }
         actions.push(Action::Break {
             refusal: Refusal {
@@ -60,7 +60,7 @@
         &mut self,
         now: Time,
         request: Request<Running>,
-        failure: &Failure,
+        failure: &AttemptFailure,
         actions: &mut Vec<Action>,
     ) -> Option<Request<Running>> {
         let facts = &request.facts;
@@ -74,26 +74,29 @@
         }
         let mut avoid = request.tried.clone();
         avoid.push(request.stage.upstream.clone());
-        let wanted = facts.placement(
+        let placement = facts.placement(
             &avoid,
             None,
             facts.rank,
             self.stream_share(&facts.target),
             self.neighbors.candidates(),
         );
-        let Some(upstream) = self.pool.choose(&wanted, now, &mut self.rng) else {
+        let Some(upstream) = self.pool.choose(&placement, now, &mut self.rng) else {
             return Some(request);
         };
-        if !self.retries.take(&facts.target, facts.engine_priority, now) {
+        if !self
+            .retries
+            .take_retry(&facts.target, facts.engine_priority, now)
+        {
             return Some(request);
         }
-        self.leave_upstream(now, &request);
+        self.release_slot(now, &request);
         let broken = request.stage.attempt;
         let attempt = self.new_attempt();
         self.pool.start(&upstream, &request.facts, now);
-        let mut request = request.moved(upstream, attempt, now);
+        let mut request = request.move_to(upstream, attempt, now);
         self.start_prompt(now, &mut request);
-        request.stage.waiting = self.waiting_before(&request);
+        request.stage.prompt_tokens_ahead = self.waiting_before(&request);
         self.push_send(now, &mut request, Some(broken), actions);
         self.requests.insert(request.id, Stage::Running(request));
         None
--- a/crates/policy/src/requests/send_inputs.rs
+++ b/crates/policy/src/requests/send_inputs.rs
@@ -8,7 +8,7 @@
     /// Prompt tokens of this host that wait there, this request's included.
     pub backlog: u64,
     /// Rejections a second that the upstream says it bears.
-    pub brittle: Option<Rate>,
+    pub rejection_limit: Option<Rate>,
     /// Class of the request.
     pub class: ClassId,
     /// Time for which the engine reads what waits there, this request's prompt included.
@@ -22,7 +22,7 @@
     /// Requests of this host there, this one included.
     pub in_flight: u32,
     /// Limit that the upstream named for all hosts together.
-    pub limit: Option<Rate>,
+    pub rate_limit: Option<Rate>,
     /// Age of the oldest note that the figures of other hosts rest on.
     pub others_age: Option<Duration>,
     /// Prompt tokens of other hosts that wait there.
@@ -30,9 +30,9 @@
     /// Requests of other hosts there.
     pub others_in_flight: u32,
     /// Names the parts that its prompt shares with others; 0 for none.
-    pub prompt: u64,
+    pub shared_parts_hash: u64,
     /// Prompt tokens that the engine is believed to have to read.
-    pub unread: Tokens,
+    pub prefill_tokens: Tokens,
     /// Time from its arrival.
     pub waited: Duration,
 }
--- a/crates/policy/src/requests/settlement.rs
+++ b/crates/policy/src/requests/settlement.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settlement {
     /// Answer to keep; only with verdict `ran`.
-    pub answer: Option<StoredAnswer>,
+    pub response: Option<StoredResponse>,
     /// Attempt that holds the claim.
     pub attempt: AttemptId,
     /// The caller's key.
--- a/crates/policy/src/upstream_limits/starved.rs
+++ b/crates/policy/src/upstream_limits/starved.rs
@@ -106,6 +106,6 @@
         };
         let retry_after = self.spread(wait);
         let reason = RefusalReason::UpstreamLimited;
-        self.refuse_with(now, &request, reason, retry_after, actions);
+        self.refuse_with_retry_after(now, &request, reason, retry_after, actions);
     }
 }
--- a/crates/policy/src/upstream_notices/unavailable.rs
+++ b/crates/policy/src/upstream_notices/unavailable.rs
@@ -36,7 +36,7 @@
                 Opening::Never => (RefusalReason::NoUpstream, LEAVING_RETURN),
             };
             let retry_after = self.spread(wait);
-            self.refuse_with(now, &request, reason, retry_after, actions);
+            self.refuse_with_retry_after(now, &request, reason, retry_after, actions);
         }
     }
 
--- a/crates/policy/tests/installation/early_refusal.rs
+++ b/crates/policy/tests/installation/early_refusal.rs
@@ -164,7 +164,7 @@
     let late = Event::AttemptEnded {
         attempt: order.attempt,
         end: AttemptEnd::Completed {
-            answer: None,
+            response: None,
             longest_pause: Duration::ZERO,
             tokens: Tokens::new(5),
         },
--- a/crates/policy/tests/installation/engine_world.rs
+++ b/crates/policy/tests/installation/engine_world.rs
@@ -427,7 +427,7 @@
             Event::AttemptEnded {
                 attempt: placed.attempt,
                 end: AttemptEnd::Completed {
-                    answer: None,
+                    response: None,
                     longest_pause: Duration::ZERO,
                     tokens: Tokens::new(5),
                 },
--- a/crates/policy/tests/installation/fleet.rs
+++ b/crates/policy/tests/installation/fleet.rs
@@ -306,7 +306,7 @@
             leaving,
             limit,
         };
-        if !notice.is_empty() || order.inputs.limit.is_some() {
+        if !notice.is_empty() || order.inputs.rate_limit.is_some() {
             let event = Event::NoticeAnswered {
                 notice,
                 sent: self.now - ANSWER,
@@ -323,7 +323,7 @@
             }
         } else {
             AttemptEnd::Completed {
-                answer: None,
+                response: None,
                 longest_pause: Duration::ZERO,
                 tokens: Tokens::default(),
             }
--- a/crates/policy/tests/installation/incarnations.rs
+++ b/crates/policy/tests/installation/incarnations.rs
@@ -36,7 +36,7 @@
     host.read_directory(started_again(&first.upstream, 5_000), &[]);
     let second = sent(&host.ask(prompt()).1).unwrap();
     let whole = Tokens::new(DOCUMENT_TOKENS + OWN_TOKENS);
-    assert_eq!(second.inputs.unread, whole);
+    assert_eq!(second.inputs.prefill_tokens, whole);
     assert_eq!(second.inputs.backlog, u64::from(whole.get()));
     assert_eq!(second.inputs.in_flight, 1);
 }
--- a/crates/policy/tests/installation/overload.rs
+++ b/crates/policy/tests/installation/overload.rs
@@ -189,7 +189,7 @@
                 let actions = self.hosts[placed.host].handle(Event::AttemptEnded {
                     attempt: placed.attempt,
                     end: AttemptEnd::Completed {
-                        answer: None,
+                        response: None,
                         longest_pause: Duration::ZERO,
                         tokens: Tokens::default(),
                     },
--- a/crates/policy/tests/installation/pauses.rs
+++ b/crates/policy/tests/installation/pauses.rs
@@ -21,7 +21,7 @@
     });
     host.pass(2_000);
     let end = AttemptEnd::Completed {
-        answer: None,
+        response: None,
         longest_pause,
         tokens: Tokens::new(57),
     };
--- a/crates/policy/tests/installation/placement.rs
+++ b/crates/policy/tests/installation/placement.rs
@@ -166,7 +166,7 @@
     let parts = [(7, DOCUMENT_TOKENS), (9, OWN_TOKENS)];
     let order = sent(&hosts[1].ask(Ask::prompt("summary", "shop-key", &parts)).1).unwrap();
     assert_eq!(order.upstream, away.upstream);
-    assert_eq!(order.inputs.unread, Tokens::new(OWN_TOKENS));
+    assert_eq!(order.inputs.prefill_tokens, Tokens::new(OWN_TOKENS));
 }
 
 /// Guards against all hosts of a large installation sending their prompts to the one engine
--- a/crates/policy/tests/installation/prompt_transfers.rs
+++ b/crates/policy/tests/installation/prompt_transfers.rs
@@ -412,7 +412,7 @@
     few.host.read_directory(again, &[]);
     few.home.upstream = id;
     let (request, order) = few.ask_away();
-    assert_eq!(order.inputs.unread, Tokens::new(WHOLE));
+    assert_eq!(order.inputs.prefill_tokens, Tokens::new(WHOLE));
     // What the second engine read is fetched by the new incarnation.
     few.host.pass(500);
     first_token(&mut few.host, request, &order);
@@ -427,7 +427,7 @@
     let mut few = Few::new(linked(engines(3)));
     let (_, order) = few.ask_away();
     assert!(order.fetch_from.is_some());
-    assert_eq!(order.inputs.unread, Tokens::new(WHOLE));
+    assert_eq!(order.inputs.prefill_tokens, Tokens::new(WHOLE));
     assert_eq!(order.inputs.backlog, u64::from(WHOLE));
 }
 
@@ -452,7 +452,7 @@
     few.crowd(&[&home, &again.upstream]);
     let (_, order) = few.ask();
     assert_eq!(order.upstream, refused.upstream);
-    assert_eq!(order.inputs.unread, Tokens::new(WHOLE));
+    assert_eq!(order.inputs.prefill_tokens, Tokens::new(WHOLE));
     assert_eq!(order.fetch_from, Some(few.home.address));
 }
 
--- a/crates/policy/tests/installation/service_world.rs
+++ b/crates/policy/tests/installation/service_world.rs
@@ -313,7 +313,7 @@
         }
         self.say(replica, &ended);
         let end = AttemptEnd::Completed {
-            answer: None,
+            response: None,
             longest_pause: Duration::ZERO,
             tokens: Tokens::default(),
         };
@@ -323,7 +323,7 @@
     /// Tells a host what the replica says of itself in the answer to a request.
     fn say(&mut self, replica: usize, visit: &Visit) {
         let brittle = self.replicas[replica].brittle.and_then(Rate::per_second);
-        if brittle.is_none() && visit.order.inputs.brittle.is_none() {
+        if brittle.is_none() && visit.order.inputs.rejection_limit.is_none() {
             return;
         }
         let event = Event::NoticeAnswered {
--- a/crates/policy/tests/installation/sick.rs
+++ b/crates/policy/tests/installation/sick.rs
@@ -71,7 +71,7 @@
                 }
             } else {
                 AttemptEnd::Completed {
-                    answer: None,
+                    response: None,
                     longest_pause: Duration::ZERO,
                     tokens: Tokens::default(),
                 }
--- a/crates/policy/tests/installation/support.rs
+++ b/crates/policy/tests/installation/support.rs
@@ -6,7 +6,7 @@
     peer::{LoadNote, PeerHost},
     policy::{
         Action, Arrival, AttemptEnd, Controller, ControllerOptions, Event, Refusal, RelayRules,
-        Repeatability, RoomRules, Routed, SendOrder, Target,
+        Repeatability, RoomRules, RoutedRequest, SendOrder, Target,
     },
     serde_json::json,
     std::{
@@ -208,10 +208,10 @@
             key_hash: Some(KeyHash::of_key(ask.key)),
             max_output: None,
             prefix: None,
-            prompt: Tokens::default(),
+            prompt_tokens: Tokens::default(),
             repeatability: Repeatability::AsConfigured,
             request,
-            routed: Some(Routed {
+            routed: Some(RoutedRequest {
                 parts: ask.parts,
                 public: ask.open,
                 time_limit: Some(ask.time_limit),
@@ -246,7 +246,7 @@
         self.handle(Event::AttemptEnded {
             attempt: order.attempt,
             end: AttemptEnd::Completed {
-                answer: None,
+                response: None,
                 longest_pause: Duration::ZERO,
                 tokens: Tokens::default(),
             },
--- a/crates/policy/tests/properties/main.rs
+++ b/crates/policy/tests/properties/main.rs
@@ -6,7 +6,7 @@
 use {
     config::{Document, Numbered},
     policy::{
-        Action, Arrival, AttemptEnd, ClaimAnswer, Controller, ControllerOptions, Event,
+        Action, Arrival, AttemptEnd, ClaimResult, Controller, ControllerOptions, Event,
         Repeatability, RoomRules, Target,
     },
     quickcheck::{Arbitrary, Gen, QuickCheck},
--- a/crates/policy/tests/properties/model.rs
+++ b/crates/policy/tests/properties/model.rs
@@ -66,7 +66,7 @@
                 if let Some((request, attempt)) = self.pick_running(pick) {
                     self.known(request).answered = true;
                     let end = AttemptEnd::Completed {
-                        answer: None,
+                        response: None,
                         longest_pause: Duration::ZERO,
                         tokens: Tokens::new(5),
                     };
@@ -126,7 +126,7 @@
             key_hash: Some(KeyHash::of_key("shop")),
             max_output: None,
             prefix: None,
-            prompt: Tokens::default(),
+            prompt_tokens: Tokens::default(),
             repeatability,
             request: id,
             routed: None,
@@ -139,14 +139,14 @@
             return;
         };
         let answer = match answer % 6 {
-            0 => ClaimAnswer::InProgress,
-            1 => ClaimAnswer::NotTried,
-            2 => ClaimAnswer::Unknown,
-            _ => ClaimAnswer::Ours,
+            0 => ClaimResult::InProgress,
+            1 => ClaimResult::NotWritten,
+            2 => ClaimResult::Unknown,
+            _ => ClaimResult::Granted,
         };
         let known = self.known(request);
         known.claiming = false;
-        known.claimed = answer == ClaimAnswer::Ours;
+        known.claimed = answer == ClaimResult::Granted;
         self.handle(Event::ClaimAnswered { answer, request });
     }
 
--- a/crates/policy/tests/script/mod.rs
+++ b/crates/policy/tests/script/mod.rs
@@ -13,8 +13,8 @@
     datadriven::TestCase,
     peer::{Grant, Heartbeat, HeartbeatAnswer, PeerHost},
     policy::{
-        Action, Arrival, AttemptEnd, ClaimAnswer, Controller, ControllerOptions, Event, Outcome,
-        Refusal, Repeatability, RoomRules, StoredAnswer, Target,
+        Action, Arrival, AttemptEnd, ClaimResult, Controller, ControllerOptions, Event, Outcome,
+        Refusal, Repeatability, RoomRules, StoredResponse, Target,
     },
     serde_json::{Value, json},
     std::{collections::BTreeMap, fmt::Write, str::FromStr, sync::Arc, time::Duration},
@@ -81,7 +81,7 @@
                 let answer = args.text("body").map(stored);
                 let longest_pause = args.pause();
                 let completed = AttemptEnd::Completed {
-                    answer,
+                    response: answer,
                     longest_pause,
                     tokens,
                 };
@@ -287,8 +287,8 @@
     frozen.contains(&name_of(host))
 }
 
-fn stored(body: String) -> StoredAnswer {
-    StoredAnswer {
+fn stored(body: String) -> StoredResponse {
+    StoredResponse {
         body,
         content_type: "text/plain".to_string(),
         status: 200,
@@ -316,7 +316,7 @@
             key_hash: Some(key_hash),
             max_output: args.text("tokens").map(|tokens| tokens.parse().unwrap()),
             prefix: args.text("prefix").map(|prefix| prefix.parse().unwrap()),
-            prompt: Tokens::default(),
+            prompt_tokens: Tokens::default(),
             repeatability: repeatability.clone(),
             request: id.parse().unwrap(),
             routed: None,
@@ -343,15 +343,15 @@
     output
 }
 
-fn claim_answer(args: &Args<'_>) -> ClaimAnswer {
+fn claim_answer(args: &Args<'_>) -> ClaimResult {
     match args.text("answer").unwrap().as_str() {
-        "in-progress" => ClaimAnswer::InProgress,
-        "may-have-run" => ClaimAnswer::MayHaveRun,
-        "not-tried" => ClaimAnswer::NotTried,
-        "ours" => ClaimAnswer::Ours,
-        "ran" => ClaimAnswer::Ran(args.text("body").map(stored)),
-        "reused" => ClaimAnswer::Reused,
-        "unknown" => ClaimAnswer::Unknown,
+        "in-progress" => ClaimResult::InProgress,
+        "may-have-run" => ClaimResult::MayHaveRun,
+        "not-tried" => ClaimResult::NotWritten,
+        "ours" => ClaimResult::Granted,
+        "ran" => ClaimResult::Ran(args.text("body").map(stored)),
+        "reused" => ClaimResult::KeyReused,
+        "unknown" => ClaimResult::Unknown,
         other => panic!("no claim answer {other}"),
     }
 }
--- a/crates/policy/tests/script/render.rs
+++ b/crates/policy/tests/script/render.rs
@@ -70,7 +70,7 @@
         }
         Action::Settle(settlement) => {
             let kept = settlement
-                .answer
+                .response
                 .as_ref()
                 .map_or("no answer", |answer| &answer.body);
             format!("settle {}: {}, {kept}", settlement.key, settlement.verdict)
--- a/crates/router/src/caller_request.rs
+++ b/crates/router/src/caller_request.rs
@@ -69,7 +69,7 @@
             key_hash: Some(self.key_hash),
             max_output: self.asked.max_output,
             prefix: self.asked.prefix,
-            prompt: self.asked.prompt,
+            prompt_tokens: self.asked.prompt,
             repeatability: self.repeatability.clone(),
             request,
             routed: None,
--- a/crates/router/src/controller_thread.rs
+++ b/crates/router/src/controller_thread.rs
@@ -412,7 +412,7 @@
             .is_err()
         {
             // Nothing was written, and nothing is sent.
-            let answer = ClaimAnswer::Unknown;
+            let answer = ClaimResult::Unknown;
             self.handle(Event::ClaimAnswered { answer, request });
         }
     }
--- a/crates/router/src/instruction.rs
+++ b/crates/router/src/instruction.rs
@@ -10,7 +10,7 @@
     /// Give the final answer.
     Refuse(Refusal),
     /// Give a stored answer.
-    Replay(StoredAnswer),
+    Replay(StoredResponse),
     /// Send the request to an upstream.
     Send(Box<SendOrder>),
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -36,11 +36,11 @@
         TablesNews, TablesQuestion, TokenAsk, TokenGrant, UpstreamNote, UsageNote, VersionNote,
     },
     policy::{
-        Action, AdmissionNoted, Arrival, AttemptEnd, BrittleNoted, ClaimAnswer, ClaimRequest,
+        Action, AdmissionNoted, Arrival, AttemptEnd, BrittleNoted, ClaimRequest, ClaimResult,
         Controller, ControllerOptions, CrashNoted, CrashSource, Event, FetchEnd, HostPhase,
         LeavingNoted, LimitNoted, Outcome, OutcomeEnd, PrefixHash, ReachNoted, Refusal,
-        RefusalReason, RelayRules, Repeatability, RoomRules, Routed, SendOrder, Settlement,
-        SpeedNoted, StoredAnswer, Target, TransferSlots, WasteCause, WorkingSet,
+        RefusalReason, RelayRules, Repeatability, RoomRules, RoutedRequest, SendOrder, Settlement,
+        SpeedNoted, StoredResponse, Target, TransferSlots, WasteCause, WorkingSet,
     },
     ports::{
         Clock, Directory, DirectoryChannels, DirectoryUpdate, DutyReport, HeadError, Judgement,
--- a/crates/router/src/platform_thread.rs
+++ b/crates/router/src/platform_thread.rs
@@ -240,7 +240,7 @@
             request: claim.request,
         };
         let _ = events.send_async(RingEvent::Happened(event)).await;
-        if answer == ClaimAnswer::Unknown {
+        if answer == ClaimResult::Unknown {
             unknown.push(claim);
         }
     }
--- a/crates/router/src/pump.rs
+++ b/crates/router/src/pump.rs
@@ -64,7 +64,7 @@
         Next::End
     }
 
-    fn replay(&mut self, stored: StoredAnswer) -> Next {
+    fn replay(&mut self, stored: StoredResponse) -> Next {
         let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
         let mut response = text_answer(status, &stored.content_type, stored.body);
         answers::set_verdict(&mut response, Verdict::Ran);
@@ -146,7 +146,7 @@
             Err(failure) => return self.task.tell_failure(order, failure).await,
         };
         let end = AttemptEnd::Completed {
-            answer: self.answer_to_keep(status, &content_type, &body),
+            response: self.answer_to_keep(status, &content_type, &body),
             longest_pause: Duration::ZERO,
             tokens: completion_tokens(&body),
         };
@@ -162,12 +162,12 @@
         status: StatusCode,
         content_type: &str,
         body: &[u8],
-    ) -> Option<StoredAnswer> {
+    ) -> Option<StoredResponse> {
         let fits = body.len() as u64 <= self.limits.max_answer_bytes.get();
         if !self.request.is_keyed() || !fits {
             return None;
         }
-        Some(StoredAnswer {
+        Some(StoredResponse {
             body: String::from_utf8(body.to_vec()).ok()?,
             content_type: content_type.to_string(),
             status: status.as_u16(),
@@ -183,7 +183,7 @@
                 // A replay without the end mark would be taken for a cut answer.
                 let kept = self.kept.take().unwrap_or_default() + END_EVENT;
                 let end = AttemptEnd::Completed {
-                    answer: self.answer_to_keep(StatusCode::OK, &content_type, kept.as_bytes()),
+                    response: self.answer_to_keep(StatusCode::OK, &content_type, kept.as_bytes()),
                     longest_pause: self.task.longest_pause(),
                     tokens: self.task.take_unreported(),
                 };
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -249,7 +249,7 @@
             return self.task.tell_failure(order, failure).await;
         }
         let end = AttemptEnd::Completed {
-            answer: None,
+            response: None,
             longest_pause: Duration::ZERO,
             tokens: Tokens::default(),
         };
@@ -295,7 +295,7 @@
         self.task.answer.finish(self.slow_reader()).await;
         let tokens = self.task.take_unreported();
         let end = AttemptEnd::Completed {
-            answer: None,
+            response: None,
             longest_pause: self.task.longest_pause(),
             tokens,
         };
--- a/crates/router/src/relay_service.rs
+++ b/crates/router/src/relay_service.rs
@@ -178,10 +178,10 @@
         key_hash: head.key.as_deref().map(KeyHash::of_key),
         max_output: head.max_output,
         prefix: None,
-        prompt: head.prompt,
+        prompt_tokens: head.prompt,
         repeatability: Repeatability::AsConfigured,
         request,
-        routed: Some(Routed {
+        routed: Some(RoutedRequest {
             parts: head.parts.clone(),
             public: route.public,
             time_limit: head.time_limit,
--- a/crates/router/src/request_metrics.rs
+++ b/crates/router/src/request_metrics.rs
@@ -28,7 +28,7 @@
             .increment(1);
     }
     histogram!("rhubarbcove_request_seconds", "class" => class.clone())
-        .record(outcome.lasted.as_secs_f64());
+        .record(outcome.duration.as_secs_f64());
     if let Some(first_token) = outcome.first_token {
         histogram!("rhubarbcove_first_token_seconds", "class" => class.clone())
             .record(first_token.as_secs_f64());
--- a/crates/router/src/request_task.rs
+++ b/crates/router/src/request_task.rs
@@ -94,7 +94,7 @@
     /// Tells what an upstream says of itself in an answer, if that may be news.
     pub(crate) async fn tell_notice(&self, order: &SendOrder, notice: UpstreamNotice, sent: Time) {
         let inputs = &order.inputs;
-        if notice.is_empty() && inputs.limit.is_none() && inputs.brittle.is_none() {
+        if notice.is_empty() && inputs.rate_limit.is_none() && inputs.rejection_limit.is_none() {
             return;
         }
         self.tell(Event::NoticeAnswered {
--- a/crates/router/src/table_claims.rs
+++ b/crates/router/src/table_claims.rs
@@ -21,21 +21,21 @@
     }
 
     /// Claims several keys in one call and says what became of each.
-    pub(crate) async fn claim(&self, claims: &[ClaimRequest]) -> Vec<ClaimAnswer> {
+    pub(crate) async fn claim(&self, claims: &[ClaimRequest]) -> Vec<ClaimResult> {
         let operations = claims.iter().map(insert_claim).collect();
         let rows = match self.write(operations).await {
             Ok(results) => results.into_iter().map(|result| result.row).collect(),
             Err(error) if error.may_have_taken_effect() => match self.read_back(claims).await {
                 Some(rows) => rows,
-                None => return vec![ClaimAnswer::Unknown; claims.len()],
+                None => return vec![ClaimResult::Unknown; claims.len()],
             },
-            Err(_) => return vec![ClaimAnswer::NotTried; claims.len()],
+            Err(_) => return vec![ClaimResult::NotWritten; claims.len()],
         };
         let mut answers = Vec::with_capacity(claims.len());
         for (claim, row) in claims.iter().zip(rows) {
             let answer = match row {
                 Some(row) => self.answer_or_take(claim, &row).await,
-                None => ClaimAnswer::Unknown,
+                None => ClaimResult::Unknown,
             };
             answers.push(answer);
         }
@@ -43,11 +43,11 @@
     }
 
     /// What a row says of a claim; a released key is taken.
-    async fn answer_or_take(&self, claim: &ClaimRequest, row: &Row) -> ClaimAnswer {
+    async fn answer_or_take(&self, claim: &ClaimRequest, row: &Row) -> ClaimResult {
         match serde_json::from_value::<ClaimRow>(row.value.clone()) {
             Ok(found) if found.state == ClaimState::Released => {}
             Ok(found) => return answer_of_row(claim, found),
-            Err(_) => return ClaimAnswer::MayHaveRun,
+            Err(_) => return ClaimResult::MayHaveRun,
         }
         let take = TableOperation::Replace {
             expected_row_version: row.row_version,
@@ -60,13 +60,13 @@
                 .read_back(std::slice::from_ref(claim))
                 .await
                 .and_then(|mut rows| rows.pop().flatten()),
-            Err(_) => return ClaimAnswer::NotTried,
+            Err(_) => return ClaimResult::NotWritten,
         };
         match row.map(|row| serde_json::from_value::<ClaimRow>(row.value)) {
-            Some(Ok(found)) if found.state == ClaimState::Released => ClaimAnswer::Unknown,
+            Some(Ok(found)) if found.state == ClaimState::Released => ClaimResult::Unknown,
             Some(Ok(found)) => answer_of_row(claim, found),
-            Some(Err(_)) => ClaimAnswer::MayHaveRun,
-            None => ClaimAnswer::Unknown,
+            Some(Err(_)) => ClaimResult::MayHaveRun,
+            None => ClaimResult::Unknown,
         }
     }
 
@@ -135,7 +135,7 @@
             return true;
         }
         self.try_settle(&Settlement {
-            answer: None,
+            response: None,
             attempt: claim.attempt,
             key: claim.key.clone(),
             team: claim.team.clone(),
@@ -195,7 +195,7 @@
         Verdict::MayHaveRun => ClaimState::MayHaveRun,
         Verdict::Ran => ClaimState::Ran {
             answer: settlement
-                .answer
+                .response
                 .as_ref()
                 .and_then(|answer| serde_json::to_value(answer).ok()),
         },
@@ -207,17 +207,17 @@
     }
 }
 
-fn answer_of_row(claim: &ClaimRequest, found: ClaimRow) -> ClaimAnswer {
+fn answer_of_row(claim: &ClaimRequest, found: ClaimRow) -> ClaimResult {
     if found.fingerprint != claim.fingerprint {
-        return ClaimAnswer::Reused;
+        return ClaimResult::KeyReused;
     }
     match found.state {
-        ClaimState::Claimed if found.attempt == claim.attempt => ClaimAnswer::Ours,
-        ClaimState::Claimed => ClaimAnswer::InProgress,
-        ClaimState::MayHaveRun => ClaimAnswer::MayHaveRun,
+        ClaimState::Claimed if found.attempt == claim.attempt => ClaimResult::Granted,
+        ClaimState::Claimed => ClaimResult::InProgress,
+        ClaimState::MayHaveRun => ClaimResult::MayHaveRun,
         ClaimState::Ran { answer } => {
-            ClaimAnswer::Ran(answer.and_then(|answer| serde_json::from_value(answer).ok()))
+            ClaimResult::Ran(answer.and_then(|answer| serde_json::from_value(answer).ok()))
         }
-        ClaimState::Released => ClaimAnswer::Unknown,
+        ClaimState::Released => ClaimResult::Unknown,
     }
 }
