--- a/crates/policy/src/requests/attempts.rs
+++ b/crates/policy/src/requests/attempts.rs
@@ -1,10 +1,11 @@
-//! What follows from the progress and the end of an attempt: completion, a retry,
-//! or the end of the request.
+//! Progress and end of an attempt. When an attempt ends, its request is completed, retried or
+//! refused, or its stream is resumed.
 
 use super::*;
 
-/// Upstreams that may refuse a relayed request, or be out of reach, before it
-/// is refused: by then the next one would hardly be better.
+/// Number of attempts of a relayed request that may end without running the request, because the
+/// upstreams reject it or are unreachable. The request is refused then, as another upstream is
+/// unlikely to do better.
 const MAX_NOT_RUN_ATTEMPTS: usize = 4;
 
 impl Controller {
@@ -35,6 +36,7 @@
         let is_fetched = request.stage.fetch.is_some();
         let class = request.facts.class.clone();
         let prefill = std::mem::take(&mut request.stage.prefill);
+        // Also true when a stream that was moved continues on another upstream.
         let is_first_on_upstream = !std::mem::replace(&mut request.stage.is_streaming, true);
         let is_rendezvous = request.stage.is_rendezvous;
         let is_direct = request.stage.is_direct;
@@ -242,8 +244,8 @@
         }
     }
 
-    /// A request that may have run, on this attempt or an earlier one, is sent
-    /// again only if running twice does no harm.
+    /// Whether a failed request is sent again. A request that may have run, in this attempt or an
+    /// earlier one, is sent again only if it is idempotent.
     fn may_retry(
         &mut self,
         now: Time,
@@ -261,7 +263,7 @@
         let target = &request.facts.target;
         let priority = request.facts.engine_priority;
         if self.options.relay.is_some() && failure.verdict == Verdict::NotRun {
-            // One that never left is no load either.
+            // A request that was never sent adds no load, so it takes nothing from the budget.
             let is_unsent = failure.cause == FailureCause::Connect;
             let has_tries_left = request.tried.len() < MAX_NOT_RUN_ATTEMPTS;
             return has_tries_left && (is_unsent || self.retries.take_retry(target, priority, now));
@@ -272,9 +274,9 @@
         self.has_attempts_left(request) && self.retries.take_retry(target, priority, now)
     }
 
-    /// Whether the class allows one more attempt, after the one that has just
-    /// failed. In an installation only attempts on which the request may have run
-    /// count; of the others there may be [`MAX_NOT_RUN_ATTEMPTS`].
+    /// Whether the class allows another attempt after the one that has just failed. If relay rules
+    /// are set, only attempts in which the request may have run count towards the limit of the
+    /// class; the number of other attempts is limited by [`MAX_NOT_RUN_ATTEMPTS`].
     pub(crate) fn has_attempts_left(&self, request: &Request<Running>) -> bool {
         let attempts_made = request.tried.len() as u32 + 1;
         if self.options.relay.is_none() {
@@ -284,7 +286,8 @@
         request.possible_runs < request.facts.max_attempts && not_run <= MAX_NOT_RUN_ATTEMPTS as u32
     }
 
-    /// Gives the slot back.
+    /// Releases the slot of a request at its upstream, and updates the prompts that the upstream is
+    /// expected to cache and to prefill.
     pub(crate) fn release_slot(&mut self, now: Time, request: &Request<Running>) {
         if !request.stage.is_streaming {
             self.note_prompt_unread(&request.stage.upstream, &request.facts.parts);
@@ -299,14 +302,16 @@
 }
 
 impl Request<Running> {
-    /// Prompt tokens that the engine has to read in any case: those of the part that no other request
-    /// has.
+    /// Prompt tokens that the engine has to prefill in any case: those of the last part, which
+    /// belongs to this request or its session alone. Returns 0 if even this part is expected to be
+    /// cached.
     fn unshared_prompt_tokens(&self) -> Tokens {
         let last = self.facts.parts.last().map(|part| part.tokens);
         let last = last.filter(|last| *last <= self.stage.prefill);
         last.unwrap_or_default()
     }
 
+    /// Counts tokens of a progress event, and records the time of the first token.
     fn record_tokens(&mut self, now: Time, tokens: Tokens) {
         if self.first_token.is_none() {
             self.first_token = Some(now.since(self.facts.arrived));
@@ -314,8 +319,8 @@
         self.add_tokens(now, tokens);
     }
 
-    /// Counts tokens without taking them as a sign of the first one: the end
-    /// of an answer that came as a whole says nothing of its first token.
+    /// Counts tokens without recording the time of the first token: the end of a response that
+    /// arrives all at once does not tell when its first token was produced.
     fn add_tokens(&mut self, now: Time, tokens: Tokens) {
         self.stage.last_progress = now;
         self.stage.tokens = Tokens::new(self.stage.tokens.get() + tokens.get());
--- a/crates/policy/src/requests/claims.rs
+++ b/crates/policy/src/requests/claims.rs
@@ -1,14 +1,15 @@
-//! What follows from the table's answer to a claim.
+//! Handling of the results of idempotency key claims in the platform's table.
 
 use super::*;
 
-/// Advice to retry while another attempt with the same key is in progress.
+/// Time after which a caller is advised to retry while another request with the same key is in
+/// progress.
 const IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time that a request is put aside when the store refused its claim.
+/// Time for which a request is parked after the table rejected its claim without writing it.
 const PARK_DURATION: Duration = Duration::from_millis(500);
 
-/// Advice to retry after the store gave no answer.
+/// Time after which a caller is advised to retry after the table did not respond.
 const STORE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Controller {
@@ -54,8 +55,9 @@
         }
     }
 
-    /// Sends a request whose key is claimed, unless it came too late: then the
-    /// key is released, for nothing was sent.
+    /// Sends a request whose key is claimed. If the upstream takes no work any more, the request
+    /// goes back to its queue and keeps the claim. If the deadline has passed or the caller has
+    /// disconnected, the claim is released, as nothing was sent.
     fn on_claim_granted(
         &mut self,
         now: Time,
@@ -115,8 +117,9 @@
         }
     }
 
-    /// Puts a request aside while the store is down, without its slot. It
-    /// comes back to its queue to try again, and is refused at its deadline.
+    /// Parks a request while the table is unavailable, and releases its slot. After
+    /// [`PARK_DURATION`] the request returns to its queue to try the claim again; at its deadline
+    /// it is refused.
     fn park(&mut self, now: Time, request: Request<Claiming>) {
         self.pool.end(&request.stage.upstream, &request.facts, now);
         let request = request.park();
@@ -126,7 +129,7 @@
         self.requests.insert(request.id, Stage::Queued(request));
     }
 
-    /// Returns requests to their queues whose time aside has passed.
+    /// Returns parked requests to their queues once [`PARK_DURATION`] has passed.
     pub(crate) fn requeue_parked(&mut self, now: Time) {
         while let Some((until, id)) = self.parked.first().copied() {
             if until > now {
@@ -146,7 +149,7 @@
     }
 }
 
-/// Orders the end of a claimed request to be written into the table.
+/// Adds an action that writes the outcome of a claimed request to the platform's table.
 pub(crate) fn push_settlement<S>(
     request: &Request<S>,
     attempt: AttemptId,
--- a/crates/policy/src/requests/refusing.rs
+++ b/crates/policy/src/requests/refusing.rs
@@ -1,12 +1,14 @@
-//! Final answers to requests that get none from an upstream, and the end of those
-//! whose callers have left.
+//! Refusals of requests, and the end of requests whose callers have disconnected.
 
 use super::*;
 
-/// Advice to retry after every attempt failed.
+/// Time after which a caller is advised to retry if all attempts failed or the request was refused
+/// while it was queued.
 const FAILED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Controller {
+    /// Refuses a request whose last attempt failed. Advises a retry only if running the request
+    /// again is safe.
     pub(crate) fn refuse_failed(
         &mut self,
         now: Time,
@@ -25,7 +27,8 @@
         self.finish_refused(now, &request, refusal, actions);
     }
 
-    /// Gives a request that has left its queue its final answer.
+    /// Refuses a request that has been removed from its queue. If its fingerprint is barred for
+    /// crashing upstreams, the caller is advised to retry after the bar ends.
     pub(crate) fn refuse(
         &mut self,
         now: Time,
@@ -38,7 +41,7 @@
         self.refuse_with_retry_after(now, &request, reason, retry_after, actions);
     }
 
-    /// The same, with the time after which its caller may come again.
+    /// Refuses a request that has been removed from its queue, with the given advice to retry.
     pub(crate) fn refuse_with_retry_after(
         &mut self,
         now: Time,
@@ -106,7 +109,7 @@
         actions.push(Action::Record(outcome));
     }
 
-    /// Cancels the attempt, so that the engine spends nothing more on it.
+    /// Cancels the attempt of a request, so that the engine does not spend more time on it.
     fn cancel_running(
         &mut self,
         now: Time,
--- a/crates/policy/src/requests/resuming.rs
+++ b/crates/policy/src/requests/resuming.rs
@@ -1,13 +1,15 @@
-//! What becomes of a stream that broke after part of it had gone out.
+//! Handling of a stream that was interrupted after part of it had been sent to the caller.
 
 use super::*;
 
-/// Times that one stream may be resumed.
+/// Number of resumptions, on any upstream, after which a stream is no longer resumed on the same
+/// engine.
 const MAX_RESUMES: u32 = 3;
 
 impl Controller {
-    /// Resumes a broken stream where the engine can, else ends it with the
-    /// verdict. It keeps its slot meanwhile.
+    /// Resumes an interrupted stream on another upstream or, if its engine supports that, on the
+    /// same engine, where it keeps its slot. Otherwise ends the response and reports the verdict to
+    /// the caller.
     pub(crate) fn resume_or_break(
         &mut self,
         now: Time,
@@ -54,8 +56,8 @@
         actions.push(Action::Record(outcome));
     }
 
-    /// Goes on with a broken stream at another upstream, where its class allows
-    /// that; gives the request back where it cannot be done.
+    /// Resumes an interrupted stream on another upstream, if its class allows that. Returns the
+    /// request if it cannot be moved.
     fn move_stream(
         &mut self,
         now: Time,
