--- a/crates/policy/src/requests/request.rs
+++ b/crates/policy/src/requests/request.rs
@@ -1,47 +1,49 @@
 use super::*;
 
-/// What is fixed about a request once it is admitted.
+/// Properties of a request that do not change after its admission.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestFacts {
     pub(crate) arrived: Time,
     pub(crate) between_token_target_ms: u64,
     pub(crate) class: ClassId,
-    /// Last moment for an attempt to start.
+    /// Time after which no attempt may start.
     pub(crate) deadline: Time,
-    /// When the first token is due.
+    /// Time by which the first token is due.
     pub(crate) due: Time,
-    /// What makes it the same as another request of its team.
+    /// Identifies identical requests of the same team.
     pub(crate) fingerprint: Fingerprint,
-    /// Its priority at an engine, 0 the most urgent.
+    /// Priority that is passed to the engine; 0 is the most urgent.
     pub(crate) engine_priority: u8,
     pub(crate) first_token_target_ms: u64,
     pub(crate) idempotent: bool,
-    /// Whether its prompt was long among those seen when it came.
+    /// Whether the prompt was long compared to other recent prompts when the request arrived.
     pub(crate) is_long: bool,
-    /// Most upstreams that it may be sent to.
+    /// Maximum number of attempts. If relay rules are set, only attempts in which the request may
+    /// have run count.
     pub(crate) max_attempts: u32,
-    /// Whether long prompts beside it can make it late: no class has a shorter
-    /// target for pauses.
+    /// Whether the class has the shortest pause target of all classes, so that prefills of long
+    /// prompts on the same engine can make the stream miss this target.
     pub(crate) pause_bound: bool,
-    /// Longest pause with which the answer is still on time.
+    /// Longest pause between two parts of the response that still meets the target of the class.
     pub(crate) pause_target: Option<Duration>,
-    /// Parts of its prompt in order.
+    /// Parts of the prompt, in order.
     pub(crate) parts: Vec<PromptPart>,
-    /// Idempotency key to be claimed before anything is sent, and the fingerprint that is
-    /// kept with it.
+    /// Idempotency key that must be claimed before the request is sent, and the fingerprint that
+    /// is stored with the key.
     pub(crate) key: Option<(IdempotencyKey, Fingerprint)>,
     pub(crate) prefix: Option<PrefixHash>,
-    /// Whether it came without a key, on a route that needs none.
+    /// Whether the request arrived on a route that needs no bearer key.
     pub(crate) public: bool,
     pub(crate) rank: Rank,
-    /// Whether a broken stream may go on at another upstream.
+    /// Whether an interrupted stream may be resumed on another upstream.
     pub(crate) resumable: bool,
     pub(crate) target: Target,
     pub(crate) team: TeamId,
 }
 
 impl RequestFacts {
-    /// What the request asks of an upstream, sent with the room of `rank`.
+    /// Builds the placement request. `rank` determines how much of the upstream headroom the
+    /// request may use.
     pub(crate) fn placement<'a>(
         &'a self,
         avoid: &'a [UpstreamId],
@@ -66,12 +68,14 @@
     }
 }
 
-/// A request in one stage of its life. A stage is left by a method that takes
-/// the request and returns the next stage, so no request is in two at once.
+/// A request in stage `S`. Methods that change the stage consume the request and return it in the
+/// next stage, so a request cannot be in two stages at once.
 #[derive(Clone, Debug)]
 pub(crate) struct Request<S> {
+    /// Number of attempts so far.
     pub(crate) attempts: u32,
-    /// Upstreams that broke it, rather than refused it: nothing is fetched from them for it.
+    /// Upstreams on which an attempt failed for another reason than a busy upstream. No parts of
+    /// the prompt are fetched from them.
     pub(crate) failed_upstreams: Vec<UpstreamId>,
     /// Attempt that holds the claim of the idempotency key.
     pub(crate) claimed_by: Option<AttemptId>,
@@ -79,65 +83,70 @@
     /// Time from arrival to the first token.
     pub(crate) first_token: Option<Duration>,
     pub(crate) id: RequestId,
-    /// Whether it was counted as begun.
+    /// Whether the request has been counted in the usage of its team.
     pub(crate) is_usage_counted: bool,
     pub(crate) item: QueuedItem,
-    /// Longest time between two parts of the answer that the caller was sent.
+    /// Longest pause between two parts of the response sent to the caller.
     pub(crate) longest_pause: Duration,
-    /// Ended attempts on which it may have run.
+    /// Number of failed attempts in which the request may have run.
     pub(crate) possible_runs: u32,
     pub(crate) stage: S,
     /// Tokens delivered to the caller.
     pub(crate) tokens: Tokens,
+    /// Upstreams of earlier attempts.
     pub(crate) tried: Vec<UpstreamId>,
-    /// Join of the verdicts of its attempts so far.
+    /// Combined verdict of all attempts so far.
     pub(crate) verdict: Verdict,
+    /// Number of computed tokens that were wasted, and the latest cause.
     pub(crate) wasted: Option<(WasteCause, Tokens)>,
 }
 
-/// Waits for a slot.
+/// Stage of a request that waits for a slot at an upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Queued {
-    /// Put aside while the store is down; not in its queue.
+    /// Whether the request is parked because its claim failed. A parked request is not in its
+    /// queue.
     pub(crate) parked: bool,
 }
 
-/// Has a slot, and waits for the table to grant its idempotency key.
+/// Stage of a request that has a slot and waits for the claim of its idempotency key.
 #[derive(Clone, Debug)]
 pub(crate) struct Claiming {
     pub(crate) attempt: AttemptId,
+    /// Whether the caller has disconnected.
     pub(crate) caller_gone: bool,
     pub(crate) priority: u8,
     pub(crate) upstream: UpstreamId,
 }
 
-/// Is on its way to an upstream or runs there.
+/// Stage of a request that has been sent to an upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Running {
     pub(crate) attempt: AttemptId,
-    /// What is fetched of its prompt.
+    /// Parts of the prompt that the engine fetches from another engine.
     pub(crate) fetch: Option<PromptFetch>,
-    /// Whether the attempt is given up, and its end not reported yet.
+    /// Whether the attempt has been abandoned and its end has not been reported yet.
     pub(crate) is_abandoned: bool,
-    /// Whether it was sent over a path of this host's own, as far as is known.
+    /// Whether the request was, as far as known, sent directly and not through another host.
     pub(crate) is_direct: bool,
-    /// Whether it is the engine at which hosts look for its shared parts.
+    /// Whether the upstream is the rendezvous engine of the prompt: the engine on which all hosts
+    /// expect the shared parts to be cached.
     pub(crate) is_rendezvous: bool,
-    /// When tokens came last, or when it was sent.
+    /// When tokens were last received, or when the attempt was sent.
     pub(crate) last_progress: Time,
-    /// Prompt tokens that the engine is believed to read for it before its
+    /// Prompt tokens that the engine is expected to prefill before the first token; 0 after the
     /// first token.
     pub(crate) prefill: Tokens,
     pub(crate) priority: u8,
+    /// Number of times that the stream has been resumed.
     pub(crate) resume_count: u32,
     pub(crate) sent: Time,
-    /// Whether this attempt has brought tokens, and counts as a stream of its
-    /// upstream.
+    /// Whether this attempt has produced tokens, so that it counts as a stream of the upstream.
     pub(crate) is_streaming: bool,
-    /// Tokens of this attempt.
+    /// Tokens received in this attempt and in the interrupted attempts that it resumes.
     pub(crate) tokens: Tokens,
     pub(crate) upstream: UpstreamId,
-    /// Prompt tokens that were known to wait there before its own.
+    /// Prompt tokens that were known to wait at the upstream ahead of this request.
     pub(crate) prompt_tokens_ahead: u64,
 }
 
@@ -227,11 +236,12 @@
 }
 
 impl Request<Claiming> {
-    /// Aside, until the store may answer again.
+    /// Parks the request until the claim is tried again.
     pub(crate) fn park(self) -> Request<Queued> {
         self.with_stage(Queued { parked: true })
     }
 
+    /// Moves a request whose claim was granted to the running stage.
     pub(crate) fn into_running(mut self, now: Time) -> Request<Running> {
         let Claiming {
             attempt,
@@ -245,7 +255,7 @@
 }
 
 impl Request<Running> {
-    /// On to another upstream, to go on after the last event.
+    /// Moves the request to another upstream, which resumes the stream after its last event.
     pub(crate) fn move_to(
         mut self,
         upstream: UpstreamId,
@@ -264,19 +274,19 @@
         self
     }
 
-    /// When its first token came, if one came.
+    /// Time of the first token; `None` if no token has been received.
     pub(crate) fn first_token_at(&self) -> Option<Time> {
         Some(self.facts.arrived + self.first_token?)
     }
 
-    /// The team for which the request is to be counted as begun; `None` if it was before, or
-    /// has no team.
+    /// Marks the request as counted in the usage of its team, and returns the team. Returns `None`
+    /// if the request has been counted before or has no team.
     pub(crate) fn take_uncounted_team(&mut self) -> Option<TeamId> {
         let was_counted = std::mem::replace(&mut self.is_usage_counted, true);
         (!was_counted && !self.facts.public).then(|| self.facts.team.clone())
     }
 
-    /// Back to the queue, for another attempt.
+    /// Returns the request to the queued stage for another attempt.
     pub(crate) fn requeue(mut self) -> Request<Queued> {
         self.tried.push(self.stage.upstream.clone());
         self.with_stage(Queued { parked: false })
@@ -304,7 +314,7 @@
         }
     }
 
-    /// Counts tokens that were computed in vain.
+    /// Adds computed tokens that were wasted.
     pub(crate) fn add_wasted_tokens(&mut self, cause: WasteCause, tokens: Tokens) {
         if tokens.get() == 0 {
             return;
@@ -313,8 +323,10 @@
         self.wasted = Some((cause, Tokens::new(before + tokens.get())));
     }
 
-    /// Whether the first token, the pace and the longest pause met the class's
-    /// targets. An answer that came as a whole has the time of the first two together.
+    /// Whether the time to the first token, the average time between tokens and the longest pause
+    /// met the targets of the class. If the time of the first token is unknown because the
+    /// response arrived all at once, the total time is compared with the sum of the first two
+    /// targets.
     pub(crate) fn met_target(&self, now: Time) -> bool {
         let target = self.facts.pause_target;
         if target.is_some_and(|target| self.longest_pause > target) {
--- a/crates/policy/src/requests/retry_budgets.rs
+++ b/crates/policy/src/requests/retry_budgets.rs
@@ -1,62 +1,63 @@
 use super::*;
 
-/// Retries allowed for each first attempt, where nothing else is set.
+/// Retries allowed for each first attempt if no relay rules are set.
 const DEFAULT_RETRY_RATIO: f64 = 0.1;
 
-/// Retries allowed beyond the ratio in one window, where nothing else is set.
+/// Retries allowed beyond the ratio in one window if no relay rules are set.
 const DEFAULT_EXTRA_RETRIES: u32 = 20;
 
-/// Parts into which the extra retries of an installation are divided, for each
-/// host that is listed: a host that is killed and starts again does not know what
-/// it has spent, and hosts may start that are not listed yet.
+/// Number of parts for each listed host into which the extra retries of an installation are
+/// divided. Each host uses one part; the others are reserved, because a host that was killed and
+/// restarted does not know how many retries it has used, and because hosts may be running that are
+/// not listed yet.
 const EXTRA_PARTS_PER_HOST: u32 = 2;
 
-/// Retries beyond the ratio that a host must be able to make in a window at least, where there
-/// is about one for each host: with less than one, requests that fail are never repeated on
-/// most hosts, although the installation's budget is hardly used.
+/// Extra retries that a host should have in a window at least, if the installation allows about
+/// one for each host. With less than one, most hosts never retry a failed request, although the
+/// budget of the installation is hardly used.
 const MIN_EXTRA_RETRIES: f64 = 1.0;
 
-/// Window, where nothing else is set.
+/// Length of the sliding window if no relay rules are set.
 const DEFAULT_WINDOW: Duration = Duration::from_secs(10);
 
-/// Spans in which the ratio holds, as parts of the window.
+/// Time spans in which the retry ratio must hold, as fractions of the window.
 ///
-/// What goes wrong with the whole window alone: a burst ends while upstreams refuse much.
-/// Each host's window ends with its last retry and still holds the burst; a later one no
-/// longer does, and holds all the retries. One would notice more retries in 10 s than the
-/// installation allows. In half of it the ratio follows the load.
+/// The whole window alone is not enough. When a burst of requests ends while the upstreams reject
+/// many of them, the window that precedes a retry still contains the first attempts of the burst
+/// and allows the retry. A window that starts a little later contains all those retries but not
+/// the burst, so the installation exceeds its limit in this window. The shorter span makes the
+/// ratio follow the load.
 const WINDOW_FRACTIONS: [f64; 2] = [1.0, 0.5];
 
-/// Part of a budget that the least urgent of a target's requests leave to the others; those
-/// between them leave less.
+/// Fraction of a budget that the least urgent requests of a target leave to more urgent ones.
+/// Requests of a priority in between leave a smaller fraction.
 ///
-/// What goes wrong without it: full engines refuse, long prompts of the least urgent class
-/// spend all retries, and a more urgent request is refused with the first engine that it
-/// meets: where hosts are many, each has a few retries only.
+/// Without this reserve, long prompts of the least urgent class use up all retries while the
+/// engines are full and reject requests. More urgent requests are then refused after a single
+/// rejection, because each of many hosts has only a few retries.
 const URGENT_RESERVE: f64 = 0.5;
 
-/// The retry budget of one target on this host: a part of its requests in a
-/// sliding window, and a few more.
+/// First attempts and retries of one target on this host in a sliding window.
 #[derive(Debug, Default)]
 struct RetryWindow {
     first_attempts: VecDeque<Time>,
-    /// Priorities of all requests that ever came, 0 the most urgent.
+    /// Priorities of all first attempts since the start of this host; 0 is the most urgent.
     priorities: BTreeSet<u8>,
     retries: VecDeque<Time>,
 }
 
 impl RetryWindow {
-    /// Part of the budget that requests of a priority may spend.
+    /// Fraction of the budget that requests of a priority may use.
     fn share(&self, priority: u8) -> f64 {
         let more_urgent = self.priorities.range(..priority).count();
         let others = self.priorities.len().saturating_sub(1).max(1);
         1.0 - URGENT_RESERVE * more_urgent as f64 / others as f64
     }
 
-    /// First attempts and retries of the last time.
+    /// Numbers of first attempts and of retries in the last `span`.
     fn counts_within(&self, now: Time, span: Duration) -> (usize, usize) {
         let is_old = |time: &Time| now.since(*time) >= span;
-        // Times are in order.
+        // The times are in ascending order.
         let recent = |times: &VecDeque<Time>| times.len() - times.partition_point(is_old);
         (recent(&self.first_attempts), recent(&self.retries))
     }
@@ -70,26 +71,32 @@
     }
 }
 
-/// Budgets of retries by target.
+/// Retry budgets of all targets on this host. A budget allows a ratio of the first attempts in a
+/// sliding window, and some extra retries.
 ///
-/// What goes wrong without them: when an upstream fails, every request is sent
-/// two or three times, and the retries overload the upstreams that are left.
-/// One would notice attempts growing while finished requests fall. Each host
-/// spends only by its own requests and its own part of the extra, so that the
-/// sum over all hosts holds although none can observe the others.
+/// Without budgets, every request is sent two or three times when an upstream fails, and the
+/// retries overload the remaining upstreams: the number of attempts rises while the number of
+/// completed requests falls. Each host limits its retries by its own requests and its own part of
+/// the extra retries, so the sum over all hosts stays within the budget of the installation even
+/// if the hosts cannot observe each other.
 #[derive(Debug)]
 pub(crate) struct RetryBudgets {
+    /// Extra retries of this host in a window in which an earlier incarnation of the host may have
+    /// made retries.
     extra: f64,
-    /// The same once no incarnation of this host can have spent any in the same window.
+    /// Extra retries of this host in a window in which no earlier incarnation of the host can have
+    /// made retries.
     extra_sole_incarnation: f64,
-    /// Extra retries of all hosts of an installation.
+    /// Extra retries of all hosts of the installation together; `None` if no relay
+    /// rules are set.
     total_extra: Option<u32>,
-    /// Hosts of the installation.
+    /// Number of hosts of the installation; 0 until it is known.
     host_count: u32,
-    /// Whether this is the first incarnation of this host.
+    /// Whether the installation starts for the first time, so that this host had no earlier
+    /// incarnation.
     is_first: bool,
     ratio: f64,
-    /// When this host learned first how many hosts there are.
+    /// When this host first learned the number of hosts.
     started: Option<Time>,
     targets: HashMap<Target, RetryWindow>,
     window: Duration,
@@ -115,7 +122,7 @@
         }
     }
 
-    /// Follows changed figures; what was spent stays spent.
+    /// Applies changed rules. Retries that were made under the old rules still count.
     pub(crate) fn update_rules(&mut self, rules: &RelayRules) {
         self.total_extra = Some(rules.retry_extra);
         self.ratio = rules.retry_ratio;
@@ -123,19 +130,19 @@
         self.divide_extra();
     }
 
-    /// Takes the number of hosts that are listed. It never falls: one that is no
-    /// longer listed may still run.
+    /// Updates the number of listed hosts. The number never decreases, because a host that is no
+    /// longer listed may still be running.
     ///
-    /// The extra retries are divided by it, and not by the hosts that are observed:
-    /// where hosts cannot observe each other, each would take more, and the sum would
-    /// exceed the installation's budget when it matters most.
+    /// The extra retries are divided by the number of listed hosts, not of observed hosts. During a
+    /// network partition each host observes fewer hosts and would use a larger part, so the sum
+    /// would exceed the budget of the installation just when retries are most frequent.
     pub(crate) fn update_host_count(&mut self, now: Time, hosts: usize) {
         self.started.get_or_insert(now);
         self.host_count = self.host_count.max(hosts as u32);
         self.divide_extra();
     }
 
-    /// The hosts that the extra retries are divided among.
+    /// Number of hosts among which the extra retries are divided.
     pub(crate) const fn host_count(&self) -> u32 {
         self.host_count
     }
@@ -148,15 +155,15 @@
         }
     }
 
-    /// Notes a request's first attempt.
+    /// Records the first attempt of a request.
     pub(crate) fn record_first_attempt(&mut self, target: &Target, priority: u8, now: Time) {
         let window = self.current_window(target, now);
         window.first_attempts.push_back(now);
         window.priorities.insert(priority);
     }
 
-    /// Takes one retry from the budget, for a request of a priority; false if none is left
-    /// for it.
+    /// Takes one retry from the budget of a target for a request of a priority. Returns false if
+    /// the budget is used up.
     pub(crate) fn take_retry(&mut self, target: &Target, priority: u8, now: Time) -> bool {
         if self.remaining_in(self.targets.get(target), priority, now) < 1.0 {
             return false;
@@ -165,7 +172,7 @@
         true
     }
 
-    /// Retries that a window leaves now to requests of a priority.
+    /// Number of retries that the budget of a target currently allows to requests of a priority.
     fn remaining_in(&self, window: Option<&RetryWindow>, priority: u8, now: Time) -> f64 {
         let share = window.map_or(1.0, |window| window.share(priority));
         let extra = self.extra_at(now);
@@ -179,8 +186,8 @@
         remaining.into_iter().fold(f64::INFINITY, f64::min)
     }
 
-    /// Retries beyond the ratio that this host may make in a window. One that has started again
-    /// does not know what it spent before.
+    /// Number of extra retries that this host may make in a window. For the first window after a
+    /// restart the number is lower, because the host does not know how many retries it made before.
     fn extra_at(&self, now: Time) -> f64 {
         let has_window_passed = |started: Time| now.since(started) >= self.window;
         if self.is_first || self.started.is_some_and(has_window_passed) {
@@ -190,7 +197,8 @@
         }
     }
 
-    /// Retries that may be made now, for each target that was asked for.
+    /// Number of retries that the budget of each target currently allows to the most urgent
+    /// requests.
     pub(crate) fn remaining(&self, now: Time) -> impl Iterator<Item = (&Target, f64)> {
         let targets = self.targets.iter();
         targets
