--- a/crates/policy/src/requests/retry_budgets.rs
+++ b/crates/policy/src/requests/retry_budgets.rs
@@ -25,8 +25,8 @@
 /// The whole window alone is not enough. When a burst of requests ends while the upstreams reject
 /// many of them, the window that precedes a retry still contains the first attempts of the burst
 /// and allows the retry. A window that starts a little later contains all those retries but not
-/// the burst, so the installation exceeds its limit in this window. The shorter span makes the
-/// ratio follow the load.
+/// the burst, so the installation makes more retries in 10 s than its limit allows. The shorter
+/// span makes the ratio follow the load.
 const WINDOW_FRACTIONS: [f64; 2] = [1.0, 0.5];
 
 /// Fraction of a budget that the least urgent requests of a target leave to more urgent ones.
