--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -64,9 +64,9 @@
     reach::PathChange,
     relay_rules::RelayRules,
     requests::{
-        Arrival, AttemptEnd, ClaimAnswer, ClaimRequest, Outcome, OutcomeEnd, PrefixHash, Refusal,
-        RefusalReason, Repeatability, Routed, SendInputs, Settlement, StoredAnswer, Target,
-        WasteCause,
+        Arrival, AttemptEnd, ClaimRequest, ClaimResult, Outcome, OutcomeEnd, PrefixHash, Refusal,
+        RefusalReason, Repeatability, RoutedRequest, SendInputs, Settlement, StoredResponse,
+        Target, WasteCause,
     },
     transfers::{TransferSearch, TransferSlots},
     upstream_limits::LimitChange,
@@ -83,7 +83,9 @@
     prompt_transfers::{PromptCopies, PromptFetch, TransferLink},
     queueing::{LengthEstimate, QueuedItem, Rank, TargetQueues, TeamLimits, URGENT_TIERS, Urgency},
     reach::{OwnPaths, TransitHosts},
-    requests::{Claiming, Failure, Queued, Request, RequestFacts, RetryBudgets, Running, Stage},
+    requests::{
+        AttemptFailure, Claiming, Queued, Request, RequestFacts, RetryBudgets, Running, Stage,
+    },
     upstream_limits::{UpstreamLimit, UpstreamLimits},
     upstream_notices::{AnnouncementSchedule, Backoff, Departure, Departures},
     upstreams::{
--- a/crates/policy/src/requests/failure.rs
+++ /dev/null
@@ -1,8 +0,0 @@
-use super::*;
-
-/// A failed attempt.
-pub(crate) struct Failure {
-    pub(crate) cause: FailureCause,
-    pub(crate) delivered: bool,
-    pub(crate) verdict: Verdict,
-}
--- a/crates/policy/src/requests/refusing.rs
+++ b/crates/policy/src/requests/refusing.rs
@@ -1,12 +1,14 @@
-//! Final answers to requests that get none from an upstream, and the end of those
-//! whose callers have left.
+//! Refusals of requests, and the end of requests whose callers have disconnected.
 
 use super::*;
 
-/// Advice to retry after every attempt failed.
-const FAILED_RETURN: Duration = Duration::from_secs(1);
+/// Time after which a caller is advised to retry if all attempts failed or the request was refused
+/// while it was queued.
+const FAILED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Controller {
+    /// Refuses a request whose last attempt failed. Advises a retry only if running the request
+    /// again is safe.
     pub(crate) fn refuse_failed(
         &mut self,
         now: Time,
@@ -14,18 +16,19 @@
         actions: &mut Vec<Action>,
     ) {
         if let Some(attempt) = request.claimed_by {
-            settle(&request, attempt, request.verdict, None, actions);
+            push_settlement(&request, attempt, request.verdict, None, actions);
         }
-        let retry = request.facts.idempotent || request.verdict == Verdict::NotRun;
+        let is_retriable = request.facts.idempotent || request.verdict == Verdict::NotRun;
         let refusal = Refusal {
             reason: RefusalReason::UpstreamFailed,
-            retry_after: retry.then(|| self.jittered_retry_after(FAILED_RETURN)),
+            retry_after: is_retriable.then(|| self.jittered_retry_after(FAILED_RETRY_AFTER)),
             verdict: request.verdict,
         };
         self.finish_refused(now, &request, refusal, actions);
     }
 
-    /// Gives a request that has left its queue its final answer.
+    /// Refuses a request that has been removed from its queue. If its fingerprint is barred for
+    /// crashing upstreams, the caller is advised to retry after the bar ends.
     pub(crate) fn refuse(
         &mut self,
         now: Time,
@@ -34,12 +37,13 @@
         actions: &mut Vec<Action>,
     ) {
         let barred_for = self.crashes.barred_for(&request.facts.fingerprint, now);
-        let retry_after = barred_for.unwrap_or_else(|| self.jittered_retry_after(FAILED_RETURN));
-        self.refuse_with(now, &request, reason, retry_after, actions);
+        let retry_after =
+            barred_for.unwrap_or_else(|| self.jittered_retry_after(FAILED_RETRY_AFTER));
+        self.refuse_with_retry_after(now, &request, reason, retry_after, actions);
     }
 
-    /// The same, with the time after which its caller may come again.
-    pub(crate) fn refuse_with(
+    /// Refuses a request that has been removed from its queue, with the given advice to retry.
+    pub(crate) fn refuse_with_retry_after(
         &mut self,
         now: Time,
         request: &Request<Queued>,
@@ -49,7 +53,7 @@
     ) {
         self.limits.release(&request.facts.team);
         if let Some(attempt) = request.claimed_by {
-            settle(request, attempt, request.verdict, None, actions);
+            push_settlement(request, attempt, request.verdict, None, actions);
         }
         let refusal = Refusal {
             reason,
@@ -74,7 +78,7 @@
         let is_early = refusal.reason == RefusalReason::NoTimeLeft;
         let expected = is_early.then(|| self.expected_duration(&request.facts));
         actions.push(Action::Record(Outcome {
-            expected: expected.flatten(),
+            expected_duration: expected.flatten(),
             reason: Some(refusal.reason),
             ..outcome
         }));
@@ -86,28 +90,28 @@
             Some(Stage::Queued(request)) => {
                 self.requests.insert(id, Stage::Queued(request));
                 if let Some(request) = self.remove_queued(now, id) {
-                    self.forget_queued(now, &request, actions);
+                    self.drop_queued(now, &request, actions);
                 }
             }
             Some(Stage::Claiming(mut request)) => {
                 request.stage.caller_gone = true;
                 self.requests.insert(id, Stage::Claiming(request));
             }
-            Some(Stage::Running(request)) => self.forget_running(now, request, actions),
+            Some(Stage::Running(request)) => self.cancel_running(now, request, actions),
         }
     }
 
-    fn forget_queued(&mut self, now: Time, request: &Request<Queued>, actions: &mut Vec<Action>) {
+    fn drop_queued(&mut self, now: Time, request: &Request<Queued>, actions: &mut Vec<Action>) {
         self.limits.release(&request.facts.team);
         if let Some(attempt) = request.claimed_by {
-            settle(request, attempt, request.verdict, None, actions);
+            push_settlement(request, attempt, request.verdict, None, actions);
         }
         let outcome = request.outcome(OutcomeEnd::CallerGone, request.verdict, None, now);
         actions.push(Action::Record(outcome));
     }
 
-    /// Cancels the attempt, so that the engine spends nothing more on it.
-    fn forget_running(
+    /// Cancels the attempt of a request, so that the engine does not spend more time on it.
+    fn cancel_running(
         &mut self,
         now: Time,
         mut request: Request<Running>,
@@ -115,13 +119,13 @@
     ) {
         self.note_call_begun(now, &mut request);
         self.note_unfinished(now, &request);
-        self.leave_upstream(now, &request);
+        self.release_slot(now, &request);
         self.limits.release(&request.facts.team);
         let tokens = request.stage.tokens;
-        request.waste(WasteCause::Discarded, tokens);
+        request.add_wasted_tokens(WasteCause::Discarded, tokens);
         let verdict = request.verdict.join(Verdict::MayHaveRun);
         if let Some(attempt) = request.claimed_by {
-            settle(&request, attempt, verdict, None, actions);
+            push_settlement(&request, attempt, verdict, None, actions);
         }
         actions.push(Action::Cancel {
             attempt: request.stage.attempt,
--- a/crates/policy/src/requests/resuming.rs
+++ b/crates/policy/src/requests/resuming.rs
@@ -1,42 +1,44 @@
-//! What becomes of a stream that broke after part of it had gone out.
+//! Handling of a stream that was interrupted after part of it had been sent to the caller.
 
 use super::*;
 
-/// Times that one stream may be resumed.
+/// Number of resumptions, on any upstream, after which a stream is no longer resumed on the same
+/// engine.
 const MAX_RESUMES: u32 = 3;
 
 impl Controller {
-    /// Resumes a broken stream where the engine can, else ends it with the
-    /// verdict. It keeps its slot meanwhile.
+    /// Resumes an interrupted stream on another upstream or, if its engine supports that, on the
+    /// same engine, where it keeps its slot. Otherwise ends the response and reports the verdict to
+    /// the caller.
     pub(crate) fn resume_or_break(
         &mut self,
         now: Time,
         request: Request<Running>,
-        failure: &Failure,
+        failure: &AttemptFailure,
         actions: &mut Vec<Action>,
     ) {
-        let resumes = match self.pool.get(&request.stage.upstream) {
+        let engine_resumes = match self.pool.get(&request.stage.upstream) {
             Some(state) => matches!(&state.definition, Upstream::Engine(engine) if engine.resumes),
             None => false,
         };
         let Some(mut request) = self.move_stream(now, request, failure, actions) else {
             return;
         };
-        let worth_it =
+        let is_worth_resuming =
             failure.cause != FailureCause::ErrorStatus && !self.is_barred(now, &request.facts);
-        if resumes && worth_it && request.stage.resumes < MAX_RESUMES {
-            request.stage.resumes += 1;
+        if engine_resumes && is_worth_resuming && request.stage.resume_count < MAX_RESUMES {
+            request.stage.resume_count += 1;
             let attempt = request.stage.attempt;
             self.push_send(now, &mut request, Some(attempt), actions);
             self.requests.insert(request.id, Stage::Running(request));
             return;
         }
-        self.leave_upstream(now, &request);
+        self.release_slot(now, &request);
         self.limits.release(&request.facts.team);
         let tokens = request.stage.tokens;
-        request.waste(WasteCause::CutOff, tokens);
+        request.add_wasted_tokens(WasteCause::CutOff, tokens);
         if let Some(attempt) = request.claimed_by {
-            settle(&request, attempt, request.verdict, None, actions);
+            push_settlement(&request, attempt, request.verdict, None, actions);
         }
         actions.push(Action::Break {
             refusal: Refusal {
@@ -54,13 +56,13 @@
         actions.push(Action::Record(outcome));
     }
 
-    /// Goes on with a broken stream at another upstream, where its class allows
-    /// that; gives the request back where it cannot be done.
+    /// Resumes an interrupted stream on another upstream, if its class allows that. Returns the
+    /// request if it cannot be moved.
     fn move_stream(
         &mut self,
         now: Time,
         request: Request<Running>,
-        failure: &Failure,
+        failure: &AttemptFailure,
         actions: &mut Vec<Action>,
     ) -> Option<Request<Running>> {
         let facts = &request.facts;
@@ -74,26 +76,29 @@
         }
         let mut avoid = request.tried.clone();
         avoid.push(request.stage.upstream.clone());
-        let wanted = facts.placement(
+        let placement = facts.placement(
             &avoid,
             None,
             facts.rank,
             self.stream_share(&facts.target),
             self.neighbors.candidate_limit(),
         );
-        let Some(upstream) = self.pool.choose(&wanted, now, &mut self.rng) else {
+        let Some(upstream) = self.pool.choose(&placement, now, &mut self.rng) else {
             return Some(request);
         };
-        if !self.retries.take(&facts.target, facts.engine_priority, now) {
+        if !self
+            .retries
+            .take_retry(&facts.target, facts.engine_priority, now)
+        {
             return Some(request);
         }
-        self.leave_upstream(now, &request);
+        self.release_slot(now, &request);
         let broken = request.stage.attempt;
         let attempt = self.new_attempt();
         self.pool.start(&upstream, &request.facts, now);
-        let mut request = request.moved(upstream, attempt, now);
+        let mut request = request.move_to(upstream, attempt, now);
         self.start_prompt(now, &mut request);
-        request.stage.waiting = self.prompt_tokens_ahead(&request);
+        request.stage.prompt_tokens_ahead = self.prompt_tokens_ahead(&request);
         self.push_send(now, &mut request, Some(broken), actions);
         self.requests.insert(request.id, Stage::Running(request));
         None
--- a/crates/policy/src/upstream_limits/token_limited.rs
+++ b/crates/policy/src/upstream_limits/token_limited.rs
@@ -112,6 +112,6 @@
         };
         let retry_after = self.jittered_retry_after(wait);
         let reason = RefusalReason::UpstreamLimited;
-        self.refuse_with(now, &request, reason, retry_after, actions);
+        self.refuse_with_retry_after(now, &request, reason, retry_after, actions);
     }
 }
--- a/crates/policy/src/upstream_notices/unavailable.rs
+++ b/crates/policy/src/upstream_notices/unavailable.rs
@@ -37,7 +37,7 @@
                 NextAvailability::Never => (RefusalReason::NoUpstream, LEAVING_RETRY_AFTER),
             };
             let retry_after = self.jittered_retry_after(wait);
-            self.refuse_with(now, &request, reason, retry_after, actions);
+            self.refuse_with_retry_after(now, &request, reason, retry_after, actions);
         }
     }
 
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -36,11 +36,11 @@
         TablesNews, TablesQuestion, TokenAsk, TokenGrant, UpstreamNote, UsageNote, VersionNote,
     },
     policy::{
-        Action, AdmissionChange, Arrival, AttemptEnd, BrittleNoted, ClaimAnswer, ClaimRequest,
+        Action, AdmissionChange, Arrival, AttemptEnd, BrittleNoted, ClaimRequest, ClaimResult,
         Controller, ControllerOptions, CrashNoted, CrashSource, Event, FetchEnd, HostPhase,
         LeavingDetected, LimitChange, Outcome, OutcomeEnd, PathChange, PrefixHash, Refusal,
-        RefusalReason, RelayRules, Repeatability, Routed, SendOrder, Settlement, SlotRules,
-        SpeedNoted, StoredAnswer, Target, TransferSlots, WasteCause, WorkingSet,
+        RefusalReason, RelayRules, Repeatability, RoutedRequest, SendOrder, Settlement, SlotRules,
+        SpeedNoted, StoredResponse, Target, TransferSlots, WasteCause, WorkingSet,
     },
     ports::{
         Clock, Directory, DirectoryChannels, DirectoryUpdate, DutyReport, HeadError, Judgement,
