--- a/crates/policy/src/brittleness/parts.rs
+++ b/crates/policy/src/brittleness/parts.rs
@@ -46,7 +46,7 @@
                 (place, hosts)
             };
             let mut first = 0;
-            for upstream in &group.places {
+            for upstream in &group.upstream_indexes {
                 let state = &mut self.pool.states[*upstream];
                 let slots = state.definition.slots() as usize;
                 let part = every_nth(first, slots, place, rounds);
@@ -78,7 +78,7 @@
     /// Slots of a target that this host may use in any case; `None` where none of its upstreams is
     /// brittle.
     pub(crate) fn brittle_slots(&self, target: &Target) -> Option<u32> {
-        let mut copies = self.copies(target);
+        let mut copies = self.upstreams_of(target);
         let is_brittle = |state: &UpstreamState| state.brittleness.rate().is_some();
         copies.clone().any(is_brittle).then(|| {
             let slots = |state: &UpstreamState| match state.brittleness.rate() {
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -206,10 +206,10 @@
                 leaving,
                 upstreams,
             } => {
-                self.pool.common = common;
+                self.pool.common_ids = common;
                 self.note_listed_leaving(now, &leaving);
                 let directory = self.directory.get_or_insert_default();
-                directory.read(leaving, upstreams, now);
+                directory.update(leaving, upstreams, now);
                 self.follow_directory(now, actions);
                 self.listed = true;
                 self.serve_if_ready(now);
@@ -290,7 +290,7 @@
                 self.on_transit_asked(now, call, &upstream, actions);
             }
             Event::UpstreamsListed { leaving } => {
-                self.pool.note_listed(leaving);
+                self.pool.set_listed_leaving(leaving);
                 self.listed = true;
                 self.serve_if_ready(now);
             }
@@ -376,10 +376,11 @@
         let classes = numbered.document.classes.values();
         self.shortest_pause_ms = classes.filter_map(|class| class.pause_target_ms).min();
         self.urgency = Urgency::of(&numbered.document);
-        self.pool.room.trial_share = numbered.document.trial.max_slot_share;
+        self.pool.room_rules.trial_share = numbered.document.trial.max_slot_share;
         if self.directory.is_none() {
             let domain = &self.options.failure_domain;
-            self.pool.apply(&numbered.document.upstreams, domain);
+            self.pool
+                .update_upstreams(&numbered.document.upstreams, domain);
             self.follow_limits(now);
         }
         self.limits.retain(&numbered.document);
@@ -401,8 +402,8 @@
             .pool
             .select(|state| !state.is_leaving(now) && !listed.contains_key(&state.id));
         let domain = &self.options.failure_domain;
-        self.pool.apply(listed, domain);
-        self.pool.note_listed(directory.leaving());
+        self.pool.update_upstreams(listed, domain);
+        self.pool.set_listed_leaving(directory.leaving());
         self.follow_limits(now);
         self.follow_brittle(now);
         self.apply_shares(now);
@@ -432,7 +433,7 @@
 
     /// Upstreams on which this host has slots of its own.
     pub fn home(&self) -> Vec<UpstreamId> {
-        self.pool.select(|state| state.home > 0)
+        self.pool.select(|state| state.own_slots > 0)
     }
 
     /// Counts the times that [`Self::home`] may have changed.
--- a/crates/policy/src/crashes/barring.rs
+++ b/crates/policy/src/crashes/barring.rs
@@ -123,7 +123,7 @@
     /// Whether the directory lists an upstream now.
     fn is_listed(&self, upstream: &UpstreamId) -> bool {
         let directory = self.directory.as_ref();
-        directory.is_some_and(|directory| directory.is_reached() && directory.lists(upstream))
+        directory.is_some_and(|directory| directory.is_reachable() && directory.lists(upstream))
     }
 
     fn note_own_crashes(
--- a/crates/policy/src/duties/work_counts.rs
+++ b/crates/policy/src/duties/work_counts.rs
@@ -23,10 +23,10 @@
         totals_ms
             .map(|(model, total_ms)| {
                 let target = Target::Model(model.clone());
-                let copies = pool.copies(&target);
+                let copies = pool.upstreams_of(&target);
                 let waiting_ms: f64 = copies
                     .clone()
-                    .map(|state| state.read_ms(state.backlog))
+                    .map(|state| state.prefill_ms(state.backlog_tokens))
                     .sum();
                 ModelWork {
                     in_flight: copies.map(|state| state.in_flight).sum(),
--- a/crates/policy/src/hosts/hearing.rs
+++ b/crates/policy/src/hosts/hearing.rs
@@ -80,7 +80,7 @@
     fn learn_reads(&mut self, note: &LoadNote) {
         for read in &note.reads {
             if let Some(state) = self.pool.get_mut(&read.upstream) {
-                state.cache.note_read(read.chain, read.tokens);
+                state.cache.confirm_part(read.chain, read.tokens);
             }
         }
     }
--- a/crates/policy/src/hosts/neighbors.rs
+++ b/crates/policy/src/hosts/neighbors.rs
@@ -348,9 +348,9 @@
         let loads = self.neighbors.loads(now);
         for state in &mut self.pool.states {
             let load = loads.get(&state.id).copied().unwrap_or_default();
-            state.others_backlog = load.backlog;
-            state.others = load.in_flight;
-            state.others_pause_bound = load.pause_bound;
+            state.others_backlog_tokens = load.backlog;
+            state.others_in_flight = load.in_flight;
+            state.others_pause_sensitive = load.pause_bound;
         }
     }
 
@@ -398,9 +398,9 @@
         states
             .filter(|state| state.in_flight > 0)
             .map(|state| UpstreamLoad {
-                backlog: Tokens::new(state.backlog.min(u64::from(u32::MAX)) as u32),
+                backlog: Tokens::new(state.backlog_tokens.min(u64::from(u32::MAX)) as u32),
                 in_flight: state.in_flight,
-                pause_bound: state.pause_bound,
+                pause_bound: state.pause_sensitive,
                 upstream: state.id.clone(),
             })
             .collect()
@@ -415,7 +415,7 @@
         speeds: &[SpeedVote],
         to_silent: bool,
     ) -> Vec<(SocketAddr, LoadNote)> {
-        let leaving = self.pool.select(UpstreamState::is_said_leaving);
+        let leaving = self.pool.select(UpstreamState::is_leaving_first_hand);
         let reach = self.reach_note();
         let confirmed_age = self.confirmed.map(|at| now.since(at).as_millis() as u32);
         let hosts = self.neighbors.hosts.iter();
--- a/crates/policy/src/hosts/peering.rs
+++ b/crates/policy/src/hosts/peering.rs
@@ -106,7 +106,7 @@
             failure_domain: self.options.failure_domain.clone(),
             host: self.options.host.clone(),
             incarnation: self.options.incarnation,
-            leaving: self.pool.select(UpstreamState::is_said_leaving),
+            leaving: self.pool.select(UpstreamState::is_leaving_first_hand),
             phase: self.peer_phase(),
             protocol: peer::PROTOCOL,
             version: self.version(),
@@ -141,7 +141,7 @@
         let answer = HeartbeatAnswer {
             grants,
             incarnation: self.options.incarnation,
-            leaving: self.pool.select(UpstreamState::is_said_leaving),
+            leaving: self.pool.select(UpstreamState::is_leaving_first_hand),
             protocol: peer::PROTOCOL,
             valid_ms: self.peering.valid().as_millis() as u64,
             version: self.version(),
@@ -207,7 +207,7 @@
             hosts.insert(self.options.host.clone());
         }
         hosts.insert(heartbeat.host.clone());
-        let groups = self.pool.divided();
+        let groups = self.pool.groups_to_divide();
         let keep = self.peering.interval() / 2;
         let coordinator = &mut self.peering.coordinator;
         coordinator.grants(&heartbeat.host, hosts, &groups, now, keep)
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -87,7 +87,7 @@
     upstream_limits::{UpstreamLimit, UpstreamLimits},
     upstream_notices::{Backoff, Departure, Departures, Telling},
     upstreams::{
-        DirectoryView, EnginePartition, LongPrompts, PlacementRequest, Pool, UpstreamState,
+        DirectoryView, EnginePartition, LongPromptDetector, PlacementRequest, Pool, UpstreamState,
         placement, pool, prompt_cache,
     },
 };
--- a/crates/policy/src/overload/early_refusal.rs
+++ b/crates/policy/src/overload/early_refusal.rs
@@ -193,8 +193,8 @@
         let hosts_for_each = self.neighbors.listed().max(observed) as f64 / observed as f64;
         let targets = self.early_refusal.classes.keys().map(|(target, _)| target);
         let loads = targets.map(|target| {
-            let states = self.pool.copies(target);
-            let open = states.filter(|state| state.takes_work(now));
+            let states = self.pool.upstreams_of(target);
+            let open = states.filter(|state| state.is_available(now));
             (target.clone(), PoolLoad::of(open, hosts_for_each))
         });
         loads.collect()
--- a/crates/policy/src/overload/pool_load.rs
+++ b/crates/policy/src/overload/pool_load.rs
@@ -25,8 +25,8 @@
         for state in states {
             engines += 1.0;
             places += f64::from(state.definition.slots());
-            taken += f64::from(state.in_flight + state.others);
-            waiting_ms += state.waiting_ms();
+            taken += f64::from(state.in_flight + state.others_in_flight);
+            waiting_ms += state.queued_prefill_ms();
         }
         let waiting_s = waiting_ms * hosts_for_each / f64::max(engines, 1.0) / 1_000.0;
         Self {
--- a/crates/policy/src/prompt_transfers/prompt_copies.rs
+++ b/crates/policy/src/prompt_transfers/prompt_copies.rs
@@ -19,7 +19,7 @@
         let Some(speed) = TransferSpeed::of(state) else {
             return unread;
         };
-        let read_ms = state.read_ms(fetched as u64);
+        let read_ms = state.prefill_ms(fetched as u64);
         let fetch_ms = speed.millis_for(fetched as u64);
         if fetch_ms >= read_ms {
             return unread;
@@ -32,7 +32,7 @@
     /// What engines have read of a prompt that is to be placed.
     pub(crate) fn copies_of(&self, wanted: &PlacementRequest<'_>, now: Time) -> PromptCopies {
         let sources = self.sources(wanted.target, wanted.avoid, now);
-        let tokens = sources.map(|state| state.cache.fetchable(wanted.parts));
+        let tokens = sources.map(|state| state.cache.fetchable_tokens(wanted.parts));
         PromptCopies {
             most_tokens: tokens.max().unwrap_or_default(),
         }
--- a/crates/policy/src/prompt_transfers/source_choice.rs
+++ b/crates/policy/src/prompt_transfers/source_choice.rs
@@ -14,7 +14,7 @@
         avoid: &'a [UpstreamId],
         now: Time,
     ) -> impl Iterator<Item = &'a UpstreamState> + Clone {
-        self.copies(target).filter(move |state| {
+        self.upstreams_of(target).filter(move |state| {
             TransferSpeed::of(state).is_some()
                 && !state.is_leaving(now)
                 && state.health.is_well()
@@ -28,8 +28,8 @@
         sources: impl Iterator<Item = &'a UpstreamState>,
         parts: &[PromptPart],
     ) -> Option<&'a UpstreamState> {
-        let chain = placement::shared_chain(parts);
-        sources.max_by_key(|state| placement::weight_of(&state.id, chain))
+        let chain = placement::shared_chain_hash(parts);
+        sources.max_by_key(|state| placement::rendezvous_hash(&state.id, chain))
     }
 
     /// What an engine should fetch of a prompt; `None` where reading is as soon.
@@ -47,9 +47,9 @@
         let sources = self.sources(wanted.target, wanted.avoid, now);
         let others = sources.filter(|source| source.id != destination.id);
         let rendezvous = Self::rendezvous_engine(others.clone(), wanted.parts)?;
-        let shared = prompt_cache::tokens(placement::shared(wanted.parts));
+        let shared = prompt_cache::total_tokens(placement::shared_parts(wanted.parts));
         let fetches = others.filter_map(|source| {
-            let known = source.cache.fetchable(wanted.parts);
+            let known = source.cache.fetchable_tokens(wanted.parts);
             let hoped = if source.id == rendezvous.id {
                 shared
             } else {
@@ -58,9 +58,9 @@
             fetch_from(source, destination, known, hoped, wanted.parts, now)
         });
         // Of equal ones each prompt takes another: the first one would be the source of all.
-        let own = prompt_cache::chains(wanted.parts).last()?.0;
+        let own = prompt_cache::chain_hashes(wanted.parts).last()?.0;
         let order = |fetch: &PromptFetch| {
-            let weight = placement::weight_of(&fetch.source, own);
+            let weight = placement::rendezvous_hash(&fetch.source, own);
             (fetch.most, fetch.tokens.get(), Reverse(fetch.ends), weight)
         };
         fetches.max_by_key(order)
@@ -77,7 +77,7 @@
     parts: &[PromptPart],
     now: Time,
 ) -> Option<PromptFetch> {
-    let kept = destination.cache.fetchable(parts);
+    let kept = destination.cache.fetchable_tokens(parts);
     let most = known.max(hoped).checked_sub(kept)?;
     if most == 0 || source.transfers.under_way(now) >= MAX_FROM_SOURCE {
         return None;
@@ -88,7 +88,7 @@
         .max(destination.transfers.free_at(now));
     let lasts_ms = TransferSpeed::between(source, destination)?.millis_for(most);
     let ends = begins + Duration::from_secs_f64(lasts_ms / 1_000.0);
-    if ends.since(now).as_secs_f64() * 1_000.0 >= destination.read_ms(most) {
+    if ends.since(now).as_secs_f64() * 1_000.0 >= destination.prefill_ms(most) {
         return None;
     }
     let tokens = known.saturating_sub(kept).min(u64::from(u32::MAX));
--- a/crates/policy/src/prompt_transfers/starting.rs
+++ b/crates/policy/src/prompt_transfers/starting.rs
@@ -30,10 +30,10 @@
         if let Some(state) = self.pool.get_mut(upstream) {
             request.stage.prefill = state.start_prefill(&facts.parts);
             if let Target::Model(model) = &facts.target {
-                let read_ms = state.read_ms(u64::from(request.stage.prefill.get()));
+                let read_ms = state.prefill_ms(u64::from(request.stage.prefill.get()));
                 self.reporting.work.note_sent(model, read_ms);
             }
-            let reads = state.keep_prompt(&facts.parts);
+            let reads = state.note_prompt_sent(&facts.parts);
             if TransferSpeed::of(state).is_none() {
                 self.neighbors.tell_reads(reads);
             }
@@ -72,7 +72,7 @@
         if let Some(state) = self.pool.get_mut(upstream)
             && TransferSpeed::of(state).is_some()
         {
-            state.cache.forget_unconfirmed(parts);
+            state.cache.remove_unconfirmed(parts);
         }
     }
 }
--- a/crates/policy/src/queueing/admission.rs
+++ b/crates/policy/src/queueing/admission.rs
@@ -305,7 +305,9 @@
         };
         let longest = Duration::from_millis(resolved.class.deadline_ms);
         let lane = self.lanes.entry(arrival.target.clone()).or_default();
-        let is_long = lane.long_prompts.note(prompt_cache::tokens(&parts));
+        let is_long = lane
+            .long_prompts
+            .observe(prompt_cache::total_tokens(&parts));
         let pause_target_ms = resolved.class.pause_target_ms;
         let pause_bound = pause_target_ms.is_some() && pause_target_ms == self.shortest_pause_ms;
         if let Some(own) = parts.last() {
--- a/crates/policy/src/queueing/dispatch.rs
+++ b/crates/policy/src/queueing/dispatch.rs
@@ -152,7 +152,7 @@
         if let Some(lane) = self.lanes.get_mut(&facts.target) {
             lane.serve(facts.rank, item, now);
         }
-        self.pool.start(&upstream, facts, now);
+        self.pool.start_request(&upstream, facts, now);
         request.attempts += 1;
         if request.attempts == 1 {
             let facts = &request.facts;
@@ -189,7 +189,7 @@
             return 0;
         };
         let own = u64::from(request.stage.prefill.get());
-        (state.backlog + state.others_backlog).saturating_sub(own)
+        (state.backlog_tokens + state.others_backlog_tokens).saturating_sub(own)
     }
 
     /// Orders the attempt of a running request to be sent.
@@ -215,19 +215,19 @@
                 fetch_from: fetch.map(|fetch| fetch.address),
                 inputs: Box::new(SendInputs {
                     attempt: request.attempts,
-                    backlog: state.backlog,
+                    backlog: state.backlog_tokens,
                     brittle: state.brittleness.rate(),
                     class: request.facts.class.clone(),
-                    expected_wait: Duration::from_secs_f64(state.waiting_ms() / 1_000.0),
+                    expected_wait: Duration::from_secs_f64(state.queued_prefill_ms() / 1_000.0),
                     fetch_source: fetch.map(|fetch| fetch.source.clone()),
                     fetch_tokens: fetch.map(|fetch| fetch.tokens).unwrap_or_default(),
                     fingerprint: request.facts.fingerprint,
                     in_flight: state.in_flight,
                     limit: state.limit.rate(),
                     others_age: self.neighbors.oldest_age(now),
-                    others_backlog: state.others_backlog,
-                    others_in_flight: state.others,
-                    prompt: placement::shared_chain(&request.facts.parts),
+                    others_backlog: state.others_backlog_tokens,
+                    others_in_flight: state.others_in_flight,
+                    prompt: placement::shared_chain_hash(&request.facts.parts),
                     unread: running.prefill,
                     waited: now.since(request.facts.arrived),
                 }),
--- a/crates/policy/src/queueing/lane.rs
+++ b/crates/policy/src/queueing/lane.rs
@@ -15,7 +15,7 @@
 pub(crate) struct Lane {
     pub(crate) congestion: Congestion,
     pub(crate) minimum_share: MinimumShare,
-    pub(crate) long_prompts: LongPrompts,
+    pub(crate) long_prompts: LongPromptDetector,
     pub(crate) rate: ServiceRate,
     pub(crate) partition: EnginePartition,
     last_arrival: Time,
@@ -28,7 +28,7 @@
         Self {
             congestion: Congestion::default(),
             minimum_share: MinimumShare::default(),
-            long_prompts: LongPrompts::default(),
+            long_prompts: LongPromptDetector::default(),
             rate: ServiceRate::default(),
             partition: EnginePartition::default(),
             last_arrival: Time::default(),
--- a/crates/policy/src/reach/checking.rs
+++ b/crates/policy/src/reach/checking.rs
@@ -28,7 +28,7 @@
             Some(PathEnd::Connected) => self.own_paths.note_direct(upstream, &targets, now),
             Some(_) if is_reached => {
                 let targets = targets.iter().map(|target| {
-                    let copies = self.pool.copies(target).count();
+                    let copies = self.pool.upstreams_of(target).count();
                     (target.clone(), copies)
                 });
                 let targets = targets.collect();
@@ -100,7 +100,10 @@
         self.abandon_stalled(now, actions);
         if self.options.relay.is_some()
             && now >= self.next_suspicion
-            && self.pool.silent.is_all_silent(&self.pool.states, now)
+            && self
+                .pool
+                .silent_domains
+                .is_all_silent(&self.pool.states, now)
         {
             self.next_suspicion = now + SUSPICION_INTERVAL;
             self.check_suspected(now, actions);
@@ -110,7 +113,7 @@
     /// Checks the paths to some upstreams that should be observed and are not.
     fn check_suspected(&self, now: Time, actions: &mut Vec<Action>) {
         for target in self.pool.targets.keys() {
-            let busy = self.pool.copies(target).filter(|state| {
+            let busy = self.pool.upstreams_of(target).filter(|state| {
                 state.in_flight > 0 && !state.removed && self.own_paths.is_open(&state.id, &[])
             });
             actions.extend(busy.take(SUSPECTED).map(|state| Action::CheckPath {
--- a/crates/policy/src/reach/transit.rs
+++ b/crates/policy/src/reach/transit.rs
@@ -32,7 +32,7 @@
         let mut hosts: Vec<(bool, bool, u64, SocketAddr)> = hosts
             .map(|(place, is_near, address)| {
                 let avoided = self.transit.is_avoided(address, now);
-                let weight = placement::weight_of(upstream, place);
+                let weight = placement::rendezvous_hash(upstream, place);
                 (avoided, !is_near, weight, address)
             })
             .collect();
--- a/crates/policy/src/requests/attempts.rs
+++ b/crates/policy/src/requests/attempts.rs
@@ -209,7 +209,7 @@
     fn note_failure(&mut self, now: Time, request: &Request<Running>, cause: FailureCause) {
         let upstream = &request.stage.upstream;
         if let Some(state) = self.pool.get_mut(upstream) {
-            state.record.note_failure(now);
+            state.track_record.note_failure(now);
             if cause == FailureCause::ErrorStatus {
                 state.backoff.note_taken(request.stage.sent);
             }
@@ -280,7 +280,8 @@
             let streams = u32::from(request.stage.streams);
             state.streams = state.streams.saturating_sub(streams);
         }
-        self.pool.end(&request.stage.upstream, &request.facts, now);
+        self.pool
+            .end_request(&request.stage.upstream, &request.facts, now);
     }
 }
 
--- a/crates/policy/src/requests/claims.rs
+++ b/crates/policy/src/requests/claims.rs
@@ -65,7 +65,7 @@
         let open = self
             .pool
             .get(&request.stage.upstream)
-            .is_some_and(|state| state.takes_work(now));
+            .is_some_and(|state| state.is_available(now));
         let in_time = now <= request.facts.deadline;
         if open && in_time && !request.stage.caller_gone {
             let mut request = request.granted(now);
@@ -75,7 +75,8 @@
         }
         let attempt = request.stage.attempt;
         if in_time && !request.stage.caller_gone {
-            self.pool.end(&request.stage.upstream, &request.facts, now);
+            self.pool
+                .end_request(&request.stage.upstream, &request.facts, now);
             self.enqueue(now, request.granted(now).requeue());
             return;
         }
@@ -118,7 +119,8 @@
     /// Puts a request aside while the store is down, without its slot. It
     /// comes back to its queue to try again, and is refused at its deadline.
     fn park(&mut self, now: Time, request: Request<Claiming>) {
-        self.pool.end(&request.stage.upstream, &request.facts, now);
+        self.pool
+            .end_request(&request.stage.upstream, &request.facts, now);
         let request = request.park();
         self.deadlines.insert((request.facts.deadline, request.id));
         self.parked.insert((now + PARK_PAUSE, request.id));
@@ -141,7 +143,8 @@
     }
 
     fn release_claiming(&mut self, now: Time, request: &Request<Claiming>) {
-        self.pool.end(&request.stage.upstream, &request.facts, now);
+        self.pool
+            .end_request(&request.stage.upstream, &request.facts, now);
         self.limits.release(&request.facts.team);
     }
 }
--- a/crates/policy/src/requests/request.rs
+++ b/crates/policy/src/requests/request.rs
@@ -52,12 +52,12 @@
     ) -> PlacementRequest<'a> {
         PlacementRequest {
             avoid,
-            candidates,
-            due: self.due,
-            is_long: self.is_long,
-            pace_ms,
+            max_candidates: candidates,
+            first_token_due: self.due,
+            has_long_prompt: self.is_long,
+            between_token_target_ms: pace_ms,
             parts: &self.parts,
-            pause_bound: self.pause_bound,
+            is_pause_sensitive: self.pause_bound,
             prefix: self.prefix,
             rank,
             stream_share,
--- a/crates/policy/src/requests/resuming.rs
+++ b/crates/policy/src/requests/resuming.rs
@@ -90,7 +90,7 @@
         self.leave_upstream(now, &request);
         let broken = request.stage.attempt;
         let attempt = self.new_attempt();
-        self.pool.start(&upstream, &request.facts, now);
+        self.pool.start_request(&upstream, &request.facts, now);
         let mut request = request.moved(upstream, attempt, now);
         self.start_prompt(now, &mut request);
         request.stage.waiting = self.waiting_before(&request);
--- a/crates/policy/src/upstream_limits/mod.rs
+++ b/crates/policy/src/upstream_limits/mod.rs
@@ -122,7 +122,7 @@
     pub(crate) fn follow_limits(&mut self, now: Time) {
         let pool = &mut self.pool;
         let restored = pool.restore_limits();
-        pool.lapsed_limits
+        pool.expired_limits
             .retain(|_, limit| now.since(limit.as_of()) < REMEMBERED);
         self.upstream_limits.limited.extend(restored);
         self.pool.has_limits = !self.upstream_limits.is_empty();
@@ -144,11 +144,11 @@
     /// are new; tells which.
     fn restore_limits(&mut self) -> Vec<UpstreamId> {
         let mut restored = Vec::new();
-        if self.lapsed_limits.is_empty() {
+        if self.expired_limits.is_empty() {
             return restored;
         }
         for state in &mut self.states {
-            if let Some(limit) = self.lapsed_limits.remove(&state.id) {
+            if let Some(limit) = self.expired_limits.remove(&state.id) {
                 state.limit = limit;
                 restored.push(state.id.clone());
             }
--- a/crates/policy/src/upstream_limits/starved.rs
+++ b/crates/policy/src/upstream_limits/starved.rs
@@ -12,18 +12,18 @@
 
     /// Whether a limit is all that keeps requests of a target from its upstreams.
     fn is_starved(&self, target: &Target, now: Time) -> bool {
-        let mut copies = self.pool.copies(target);
+        let mut copies = self.pool.upstreams_of(target);
         let is_limited = copies.clone().any(|state| self.waits_for_token(state, now));
-        is_limited && !copies.any(|state| state.is_open(now))
+        is_limited && !copies.any(|state| state.accepts_request(now))
     }
 
     fn waits_for_token(&self, state: &UpstreamState, now: Time) -> bool {
-        state.takes_work(now) && !state.limit.has_token(now)
+        state.is_available(now) && !state.limit.has_token(now)
     }
 
     /// Upstreams of a target that would take work if there were a token.
     pub(crate) fn starved_copies(&self, target: &Target, now: Time) -> Vec<UpstreamId> {
-        let copies = self.pool.copies(target);
+        let copies = self.pool.upstreams_of(target);
         let starved = copies.filter(|state| self.waits_for_token(state, now));
         starved.map(|state| state.id.clone()).collect()
     }
--- a/crates/policy/src/upstream_notices/leaving.rs
+++ b/crates/policy/src/upstream_notices/leaving.rs
@@ -22,7 +22,7 @@
             let reached = self
                 .directory
                 .as_ref()
-                .is_some_and(DirectoryView::is_reached);
+                .is_some_and(DirectoryView::is_reachable);
             let wait = if reached {
                 LISTED_WITHIN
             } else {
@@ -64,9 +64,10 @@
         now: Time,
     ) -> bool {
         let is_news = self.departures.note(upstream, source, now);
-        if let (Some(first_hand), Some(place)) =
-            (self.departures.get(upstream), self.index.get(upstream))
-        {
+        if let (Some(first_hand), Some(place)) = (
+            self.departures.get(upstream),
+            self.index_by_id.get(upstream),
+        ) {
             self.states[*place].departure.announce(first_hand);
         }
         is_news
@@ -89,7 +90,7 @@
     }
 
     fn forget_departures(&mut self, now: Time) {
-        let index = &self.index;
+        let index = &self.index_by_id;
         self.departures.forget(|id| index.contains_key(id), now);
     }
 }
--- a/crates/policy/src/upstream_notices/unavailable.rs
+++ b/crates/policy/src/upstream_notices/unavailable.rs
@@ -42,7 +42,7 @@
 
     /// `None` while one may take requests now, or nothing is known of when it will.
     fn opening(&self, target: &Target, now: Time) -> Option<Opening> {
-        let copies = self.pool.copies(target);
+        let copies = self.pool.upstreams_of(target);
         let mut opening = None;
         for state in copies {
             if state.is_leaving(now) {
--- a/crates/policy/src/upstreams/choice.rs
+++ b/crates/policy/src/upstreams/choice.rs
@@ -4,62 +4,71 @@
 
 /// How much fuller than the least full upstream the one with the cached
 /// prefix may be and still be chosen.
-const AFFINITY_SLACK: f64 = 0.25;
+const MAX_AFFINITY_EXTRA_UTILIZATION: f64 = 0.25;
 
 /// How much less full an upstream of another failure domain must be to be
 /// chosen: less than one request on the smallest upstreams of six slots.
-const FAR_COST: f64 = 0.1;
+const CROSS_DOMAIN_EXTRA_UTILIZATION: f64 = 0.1;
 
 impl Pool {
     /// Chooses the upstream for a request: among those with room the least
     /// full, unless one that has served the same prefix is about as free.
     pub(crate) fn choose(
         &self,
-        wanted: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         now: Time,
         rng: &mut SmallRng,
     ) -> Option<UpstreamId> {
-        if self.is_surely_full(wanted) {
+        if self.is_share_exhausted(request) {
             return None;
         }
-        let places = self.usable(wanted.target, now)?;
-        if let Some(state) = self.to_be_checked(places, wanted, now) {
+        let indexes = self.candidate_indexes(request.target, now)?;
+        if let Some(state) = self.overdue_limit_check(indexes, request, now) {
             return Some(state.id.clone());
         }
-        let pace_ms = wanted
-            .pace_ms
-            .filter(|pace_ms| self.any_keeps_pace(places, *pace_ms, now));
-        let in_pace = || {
-            let states = places.iter().map(|place| &self.states[*place]);
-            states.filter(|state| pace_ms.is_none_or(|pace_ms| state.keeps_pace(pace_ms)))
+        let token_target_ms = request
+            .between_token_target_ms
+            .filter(|token_target_ms| self.any_meets_token_target(indexes, *token_target_ms, now));
+        let fast_enough = || {
+            let states = indexes.iter().map(|index| &self.states[*index]);
+            states.filter(|state| {
+                token_target_ms
+                    .is_none_or(|token_target_ms| state.meets_token_target(token_target_ms))
+            })
         };
-        let home = |state: &&UpstreamState| {
-            state.is_home_free(now) && self.may_use_home(state, wanted.rank)
+        let own_slot = |state: &&UpstreamState| {
+            state.has_free_own_slot(now) && self.may_use_own_slot(state, request.rank)
+        };
+        let free_slot = |state: &&UpstreamState| {
+            state.has_free_slot(now) && self.may_use_free_slot(state, request.rank)
+        };
+        let queue_room = |state: &&UpstreamState| {
+            state.has_queue_room(now) && self.may_use_queue(state, request.rank)
         };
-        let free =
-            |state: &&UpstreamState| state.is_free(now) && self.may_use_free(state, wanted.rank);
-        let queue =
-            |state: &&UpstreamState| state.is_queueable(now) && self.may_queue(state, wanted.rank);
         let best = self
-            .best(in_pace().filter(home), wanted, now, rng)
-            .or_else(|| self.best(in_pace().filter(free), wanted, now, rng))
-            .or_else(|| pick(in_pace().filter(queue), wanted, now, rng))?;
+            .best(fast_enough().filter(own_slot), request, now, rng)
+            .or_else(|| self.best(fast_enough().filter(free_slot), request, now, rng))
+            .or_else(|| {
+                least_utilized_untried(fast_enough().filter(queue_room), request, now, rng)
+            })?;
         Some(best.id.clone())
     }
 
     /// An upstream of which this host should learn whether it still names a limit.
-    fn to_be_checked(
+    fn overdue_limit_check(
         &self,
-        places: &[usize],
-        wanted: &PlacementRequest<'_>,
+        indexes: &[usize],
+        request: &PlacementRequest<'_>,
         now: Time,
     ) -> Option<&UpstreamState> {
         if !self.has_limits {
             return None;
         }
-        let mut states = places.iter().map(|place| &self.states[*place]);
+        let mut states = indexes.iter().map(|index| &self.states[*index]);
         states.find(|state| {
-            state.limit.is_overdue(now) && state.is_open(now) && wanted.is_fresh(state)
+            state.limit.is_overdue(now)
+                && state.accepts_request(now)
+                && request.has_not_failed_on(state)
         })
     }
 
@@ -68,118 +77,131 @@
     fn best<'a>(
         &'a self,
         states: impl Iterator<Item = &'a UpstreamState> + Clone,
-        wanted: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         now: Time,
         rng: &mut SmallRng,
     ) -> Option<&'a UpstreamState> {
-        if !wanted.parts.is_empty() {
-            return self.place(states, wanted, now);
+        if !request.parts.is_empty() {
+            return self.place(states, request, now);
         }
-        let best = pick(states.clone(), wanted, now, rng)?;
+        let best = least_utilized_untried(states.clone(), request, now, rng)?;
         let cached = self
-            .cached(wanted)
+            .last_for_prefix(request)
             .filter(|cached| states.clone().any(|state| state.id == cached.id))
-            .filter(|cached| cached.fullness() <= best.fullness() + AFFINITY_SLACK);
+            .filter(|cached| {
+                cached.utilization() <= best.utilization() + MAX_AFFINITY_EXTRA_UTILIZATION
+            });
         Some(cached.unwrap_or(best))
     }
 
     /// Whether a free slot of this host's own may be used. A pressing request
     /// always may; the others leave the headroom, and what an overdraft took.
-    fn may_use_home(&self, state: &UpstreamState, rank: Rank) -> bool {
+    fn may_use_own_slot(&self, state: &UpstreamState, rank: Rank) -> bool {
         let Some(group) = state.group else {
             return false;
         };
-        rank.is_pressing() || self.groups[group].has_room(rank, &self.room)
+        rank.is_pressing() || self.groups[group].has_room(rank, &self.room_rules)
     }
 
     /// Whether this host may use a free slot of an upstream.
-    fn may_use_free(&self, state: &UpstreamState, rank: Rank) -> bool {
+    fn may_use_free_slot(&self, state: &UpstreamState, rank: Rank) -> bool {
         let Some(group) = state.group else {
-            return state.in_flight < state.foreign_share;
+            return state.in_flight < state.remote_share;
         };
-        let overdraft = rank.is_pressing() && self.room.overdraft != Overdraft::None;
-        overdraft || self.groups[group].has_room(rank, &self.room)
+        let overdraft = rank.is_pressing() && self.room_rules.overdraft != Overdraft::None;
+        overdraft || self.groups[group].has_room(rank, &self.room_rules)
     }
 
     /// Whether this host may use an upstream's own queue, since all upstreams
     /// look full: with a share left some slot must be free, so the reports are
     /// older than that.
-    fn may_queue(&self, state: &UpstreamState, rank: Rank) -> bool {
+    fn may_use_queue(&self, state: &UpstreamState, rank: Rank) -> bool {
         let Some(group) = state.group else {
             return false;
         };
         let group = &self.groups[group];
-        let others_there = group.share.slots < group.slots;
-        let overdraft = rank.is_pressing() && self.room.overdraft == Overdraft::EngineQueue;
-        others_there && (overdraft || group.has_room(rank, &self.room))
+        let is_shared = group.share.slots < group.slots;
+        let overdraft = rank.is_pressing() && self.room_rules.overdraft == Overdraft::EngineQueue;
+        is_shared && (overdraft || group.has_room(rank, &self.room_rules))
     }
 
     /// Whether no share is left for a request, without a look at each upstream.
-    fn is_surely_full(&self, wanted: &PlacementRequest<'_>) -> bool {
-        let Some(places) = self.targets.get(wanted.target) else {
+    fn is_share_exhausted(&self, request: &PlacementRequest<'_>) -> bool {
+        let Some(upstreams) = self.targets.get(request.target) else {
             return true;
         };
-        let full = |group: &usize| {
+        let is_full = |group: &usize| {
             let group = &self.groups[*group];
-            let alone = group.share.slots >= group.slots;
-            let overdraft = wanted.rank.is_pressing() && !alone;
-            !overdraft && !group.has_room(wanted.rank, &self.room)
+            let owns_all_slots = group.share.slots >= group.slots;
+            let overdraft = request.rank.is_pressing() && !owns_all_slots;
+            !overdraft && !group.has_room(request.rank, &self.room_rules)
         };
-        places.foreign.is_empty() && places.groups.iter().all(full)
+        upstreams.remote.is_empty() && upstreams.groups.iter().all(is_full)
     }
 
     /// The domain's own upstreams of a target; those of other domains only
     /// while none of its own takes work, for their slots are shared out there.
-    fn usable(&self, target: &Target, now: Time) -> Option<&[usize]> {
-        let places = self.targets.get(target)?;
-        let open = |places: &[usize]| places.iter().any(|place| self.states[*place].is_open(now));
-        if !open(&places.own) && open(&places.foreign) {
-            return Some(&places.foreign);
+    fn candidate_indexes(&self, target: &Target, now: Time) -> Option<&[usize]> {
+        let upstreams = self.targets.get(target)?;
+        let any_accepts = |indexes: &[usize]| {
+            indexes
+                .iter()
+                .any(|index| self.states[*index].accepts_request(now))
+        };
+        if !any_accepts(&upstreams.grouped) && any_accepts(&upstreams.remote) {
+            return Some(&upstreams.remote);
         }
-        Some(&places.own)
+        Some(&upstreams.grouped)
     }
 
-    fn cached(&self, wanted: &PlacementRequest<'_>) -> Option<&UpstreamState> {
-        let id = self.affinity.lookup(wanted.prefix?)?;
-        self.get(id).filter(|state| wanted.is_fresh(state))
+    fn last_for_prefix(&self, request: &PlacementRequest<'_>) -> Option<&UpstreamState> {
+        let id = self.affinity.lookup(request.prefix?)?;
+        self.get(id)
+            .filter(|state| request.has_not_failed_on(state))
     }
 
-    fn any_keeps_pace(&self, places: &[usize], pace_ms: u64, now: Time) -> bool {
-        places
+    fn any_meets_token_target(&self, indexes: &[usize], token_target_ms: u64, now: Time) -> bool {
+        indexes
             .iter()
-            .map(|place| &self.states[*place])
-            .any(|state| state.is_open(now) && state.keeps_pace(pace_ms))
+            .map(|index| &self.states[*index])
+            .any(|state| state.accepts_request(now) && state.meets_token_target(token_target_ms))
     }
 }
 
 /// The least full upstream, one that the request has not failed on if there is
 /// one.
-fn pick<'a>(
+fn least_utilized_untried<'a>(
     states: impl Iterator<Item = &'a UpstreamState> + Clone,
-    wanted: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     now: Time,
     rng: &mut SmallRng,
 ) -> Option<&'a UpstreamState> {
-    let fresh = states.clone().filter(|state| wanted.is_fresh(state));
-    least_full(fresh, now, rng).or_else(|| least_full(states, now, rng))
+    let untried = states
+        .clone()
+        .filter(|state| request.has_not_failed_on(state));
+    least_utilized(untried, now, rng).or_else(|| least_utilized(states, now, rng))
 }
 
 /// The least full upstream, counting what speaks against it as slots; ties are
 /// broken at random, so that several hosts do not all choose the same one.
-fn least_full<'a>(
+fn least_utilized<'a>(
     states: impl Iterator<Item = &'a UpstreamState> + Clone,
     now: Time,
     rng: &mut SmallRng,
 ) -> Option<&'a UpstreamState> {
-    let usual = Usual::of(states.clone().map(|state| &state.record));
+    let baseline = Usual::of(states.clone().map(|state| &state.track_record));
     let mut best: Option<(&UpstreamState, f64)> = None;
     let mut ties = 0;
     for state in states {
-        let far = if state.near { 0.0 } else { FAR_COST };
-        let fullness = state.fullness() + far + state.record.cost(&usual, now);
+        let cross_domain = if state.is_local {
+            0.0
+        } else {
+            CROSS_DOMAIN_EXTRA_UTILIZATION
+        };
+        let load = state.utilization() + cross_domain + state.track_record.cost(&baseline, now);
         match best {
-            Some((_, least)) if fullness > least => continue,
-            Some((_, least)) if fullness == least => {
+            Some((_, least)) if load > least => continue,
+            Some((_, least)) if load == least => {
                 ties += 1;
                 if rng.random_range(0..=ties) > 0 {
                     continue;
@@ -187,7 +209,7 @@
             }
             _ => ties = 0,
         }
-        best = Some((state, fullness));
+        best = Some((state, load));
     }
     best.map(|(state, _)| state)
 }
--- a/crates/policy/src/upstreams/directory_view.rs
+++ b/crates/policy/src/upstreams/directory_view.rs
@@ -3,7 +3,7 @@
 /// Time after the directory's return for which an upstream that is missing
 /// from it may only have lapsed. The installation promises the return of the
 /// living ones within about two seconds.
-const LAPSE_GRACE: Duration = Duration::from_millis(2_000);
+const EXPIRY_GRACE: Duration = Duration::from_millis(2_000);
 
 /// What the directory says of the upstreams.
 ///
@@ -24,7 +24,7 @@
     /// Whether it gives no answer now.
     lost: bool,
     /// When it answered again, after it had been lost.
-    regained: Option<Time>,
+    regained_at: Option<Time>,
     upstreams: BTreeMap<UpstreamId, Upstream>,
 }
 
@@ -35,7 +35,7 @@
     }
 
     /// Whether the directory answers, as far as is known.
-    pub(crate) const fn is_reached(&self) -> bool {
+    pub(crate) const fn is_reachable(&self) -> bool {
         !self.lost
     }
 
@@ -62,7 +62,7 @@
     /// Notes that the directory answers again since a moment.
     pub(crate) const fn note_regained(&mut self, at: Time) {
         if self.lost {
-            self.regained = Some(at);
+            self.regained_at = Some(at);
         }
         self.lost = false;
     }
@@ -76,7 +76,7 @@
     }
 
     /// Takes a whole reading.
-    pub(crate) fn read(
+    pub(crate) fn update(
         &mut self,
         leaving: BTreeSet<UpstreamId>,
         upstreams: BTreeMap<UpstreamId, Upstream>,
@@ -89,12 +89,12 @@
         if let Some(until) = self.grace_until(now) {
             // One that said that it leaves has left.
             let stayed = known.into_iter().filter(|(id, _)| !before.contains(id));
-            self.keep_lapsed(stayed, until);
+            self.keep_expired(stayed, until);
         }
     }
 
     /// Keeps upstreams that were known and are missing now, if their entries may only have lapsed.
-    fn keep_lapsed(&mut self, known: impl Iterator<Item = (UpstreamId, Upstream)>, until: Time) {
+    fn keep_expired(&mut self, known: impl Iterator<Item = (UpstreamId, Upstream)>, until: Time) {
         let missing = known.filter(|(id, _)| !self.upstreams.contains_key(id));
         let missing = missing.filter(|(id, _)| !self.is_replaced(id));
         let missing: Vec<(UpstreamId, Upstream)> = missing.collect();
@@ -105,7 +105,7 @@
             missing.iter().map(|(_, definition)| definition),
         );
         for (id, definition) in missing {
-            if self.missing.contains_key(&id) || census.lapsed(&definition) {
+            if self.missing.contains_key(&id) || census.is_mostly_missing(&definition) {
                 self.missing.entry(id.clone()).or_insert(until);
                 self.upstreams.insert(id, definition);
             }
@@ -138,7 +138,7 @@
     }
 
     fn grace_until(&self, now: Time) -> Option<Time> {
-        let until = self.regained? + LAPSE_GRACE;
+        let until = self.regained_at? + EXPIRY_GRACE;
         (now < until).then_some(until)
     }
 }
--- a/crates/policy/src/upstreams/ejection.rs
+++ b/crates/policy/src/upstreams/ejection.rs
@@ -22,24 +22,24 @@
 
     /// Notes that an upstream was observed: its whole failure domain is in reach.
     pub(crate) fn note_responsive(&mut self, id: &UpstreamId, now: Time) {
-        if let Some(place) = self.index.get(id) {
+        if let Some(place) = self.index_by_id.get(id) {
             let domain = self.states[*place].definition.failure_domain();
-            self.silent.note_responsive(domain, now);
+            self.silent_domains.note_responsive(domain, now);
         }
     }
 
     /// Notes that no connection to an upstream could be made.
     pub(crate) fn note_unreachable(&mut self, id: &UpstreamId) {
-        if let Some(place) = self.index.get(id) {
+        if let Some(place) = self.index_by_id.get(id) {
             let domain = self.states[*place].definition.failure_domain();
-            self.silent.note_unreachable(domain, id);
+            self.silent_domains.note_unreachable(domain, id);
         }
     }
 
     /// Ejects the upstreams of failure domains that have fallen silent, however many
     /// they are, if others that are observed serve the same.
     pub(crate) fn eject_silent(&mut self, now: Time) {
-        let silent = self.silent.take_silent(&self.states, now);
+        let silent = self.silent_domains.take_silent(&self.states, now);
         if silent.is_empty() {
             return;
         }
@@ -57,7 +57,7 @@
     /// well and not given up.
     fn has_others(&self, state: &UpstreamState, given_up: impl Fn(&UpstreamState) -> bool) -> bool {
         let is_served = |target: &Target| {
-            let mut others = self.copies(target);
+            let mut others = self.upstreams_of(target);
             others.any(|other| other.health.is_well() && !given_up(other))
         };
         pool::targets_of(&state.definition).iter().all(is_served)
@@ -70,7 +70,7 @@
         if !self.serves(target) {
             return false;
         }
-        let all = self.copies(target);
+        let all = self.upstreams_of(target);
         let ejected = all.clone().filter(|state| !state.health.is_well());
         (ejected.count() + 1) * KEEP_ONE_IN <= all.count().max(KEEP_ONE_IN)
     }
--- a/crates/policy/src/upstreams/group.rs
+++ b/crates/policy/src/upstreams/group.rs
@@ -10,7 +10,7 @@
     /// Names of the targets, joined by commas.
     pub(crate) name: String,
     /// Places of its upstreams, in the order of their ids.
-    pub(crate) places: Vec<usize>,
+    pub(crate) upstream_indexes: Vec<usize>,
     /// This host's share.
     pub(crate) share: Share,
     /// Slots of all its upstreams.
--- a/crates/policy/src/upstreams/in_flight_history.rs
+++ b/crates/policy/src/upstreams/in_flight_history.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// How long changes are kept; a load report that is older is of no use.
-const KEPT: Duration = Duration::from_secs(3);
+const RETENTION: Duration = Duration::from_secs(3);
 
 /// How many requests a host had on an upstream at each moment of the last
 /// seconds.
@@ -17,7 +17,7 @@
 impl InFlightHistory {
     pub(crate) fn note(&mut self, in_flight: u32, now: Time) {
         self.changes.push_back((now, in_flight));
-        while self.changes.len() > 1 && now.since(self.changes[1].0) > KEPT {
+        while self.changes.len() > 1 && now.since(self.changes[1].0) > RETENTION {
             self.changes.pop_front();
         }
     }
--- a/crates/policy/src/upstreams/long_prompts.rs
+++ b/crates/policy/src/upstreams/long_prompt_detector.rs
@@ -2,18 +2,18 @@
 
 /// Prompts that are remembered: some ten seconds of one host's, so that a burst of
 /// long ones is followed and a single one changes little.
-const REMEMBERED: usize = 256;
+const MAX_RECENT_PROMPTS: usize = 256;
 
 /// Prompts that must have been seen before any counts as long.
-const MIN_SEEN: usize = 32;
+const MIN_RECENT_PROMPTS: usize = 32;
 
 /// Prompts between two looks at all that are remembered.
-const LOOK_EVERY: usize = 16;
+const THRESHOLD_UPDATE_INTERVAL: usize = 16;
 
 /// Part of all prompt tokens that the long prompts hold together. Where the sizes
 /// differ much these are few requests: one in 12 before six hosts, each of
 /// 18,000 tokens or more, and the pauses that they caused were beyond the target.
-const LONG_SHARE: f64 = 0.25;
+const LONG_PROMPT_TOKEN_SHARE: f64 = 0.25;
 
 /// Tells which prompts are long, by those seen lately.
 ///
@@ -21,40 +21,42 @@
 /// follows from what is asked for: the fewest prompts that hold a quarter of all
 /// tokens to be read.
 #[derive(Debug, Default)]
-pub(crate) struct LongPrompts {
-    limit: Option<u64>,
+pub(crate) struct LongPromptDetector {
+    threshold_tokens: Option<u64>,
     recent: VecDeque<u64>,
     /// Prompts since the last look.
-    since: usize,
+    since_update: usize,
 }
 
-impl LongPrompts {
+impl LongPromptDetector {
     /// Notes a prompt by its tokens; true if it is long.
-    pub(crate) fn note(&mut self, tokens: u64) -> bool {
+    pub(crate) fn observe(&mut self, tokens: u64) -> bool {
         if tokens == 0 {
             return false;
         }
         self.recent.push_back(tokens);
-        if self.recent.len() > REMEMBERED {
+        if self.recent.len() > MAX_RECENT_PROMPTS {
             self.recent.pop_front();
         }
-        self.since += 1;
-        if self.since >= LOOK_EVERY && self.recent.len() >= MIN_SEEN {
-            self.since = 0;
-            self.limit = self.look();
+        self.since_update += 1;
+        if self.since_update >= THRESHOLD_UPDATE_INTERVAL && self.recent.len() >= MIN_RECENT_PROMPTS
+        {
+            self.since_update = 0;
+            self.threshold_tokens = self.compute_threshold();
         }
-        self.limit.is_some_and(|limit| tokens >= limit)
+        self.threshold_tokens
+            .is_some_and(|threshold| tokens >= threshold)
     }
 
     /// Tokens from which on a prompt is long.
-    fn look(&self) -> Option<u64> {
+    fn compute_threshold(&self) -> Option<u64> {
         let mut sizes: Vec<u64> = self.recent.iter().copied().collect();
         sizes.sort_unstable_by(|a, b| b.cmp(a));
-        let wanted = LONG_SHARE * sizes.iter().sum::<u64>() as f64;
-        let mut held = 0;
+        let threshold = LONG_PROMPT_TOKEN_SHARE * sizes.iter().sum::<u64>() as f64;
+        let mut sum = 0;
         sizes.into_iter().find(|size| {
-            held += size;
-            held as f64 >= wanted
+            sum += size;
+            sum as f64 >= threshold
         })
     }
 }
--- a/crates/policy/src/upstreams/mod.rs
+++ b/crates/policy/src/upstreams/mod.rs
@@ -9,14 +9,14 @@
 mod engine_partition;
 mod engine_speed;
 mod engine_speeds;
-mod expected_work;
 mod group;
 mod health;
 mod in_flight_history;
-mod long_prompts;
+mod long_prompt_detector;
 pub(crate) mod placement;
 mod placement_request;
 pub(crate) mod pool;
+mod prefill_time;
 pub(crate) mod prompt_cache;
 mod rendezvous;
 mod silent_domains;
@@ -45,7 +45,7 @@
     group::Group,
     health::Health,
     in_flight_history::InFlightHistory,
-    long_prompts::LongPrompts,
+    long_prompt_detector::LongPromptDetector,
     placement_request::PlacementRequest,
     pool::Pool,
     prompt_cache::PromptCache,
@@ -57,7 +57,7 @@
     speed_votes::SpeedVotes,
     target_census::TargetCensus,
     track_record::{TrackRecord, Usual},
-    upstream_census::Place,
+    upstream_census::ServiceDomain,
     upstream_state::UpstreamState,
     usual_speed::UsualSpeed,
 };
--- a/crates/policy/src/upstreams/pool.rs
+++ b/crates/policy/src/upstreams/pool.rs
@@ -7,56 +7,56 @@
     /// Until when upstreams want nothing from this host.
     pub(crate) backoffs: HashMap<UpstreamId, Time>,
     /// Upstreams that the hosts of all failure domains know; `None` where that is each of them.
-    pub(crate) common: Option<BTreeSet<UpstreamId>>,
+    pub(crate) common_ids: Option<BTreeSet<UpstreamId>>,
     /// Upstreams that said that they leave.
     pub(crate) departures: Departures,
     pub(crate) groups: Vec<Group>,
     /// Whether any upstream names a limit.
     pub(crate) has_limits: bool,
-    pub(crate) index: HashMap<UpstreamId, usize>,
+    pub(crate) index_by_id: HashMap<UpstreamId, usize>,
     /// Limits of upstreams whose entries have lapsed.
-    pub(crate) lapsed_limits: HashMap<UpstreamId, UpstreamLimit>,
+    pub(crate) expired_limits: HashMap<UpstreamId, UpstreamLimit>,
     /// Upstreams that are leaving by the platform's list. It may be read before
     /// the configuration that names them, so it is kept apart from the states.
     pub(crate) listed_leaving: BTreeSet<UpstreamId>,
     /// When what was learned of the engines' speeds is looked at next.
     pub(crate) next_speed_review: Time,
-    pub(crate) room: RoomRules,
+    pub(crate) room_rules: RoomRules,
     /// Counts the times that shares were set.
     pub(crate) shares_version: u64,
-    pub(crate) silent: SilentDomains,
+    pub(crate) silent_domains: SilentDomains,
     /// Whether the upstreams of all failure domains are used alike.
-    spread: bool,
+    ignores_domains: bool,
     pub(crate) states: Vec<UpstreamState>,
-    pub(crate) targets: HashMap<Target, Places>,
+    pub(crate) targets: HashMap<Target, TargetUpstreams>,
 }
 
 /// Where the upstreams of one target are, by their failure domain.
 #[derive(Debug, Default)]
-pub(crate) struct Places {
-    pub(crate) foreign: Vec<usize>,
+pub(crate) struct TargetUpstreams {
+    pub(crate) remote: Vec<usize>,
     /// Groups of its own ones.
     pub(crate) groups: Vec<usize>,
-    pub(crate) own: Vec<usize>,
+    pub(crate) grouped: Vec<usize>,
 }
 
 impl Pool {
-    pub(crate) fn new(room: RoomRules, spread: bool) -> Self {
+    pub(crate) fn new(room_rules: RoomRules, ignores_domains: bool) -> Self {
         Self {
-            room,
-            spread,
+            room_rules,
+            ignores_domains,
             ..Self::default()
         }
     }
 
     /// Follows a new set of upstreams. Those that are gone from it get no new
     /// work and are forgotten once their last request has ended.
-    pub(crate) fn apply(
+    pub(crate) fn update_upstreams(
         &mut self,
         upstreams: &BTreeMap<UpstreamId, Upstream>,
         domain: &FailureDomainId,
     ) {
-        let lapsed_limits = &mut self.lapsed_limits;
+        let expired_limits = &mut self.expired_limits;
         self.states.retain_mut(|state| {
             let keep = match upstreams.get(&state.id) {
                 Some(definition) if definition.address() == state.definition.address() => {
@@ -71,7 +71,7 @@
                 }
             };
             if !keep && state.limit.rate().is_some() {
-                lapsed_limits.insert(state.id.clone(), std::mem::take(&mut state.limit));
+                expired_limits.insert(state.id.clone(), std::mem::take(&mut state.limit));
             }
             keep
         });
@@ -90,22 +90,23 @@
     /// each upstream of another domain, given its slots.
     pub(crate) fn set_shares(
         &mut self,
-        own: impl Fn(&str, u32) -> Share,
-        foreign: impl Fn(u32) -> u32,
+        group_share: impl Fn(&str, u32) -> Share,
+        remote_share: impl Fn(u32) -> u32,
     ) {
         self.shares_version += 1;
         for state in &mut self.states {
-            state.foreign_share = foreign(state.definition.slots());
-            state.home = 0;
+            state.remote_share = remote_share(state.definition.slots());
+            state.own_slots = 0;
         }
         for group in &mut self.groups {
-            group.share = own(&group.name, group.slots);
+            group.share = group_share(&group.name, group.slots);
             let mut first = 0;
-            for (number, place) in group.places.iter().enumerate() {
-                let state = &mut self.states[*place];
-                let kept = even_part(group.share.headroom, group.places.len(), number);
-                let slots = state.definition.slots().saturating_sub(kept);
-                state.home = group.share.overlap(first, slots);
+            for (position, index) in group.upstream_indexes.iter().enumerate() {
+                let state = &mut self.states[*index];
+                let headroom =
+                    even_share(group.share.headroom, group.upstream_indexes.len(), position);
+                let slots = state.definition.slots().saturating_sub(headroom);
+                state.own_slots = group.share.overlap(first, slots);
                 first += slots;
             }
         }
@@ -118,7 +119,7 @@
     }
 
     /// The groups of the own domain, as its coordinator divides them.
-    pub(crate) fn divided(&self) -> Vec<Divided> {
+    pub(crate) fn groups_to_divide(&self) -> Vec<Divided> {
         let groups = self.groups.iter();
         groups
             .map(|group| Divided {
@@ -130,7 +131,7 @@
     }
 
     /// Follows a new reading of the platform's list.
-    pub(crate) fn note_listed(&mut self, leaving: BTreeSet<UpstreamId>) {
+    pub(crate) fn set_listed_leaving(&mut self, leaving: BTreeSet<UpstreamId>) {
         self.listed_leaving = leaving;
         self.mark_leaving();
     }
@@ -142,20 +143,20 @@
     }
 
     fn reindex(&mut self, domain: &FailureDomainId) {
-        self.index.clear();
+        self.index_by_id.clear();
         self.targets.clear();
         self.groups.clear();
-        let mut names: BTreeMap<String, usize> = BTreeMap::new();
-        for (place, state) in self.states.iter_mut().enumerate() {
-            self.index.insert(state.id.clone(), place);
+        let mut group_by_name: BTreeMap<String, usize> = BTreeMap::new();
+        for (index, state) in self.states.iter_mut().enumerate() {
+            self.index_by_id.insert(state.id.clone(), index);
             let targets = targets_of(&state.definition);
-            let common = self.common.as_ref();
-            state.is_common = common.is_none_or(|common| common.contains(&state.id));
-            state.near = state.definition.failure_domain() == domain;
-            let own = self.spread || state.near;
-            state.group = own.then(|| {
+            let common_ids = self.common_ids.as_ref();
+            state.is_common = common_ids.is_none_or(|common_ids| common_ids.contains(&state.id));
+            state.is_local = state.definition.failure_domain() == domain;
+            let is_grouped = self.ignores_domains || state.is_local;
+            state.group = is_grouped.then(|| {
                 let name = Group::name_of(&targets);
-                *names.entry(name.clone()).or_insert_with(|| {
+                *group_by_name.entry(name.clone()).or_insert_with(|| {
                     self.groups.push(Group {
                         name,
                         ..Group::default()
@@ -168,20 +169,20 @@
                 group.in_flight += state.in_flight;
                 group.in_flight_trial += state.in_flight_trial;
                 if !state.removed {
-                    group.places.push(place);
+                    group.upstream_indexes.push(index);
                     group.slots += state.definition.slots();
                 }
             }
             for target in targets {
-                let places = self.targets.entry(target).or_default();
+                let upstreams = self.targets.entry(target).or_default();
                 match state.group {
                     Some(group) => {
-                        places.own.push(place);
-                        if !places.groups.contains(&group) {
-                            places.groups.push(group);
+                        upstreams.grouped.push(index);
+                        if !upstreams.groups.contains(&group) {
+                            upstreams.groups.push(group);
                         }
                     }
-                    None => places.foreign.push(place),
+                    None => upstreams.remote.push(index),
                 }
             }
         }
@@ -192,31 +193,37 @@
     }
 
     pub(crate) fn get(&self, id: &UpstreamId) -> Option<&UpstreamState> {
-        self.index.get(id).map(|place| &self.states[*place])
+        self.index_by_id.get(id).map(|index| &self.states[*index])
     }
 
     pub(crate) fn get_mut(&mut self, id: &UpstreamId) -> Option<&mut UpstreamState> {
-        self.index.get(id).map(|place| &mut self.states[*place])
+        self.index_by_id
+            .get(id)
+            .map(|index| &mut self.states[*index])
     }
 
     /// Slots that this host may fill for a target.
     pub(crate) fn slots_for(&self, target: &Target) -> u32 {
-        let Some(places) = self.targets.get(target) else {
+        let Some(upstreams) = self.targets.get(target) else {
             return 0;
         };
-        let groups = places.groups.iter();
-        let own: u32 = groups.map(|group| self.groups[*group].share.slots).sum();
-        let foreign = places.foreign.iter();
-        let foreign: u32 = foreign.map(|place| self.states[*place].foreign_share).sum();
-        let slots = if own > 0 { own } else { foreign };
+        let groups = upstreams.groups.iter();
+        let grouped: u32 = groups.map(|group| self.groups[*group].share.slots).sum();
+        let remote = upstreams.remote.iter();
+        let remote: u32 = remote.map(|index| self.states[*index].remote_share).sum();
+        let slots = if grouped > 0 { grouped } else { remote };
         slots.min(self.brittle_slots(target).unwrap_or(u32::MAX))
     }
 
     /// All upstreams of a target.
-    pub(crate) fn copies(&self, target: &Target) -> impl Iterator<Item = &UpstreamState> + Clone {
-        let places = self.targets.get(target).into_iter();
-        let places = places.flat_map(|places| places.own.iter().chain(&places.foreign));
-        places.map(|place| &self.states[*place])
+    pub(crate) fn upstreams_of(
+        &self,
+        target: &Target,
+    ) -> impl Iterator<Item = &UpstreamState> + Clone {
+        let upstreams = self.targets.get(target).into_iter();
+        let upstreams =
+            upstreams.flat_map(|upstreams| upstreams.grouped.iter().chain(&upstreams.remote));
+        upstreams.map(|index| &self.states[*index])
     }
 
     /// Targets that an upstream serves.
@@ -226,7 +233,7 @@
     }
 
     /// Takes a slot.
-    pub(crate) fn start(&mut self, id: &UpstreamId, facts: &RequestFacts, now: Time) {
+    pub(crate) fn start_request(&mut self, id: &UpstreamId, facts: &RequestFacts, now: Time) {
         if let Some(prefix) = facts.prefix {
             self.affinity.note(prefix, id);
         }
@@ -234,7 +241,7 @@
         let Some(state) = self.get_mut(id) else {
             return;
         };
-        state.start(facts, now);
+        state.start_request(facts, now);
         if let Some(group) = state.group {
             self.groups[group].in_flight += 1;
             self.groups[group].in_flight_trial += trial;
@@ -242,12 +249,12 @@
     }
 
     /// Gives a slot back.
-    pub(crate) fn end(&mut self, id: &UpstreamId, facts: &RequestFacts, now: Time) {
+    pub(crate) fn end_request(&mut self, id: &UpstreamId, facts: &RequestFacts, now: Time) {
         let trial = u32::from(facts.rank.plan == Plan::Trial);
         let Some(state) = self.get_mut(id) else {
             return;
         };
-        state.end(facts, now);
+        state.end_request(facts, now);
         if let Some(group) = state.group {
             let group = &mut self.groups[group];
             group.in_flight = group.in_flight.saturating_sub(1);
@@ -264,7 +271,7 @@
 }
 
 /// One place's part of a number that is spread evenly over places.
-fn even_part(number: u32, places: usize, place: usize) -> u32 {
-    let places = places.max(1) as u32;
-    number / places + u32::from((place as u32) < number % places)
+fn even_share(total: u32, parts: usize, index: usize) -> u32 {
+    let parts = parts.max(1) as u32;
+    total / parts + u32::from((index as u32) < total % parts)
 }
--- a/crates/policy/src/upstreams/rendezvous.rs
+++ b/crates/policy/src/upstreams/rendezvous.rs
@@ -14,7 +14,7 @@
 impl Preference {
     pub(crate) fn of(state: &UpstreamState, key: u64) -> Self {
         Self {
-            hash: placement::weight_of(&state.id, key),
+            hash: placement::rendezvous_hash(&state.id, key),
             step: state.speed.step,
         }
     }
@@ -29,7 +29,7 @@
 
     /// Score by which an engine is first for a part of all keys in proportion to its speed.
     fn score(&self) -> f64 {
-        let unit = (self.hash as f64 + 0.5) / 2.0_f64.powi(64);
-        -self.step.factor() / unit.min(1.0 - f64::EPSILON).ln()
+        let uniform = (self.hash as f64 + 0.5) / 2.0_f64.powi(64);
+        -self.step.factor() / uniform.min(1.0 - f64::EPSILON).ln()
     }
 }
--- a/crates/policy/src/upstreams/target_census.rs
+++ b/crates/policy/src/upstreams/target_census.rs
@@ -29,7 +29,7 @@
 
     /// Whether entries have lapsed together: more are missing than stay for some target of an
     /// upstream.
-    pub(crate) fn lapsed(&self, definition: &Upstream) -> bool {
+    pub(crate) fn is_mostly_missing(&self, definition: &Upstream) -> bool {
         let targets = pool::targets_of(definition);
         let mut counts = targets.iter().filter_map(|target| self.targets.get(target));
         counts.any(|counts| counts.missing > counts.staying)
--- a/crates/policy/src/upstreams/upstream_state.rs
+++ b/crates/policy/src/upstreams/upstream_state.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 /// Weight of the newest sample in the moving average of the token time.
-const NEWEST_WEIGHT: f64 = 0.1;
+const TOKEN_TIME_WEIGHT: f64 = 0.1;
 
 /// What a host knows of one upstream.
 #[derive(Debug)]
 pub(crate) struct UpstreamState {
     /// Prompt tokens that this host sent there and that have brought no first
     /// token yet.
-    pub(crate) backlog: u64,
+    pub(crate) backlog_tokens: u64,
     pub(crate) backoff: Backoff,
     pub(crate) brittleness: Brittleness,
     pub(crate) cache: PromptCache,
@@ -18,7 +18,7 @@
     pub(crate) group: Option<usize>,
     pub(crate) health: Health,
     /// Slots that are this host's own, by its share of the group.
-    pub(crate) home: u32,
+    pub(crate) own_slots: u32,
     pub(crate) id: UpstreamId,
     /// Requests that this host has there.
     pub(crate) in_flight: u32,
@@ -27,20 +27,20 @@
     /// What it names as its limit for all hosts together.
     pub(crate) limit: UpstreamLimit,
     /// Slots that this host may fill, for an upstream of another domain.
-    pub(crate) foreign_share: u32,
+    pub(crate) remote_share: u32,
     /// Requests of other hosts there that long prompts can make late, by their notes.
-    pub(crate) others_pause_bound: u32,
+    pub(crate) others_pause_sensitive: u32,
     /// Requests of this host there that long prompts can make late.
-    pub(crate) pause_bound: u32,
+    pub(crate) pause_sensitive: u32,
     /// Its place among the engines that are kept free of long prompts, the same on
     /// every host; the least come first.
-    pub(crate) quiet_order: u64,
+    pub(crate) reservation_order: u64,
     /// Whether the hosts of all failure domains know it.
     pub(crate) is_common: bool,
     /// Whether it stands in this host's failure domain.
-    pub(crate) near: bool,
+    pub(crate) is_local: bool,
     /// How this host's requests there ended lately.
-    pub(crate) record: TrackRecord,
+    pub(crate) track_record: TrackRecord,
     /// Not configured any more.
     pub(crate) removed: bool,
     /// What it can do, if it is an engine.
@@ -51,12 +51,12 @@
     pub(crate) token_time_ms: Option<f64>,
     /// Transfers of parts of prompts over its link.
     pub(crate) transfers: TransferLink,
-    history: InFlightHistory,
+    in_flight_history: InFlightHistory,
     /// Requests of other hosts there, by the last load report or their notes.
-    pub(crate) others: u32,
+    pub(crate) others_in_flight: u32,
     /// Prompt tokens of other hosts there that have brought no first token yet,
     /// by their notes.
-    pub(crate) others_backlog: u64,
+    pub(crate) others_backlog_tokens: u64,
 }
 
 impl UpstreamState {
@@ -66,27 +66,27 @@
             Upstream::Service(_) => None,
         };
         Self {
-            backlog: 0,
+            backlog_tokens: 0,
             backoff: Backoff::default(),
             brittleness: Brittleness::default(),
             cache: PromptCache::new(memory),
             departure: Departure::default(),
-            foreign_share: 0,
+            remote_share: 0,
             group: None,
             health: Health::default(),
-            history: InFlightHistory::default(),
-            home: 0,
+            in_flight_history: InFlightHistory::default(),
+            own_slots: 0,
             in_flight: 0,
             in_flight_trial: 0,
             is_common: true,
             limit: UpstreamLimit::default(),
-            near: false,
-            others: 0,
-            others_backlog: 0,
-            others_pause_bound: 0,
-            pause_bound: 0,
-            quiet_order: placement::weight_of(&id, 0),
-            record: TrackRecord::default(),
+            is_local: false,
+            others_in_flight: 0,
+            others_backlog_tokens: 0,
+            others_pause_sensitive: 0,
+            pause_sensitive: 0,
+            reservation_order: placement::rendezvous_hash(&id, 0),
+            track_record: TrackRecord::default(),
             removed: false,
             speed: EngineSpeed::new(&id),
             streams: 0,
@@ -102,55 +102,55 @@
         self.departure.note_reported(report.leaving);
         let reported = report.running + report.waiting;
         let made = now - Duration::from_millis(report.age_ms);
-        self.others = reported.saturating_sub(self.history.at(made));
+        self.others_in_flight = reported.saturating_sub(self.in_flight_history.at(made));
     }
 
-    pub(crate) fn start(&mut self, facts: &RequestFacts, now: Time) {
+    pub(crate) fn start_request(&mut self, facts: &RequestFacts, now: Time) {
         self.in_flight += 1;
         self.backoff.note_sent(now);
         self.limit.spend(now);
         self.in_flight_trial += u32::from(facts.rank.plan == Plan::Trial);
-        self.pause_bound += u32::from(facts.pause_bound);
-        self.history.note(self.in_flight, now);
+        self.pause_sensitive += u32::from(facts.pause_bound);
+        self.in_flight_history.note(self.in_flight, now);
     }
 
-    pub(crate) fn end(&mut self, facts: &RequestFacts, now: Time) {
+    pub(crate) fn end_request(&mut self, facts: &RequestFacts, now: Time) {
         let trial = u32::from(facts.rank.plan == Plan::Trial);
-        let pause_bound = u32::from(facts.pause_bound);
-        self.pause_bound = self.pause_bound.saturating_sub(pause_bound);
+        let pause_sensitive = u32::from(facts.pause_bound);
+        self.pause_sensitive = self.pause_sensitive.saturating_sub(pause_sensitive);
         self.in_flight = self.in_flight.saturating_sub(1);
         self.in_flight_trial = self.in_flight_trial.saturating_sub(trial);
-        self.history.note(self.in_flight, now);
+        self.in_flight_history.note(self.in_flight, now);
     }
 
     /// Notes a prompt that is sent there; returns the tokens to be read.
     pub(crate) fn start_prefill(&mut self, parts: &[PromptPart]) -> Tokens {
-        let prefill = prompt_cache::tokens(parts) - self.cache.kept(parts);
-        self.backlog += prefill;
+        let prefill = prompt_cache::total_tokens(parts) - self.cache.cached_tokens(parts);
+        self.backlog_tokens += prefill;
         Tokens::new(prefill.min(u64::from(u32::MAX)) as u32)
     }
 
     /// Notes that it keeps a prompt from now on; returns the shared parts that are new to it.
-    pub(crate) fn keep_prompt(&mut self, parts: &[PromptPart]) -> Vec<PromptRead> {
-        let reads = self.cache.unread(placement::shared(parts));
-        let reads = reads.map(|(chain, part)| self.read_of(chain, part));
+    pub(crate) fn note_prompt_sent(&mut self, parts: &[PromptPart]) -> Vec<PromptRead> {
+        let reads = self.cache.uncached_parts(placement::shared_parts(parts));
+        let reads = reads.map(|(chain_hash, part)| self.prompt_read(chain_hash, part));
         let reads = reads.collect();
-        self.cache.note(parts);
+        self.cache.note_sent(parts);
         reads
     }
 
     /// Notes that it has read a prompt; returns the shared parts not known to be read before.
     pub(crate) fn confirm_prompt(&mut self, parts: &[PromptPart]) -> Vec<PromptRead> {
-        let reads = self.cache.unconfirmed(placement::shared(parts));
-        let reads = reads.map(|(chain, part)| self.read_of(chain, part));
+        let reads = self.cache.unconfirmed_parts(placement::shared_parts(parts));
+        let reads = reads.map(|(chain_hash, part)| self.prompt_read(chain_hash, part));
         let reads = reads.collect();
         self.cache.confirm(parts);
         reads
     }
 
-    fn read_of(&self, chain: u64, part: &PromptPart) -> PromptRead {
+    fn prompt_read(&self, chain_hash: u64, part: &PromptPart) -> PromptRead {
         PromptRead {
-            chain,
+            chain: chain_hash,
             tokens: part.tokens,
             upstream: self.id.clone(),
         }
@@ -158,7 +158,7 @@
 
     /// Notes that a prompt has been read, or will not be.
     pub(crate) fn end_prefill(&mut self, prefill: Tokens) {
-        self.backlog = self.backlog.saturating_sub(u64::from(prefill.get()));
+        self.backlog_tokens = self.backlog_tokens.saturating_sub(u64::from(prefill.get()));
     }
 
     /// Notes a request that was answered whole after `span`. Only the time of a
@@ -166,9 +166,9 @@
     /// answer.
     pub(crate) fn note_success(&mut self, span: Duration, now: Time) {
         self.health.note_success();
-        self.record.note_success(now);
+        self.track_record.note_success(now);
         if matches!(self.definition, Upstream::Service(_)) {
-            self.record.note_time(span);
+            self.track_record.note_time(span);
         }
     }
 
@@ -178,11 +178,11 @@
         }
         let sample = span.as_secs_f64() * 1_000.0 / f64::from(tokens.get());
         let average = self.token_time_ms.get_or_insert(sample);
-        *average += NEWEST_WEIGHT * (sample - *average);
+        *average += TOKEN_TIME_WEIGHT * (sample - *average);
     }
 
     /// Whether this host has first-hand that it is leaving.
-    pub(crate) const fn is_said_leaving(&self) -> bool {
+    pub(crate) const fn is_leaving_first_hand(&self) -> bool {
         self.departure.is_first_hand()
     }
 
@@ -192,59 +192,61 @@
     }
 
     /// Whether it takes new work, within its limit.
-    pub(crate) fn takes_work(&self, now: Time) -> bool {
+    pub(crate) fn is_available(&self, now: Time) -> bool {
         !self.is_leaving(now) && self.health.is_well() && self.backoff.is_over(now)
     }
 
     /// Whether it takes new work of this host now.
-    pub(crate) fn is_open(&self, now: Time) -> bool {
-        self.takes_work(now)
+    pub(crate) fn accepts_request(&self, now: Time) -> bool {
+        self.is_available(now)
             && self.backoff.may_send(now)
             && self.limit.has_token(now)
-            && self.has_room(now)
+            && self.has_room_by_brittleness(now)
     }
 
-    fn has_room(&self, now: Time) -> bool {
+    fn has_room_by_brittleness(&self, now: Time) -> bool {
         let slots = self.definition.slots();
         let brittleness = &self.brittleness;
-        brittleness.has_room(self.in_flight, self.others, slots, now)
+        brittleness.has_room(self.in_flight, self.others_in_flight, slots, now)
     }
 
     /// Slots that may be used while it comes back slowly.
-    fn usable_slots(&self, now: Time) -> u32 {
+    fn slow_start_slots(&self, now: Time) -> u32 {
         (f64::from(self.definition.slots()) * self.health.share(now)).ceil() as u32
     }
 
     /// Whether one of this host's own slots is free; no report is needed for
     /// that.
-    pub(crate) fn is_home_free(&self, now: Time) -> bool {
-        self.is_open(now) && self.in_flight < self.home.min(self.usable_slots(now))
+    pub(crate) fn has_free_own_slot(&self, now: Time) -> bool {
+        self.accepts_request(now) && self.in_flight < self.own_slots.min(self.slow_start_slots(now))
     }
 
     /// Whether a slot is free, by the last load report and own requests.
-    pub(crate) fn is_free(&self, now: Time) -> bool {
-        self.is_open(now) && self.in_flight + self.others < self.usable_slots(now)
+    pub(crate) fn has_free_slot(&self, now: Time) -> bool {
+        self.accepts_request(now)
+            && self.in_flight + self.others_in_flight < self.slow_start_slots(now)
     }
 
     /// Whether one more request fits into the upstream's own queue. Only an
     /// engine serves that by priority.
-    pub(crate) fn is_queueable(&self, now: Time) -> bool {
+    pub(crate) fn has_queue_room(&self, now: Time) -> bool {
         let Upstream::Engine(engine) = &self.definition else {
             return false;
         };
         let slow_start = self.health.share(now) < 1.0;
-        let there = self.in_flight + self.others;
-        self.is_open(now) && !slow_start && there < engine.slots + engine.queue_bound
+        let in_flight = self.in_flight + self.others_in_flight;
+        self.accepts_request(now) && !slow_start && in_flight < engine.slots + engine.queue_bound
     }
 
     /// How full it is, 1 for all slots taken, counting what other hosts have
     /// there by its last report.
-    pub(crate) fn fullness(&self) -> f64 {
-        f64::from(self.in_flight + self.others) / f64::from(self.definition.slots().max(1))
+    pub(crate) fn utilization(&self) -> f64 {
+        f64::from(self.in_flight + self.others_in_flight)
+            / f64::from(self.definition.slots().max(1))
     }
 
     /// Whether it gives tokens fast enough for a target.
-    pub(crate) fn keeps_pace(&self, target_ms: u64) -> bool {
+    pub(crate) fn meets_token_target(&self, target_ms: u64) -> bool {
         self.token_time_ms.is_none_or(|ms| ms <= target_ms as f64)
     }
 }
--- a/crates/policy/src/upstreams/working_set.rs
+++ b/crates/policy/src/upstreams/working_set.rs
@@ -1,20 +1,20 @@
 use super::*;
 
 /// Upstreams of a service up to which every host knows all of them.
-const MAX_WHOLE: usize = 256;
+const MAX_UNDIVIDED_UPSTREAMS: usize = 256;
 
 /// Fewest upstreams of a larger service that a host knows in its own failure domain.
-const MIN_NEAR: usize = 128;
+const MIN_LOCAL_UPSTREAMS: usize = 128;
 
 /// Fewest upstreams of a larger service that all hosts know, over all failure domains.
-const MIN_COMMON: usize = 160;
+const MIN_COMMON_UPSTREAMS: usize = 160;
 
 /// Fewest of these in one failure domain.
-const MIN_COMMON_IN_DOMAIN: usize = 8;
+const MIN_COMMON_PER_DOMAIN: usize = 8;
 
 /// Halvings by which a place may differ from what would be announced now until hosts are notified
 /// at once: they would know four times what they need, and more.
-const MAX_DRIFT: u32 = 1;
+const MAX_HALVINGS_DIFFERENCE: u32 = 1;
 
 /// Which upstreams the hosts of a failure domain know, where there are many.
 ///
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct WorkingSet {
     /// How the upstreams of each place are divided, where they are.
-    divided: BTreeMap<Place, Halvings>,
+    divided: BTreeMap<ServiceDomain, Halvings>,
 }
 
 /// How often the upstreams of a place are halved.
@@ -38,7 +38,7 @@
     /// Until those are left that all hosts know.
     common: u32,
     /// Until those are left that hosts of the own failure domain know; `None` in another one.
-    near: Option<u32>,
+    local: Option<u32>,
 }
 
 impl WorkingSet {
@@ -56,15 +56,15 @@
             *upstreams += count;
             *domains += 1;
         }
-        let places = census.counts().iter();
-        let divided = places.filter_map(|(place, count)| {
-            let (upstreams, domains) = services[place.0.as_str()];
-            let least_common = (MIN_COMMON / domains).max(MIN_COMMON_IN_DOMAIN);
+        let service_domains = census.counts().iter();
+        let divided = service_domains.filter_map(|(service_domain, count)| {
+            let (upstreams, domains) = services[service_domain.0.as_str()];
+            let least_common = (MIN_COMMON_UPSTREAMS / domains).max(MIN_COMMON_PER_DOMAIN);
             let halvings = Halvings {
                 common: halvings(*count, least_common),
-                near: (place.1 == *own).then(|| halvings(*count, MIN_NEAR)),
+                local: (service_domain.1 == *own).then(|| halvings(*count, MIN_LOCAL_UPSTREAMS)),
             };
-            (upstreams > MAX_WHOLE).then(|| (place.clone(), halvings))
+            (upstreams > MAX_UNDIVIDED_UPSTREAMS).then(|| (service_domain.clone(), halvings))
         });
         Self {
             divided: divided.collect(),
@@ -72,13 +72,16 @@
     }
 
     /// The same division as another host announced it.
-    pub fn of(places: &[DividedPlace]) -> Self {
-        let divided = places.iter().map(|place| {
+    pub fn from_divided_places(places: &[DividedPlace]) -> Self {
+        let divided = places.iter().map(|announced| {
             let halvings = Halvings {
-                common: place.common,
-                near: place.near,
+                common: announced.common,
+                local: announced.near,
             };
-            ((place.service.clone(), place.domain.clone()), halvings)
+            (
+                (announced.service.clone(), announced.domain.clone()),
+                halvings,
+            )
         });
         Self {
             divided: divided.collect(),
@@ -86,12 +89,12 @@
     }
 
     /// How the upstreams of each place are divided.
-    pub fn places(&self) -> Vec<DividedPlace> {
+    pub fn divided_places(&self) -> Vec<DividedPlace> {
         let divided = self.divided.iter();
         let places = divided.map(|((service, domain), halvings)| DividedPlace {
             common: halvings.common,
             domain: domain.clone(),
-            near: halvings.near,
+            near: halvings.local,
             service: service.clone(),
         });
         places.collect()
@@ -103,24 +106,24 @@
     }
 
     /// Whether upstreams are divided about as they would be now, as `now` says.
-    pub fn is_near(&self, now: &Self) -> bool {
-        let places = self.divided.keys().chain(now.divided.keys());
-        let mut drifts = places.map(|place| {
-            let [before, after] = [self, now].map(|set| set.halvings(place));
-            let near = before.near.unwrap_or_default();
+    pub fn is_close_to(&self, now: &Self) -> bool {
+        let service_domains = self.divided.keys().chain(now.divided.keys());
+        let mut differences = service_domains.map(|service_domain| {
+            let [before, after] = [self, now].map(|set| set.halvings(service_domain));
+            let local = before.local.unwrap_or_default();
             let common = before.common.abs_diff(after.common);
-            common.max(near.abs_diff(after.near.unwrap_or_default()))
+            common.max(local.abs_diff(after.local.unwrap_or_default()))
         });
-        drifts.all(|drift| drift <= MAX_DRIFT)
+        differences.all(|difference| difference <= MAX_HALVINGS_DIFFERENCE)
     }
 
     /// Whether whoever knows the upstreams of a level by another division knows all of those
     /// of this one.
     pub fn is_within(&self, other: &Self) -> bool {
-        let mut places = other.divided.iter();
-        places.all(|(place, before)| {
-            let now = self.divided.get(place);
-            now.is_some_and(|now| now.common >= before.common && now.near >= before.near)
+        let mut service_domains = other.divided.iter();
+        service_domains.all(|(service_domain, before)| {
+            let now = self.divided.get(service_domain);
+            now.is_some_and(|now| now.common >= before.common && now.local >= before.local)
         })
     }
 
@@ -130,38 +133,38 @@
     }
 
     /// Level of an upstream of a place.
-    pub(crate) fn level(&self, name: &str, place: &Place) -> u8 {
-        let Some(halvings) = self.divided.get(place) else {
+    pub(crate) fn level(&self, name: &str, service_domain: &ServiceDomain) -> u8 {
+        let Some(halvings) = self.divided.get(service_domain) else {
             return 0;
         };
-        let kept = hash_of(hash_of(0, place.1.as_str()), name).leading_zeros();
-        if kept >= halvings.common {
+        let zeros = hash_of(hash_of(0, service_domain.1.as_str()), name).leading_zeros();
+        if zeros >= halvings.common {
             0
-        } else if halvings.near.is_some_and(|near| kept >= near) {
+        } else if halvings.local.is_some_and(|local| zeros >= local) {
             Self::KNOWN_LEVEL
         } else {
             Self::UNKNOWN_LEVEL
         }
     }
 
-    fn halvings(&self, place: &Place) -> Halvings {
+    fn halvings(&self, service_domain: &ServiceDomain) -> Halvings {
         let whole = Halvings {
             common: 0,
-            near: None,
+            local: None,
         };
-        self.divided.get(place).copied().unwrap_or(whole)
+        self.divided.get(service_domain).copied().unwrap_or(whole)
     }
 
     /// Tells this division from others; 0 if nothing is divided.
-    pub fn division(&self) -> u32 {
+    pub fn division_hash(&self) -> u32 {
         if !self.is_divided() {
             return 0;
         }
-        let places = self.divided.iter();
-        let hash = places.fold(0, |hash, ((service, domain), halvings)| {
+        let service_domains = self.divided.iter();
+        let hash = service_domains.fold(0, |hash, ((service, domain), halvings)| {
             let hash = hash_of(hash_of(hash, service), domain.as_str());
-            let near = halvings.near.map_or(u64::MAX, u64::from);
-            prompt_cache::mix(prompt_cache::mix(hash, u64::from(halvings.common)), near)
+            let local = halvings.local.map_or(u64::MAX, u64::from);
+            prompt_cache::mix(prompt_cache::mix(hash, u64::from(halvings.common)), local)
         });
         (hash as u32).max(1)
     }
--- a/crates/policy/tests/working_set.rs
+++ b/crates/policy/tests/working_set.rs
@@ -74,7 +74,7 @@
 fn knows_all_upstreams_where_they_are_few() {
     for (engines, replicas) in [(9, 3), (117, 6), (256, 256)] {
         let upstreams = upstreams(engines, replicas);
-        assert_eq!(divide("hall-a", &upstreams).division(), 0);
+        assert_eq!(divide("hall-a", &upstreams).division_hash(), 0);
         assert_eq!(known("hall-a", &upstreams).len(), engines + replicas);
     }
 }
@@ -119,11 +119,11 @@
     let upstreams = upstreams(9_525, 475);
     let mut reversed = upstreams.clone();
     reversed.reverse();
-    let division = divide("hall-b", &upstreams).division();
-    assert_eq!(division, divide("hall-b", &reversed).division());
+    let division = divide("hall-b", &upstreams).division_hash();
+    assert_eq!(division, divide("hall-b", &reversed).division_hash());
     assert_ne!(division, 0);
     assert_eq!(known("hall-b", &upstreams), known("hall-b", &reversed));
-    assert_ne!(division, divide("hall-c", &upstreams).division());
+    assert_ne!(division, divide("hall-c", &upstreams).division_hash());
 }
 
 /// Guards against a shared part of prompts that each failure domain has read by an engine of its
