--- a/crates/policy/src/upstreams/affinity.rs
+++ b/crates/policy/src/upstreams/affinity.rs
@@ -1,14 +1,17 @@
 use super::*;
 
-/// Most prefixes that are remembered.
+/// Maximum number of prompt prefixes kept.
 const MAX_PREFIXES: usize = 8_192;
 
-/// Remembers which upstream last served a prompt prefix, from this host's own
-/// dispatches; the oldest is forgotten first.
+/// Maps each prompt prefix to the upstream that this host last sent it to. The oldest entries are
+/// evicted first.
 #[derive(Debug, Default)]
 pub(crate) struct Affinity {
+    /// Prefixes with their sequence numbers, oldest first. A prefix that is recorded again leaves a
+    /// stale entry behind.
     order: VecDeque<(PrefixHash, u64)>,
     next_seq: u64,
+    /// Last upstream of each prefix, with the sequence number of its current entry in `order`.
     upstreams: HashMap<PrefixHash, (UpstreamId, u64)>,
 }
 
--- a/crates/policy/src/upstreams/choice.rs
+++ b/crates/policy/src/upstreams/choice.rs
@@ -1,18 +1,22 @@
-//! The choice of an upstream for a request.
+//! Selection of an upstream for a request.
 
 use super::*;
 
-/// How much fuller than the least full upstream the one with the cached
-/// prefix may be and still be chosen.
+/// How much more utilized than the least utilized upstream the one that last served the same prefix
+/// may be and still be selected.
 const MAX_AFFINITY_EXTRA_UTILIZATION: f64 = 0.25;
 
-/// How much less full an upstream of another failure domain must be to be
-/// chosen: less than one request on the smallest upstreams of six slots.
+/// Utilization added to upstreams of other failure domains when upstreams are compared. On an
+/// upstream of six slots, the smallest size, it is less than one request.
 const CROSS_DOMAIN_EXTRA_UTILIZATION: f64 = 0.1;
 
 impl Pool {
-    /// Chooses the upstream for a request: among those with room the least
-    /// full, unless one that has served the same prefix is about as free.
+    /// Selects the upstream for a request: the least utilized one with room, unless the upstream
+    /// that last served the same prefix is about as free.
+    ///
+    /// Free slots of this host's own share are used first, then other free slots, then the queues
+    /// of engines. Upstreams that generate tokens too slowly for the request are skipped unless all
+    /// of them do.
     pub(crate) fn choose(
         &self,
         request: &PlacementRequest<'_>,
@@ -54,7 +58,8 @@
         Some(best.id.clone())
     }
 
-    /// An upstream of which this host should learn whether it still names a limit.
+    /// An upstream whose rate limit was named so long ago that it may no longer apply. The next
+    /// request to the upstream shows whether it still names a limit.
     fn overdue_limit_check(
         &self,
         indexes: &[usize],
@@ -72,8 +77,9 @@
         })
     }
 
-    /// The least full of some upstreams, or the one that has served the same
-    /// prefix if it is among them and about as free.
+    /// The least utilized of `states`, or the upstream that last served the same prefix if `states`
+    /// contains it and it is about as free. A prompt whose parts are known is placed by
+    /// [`Pool::place`] instead.
     fn best<'a>(
         &'a self,
         states: impl Iterator<Item = &'a UpstreamState> + Clone,
@@ -94,8 +100,9 @@
         Some(cached.unwrap_or(best))
     }
 
-    /// Whether a free slot of this host's own may be used. A pressing request
-    /// always may; the others leave the headroom, and what an overdraft took.
+    /// Whether a request of `rank` may use a free slot of this host's own. A pressing request
+    /// always may. Other requests leave the headroom free, and slots that pressing requests use
+    /// beyond the share count against the share.
     fn may_use_own_slot(&self, state: &UpstreamState, rank: Rank) -> bool {
         let Some(group) = state.group else {
             return false;
@@ -103,7 +110,8 @@
         rank.is_pressing() || self.groups[group].has_room(rank, &self.room_rules)
     }
 
-    /// Whether this host may use a free slot of an upstream.
+    /// Whether a request of `rank` may use a free slot that is not this host's own. An upstream of
+    /// another failure domain is limited by this host's share of its slots.
     fn may_use_free_slot(&self, state: &UpstreamState, rank: Rank) -> bool {
         let Some(group) = state.group else {
             return state.in_flight < state.remote_share;
@@ -112,9 +120,9 @@
         overdraft || self.groups[group].has_room(rank, &self.room_rules)
     }
 
-    /// Whether this host may use an upstream's own queue, since all upstreams
-    /// look full: with a share left some slot must be free, so the reports are
-    /// older than that.
+    /// Whether a request of `rank` may wait in an upstream's own queue when all upstreams look
+    /// full. While this host has share left, a slot must be free and the load reports are outdated.
+    /// Only groups that are shared with other hosts are queued for.
     fn may_use_queue(&self, state: &UpstreamState, rank: Rank) -> bool {
         let Some(group) = state.group else {
             return false;
@@ -125,7 +133,7 @@
         is_shared && (overdraft || group.has_room(rank, &self.room_rules))
     }
 
-    /// Whether no share is left for a request, without a look at each upstream.
+    /// Whether no share is left for a request. This check does not look at each upstream.
     fn is_share_exhausted(&self, request: &PlacementRequest<'_>) -> bool {
         let Some(upstreams) = self.targets.get(request.target) else {
             return true;
@@ -139,8 +147,9 @@
         upstreams.remote.is_empty() && upstreams.groups.iter().all(is_full)
     }
 
-    /// The domain's own upstreams of a target; those of other domains only
-    /// while none of its own takes work, for their slots are shared out there.
+    /// Upstreams of `target` in this host's failure domain. Upstreams of other domains are used
+    /// only while none of these accepts requests, because their slots are divided among the hosts
+    /// of their own domain.
     fn candidate_indexes(&self, target: &Target, now: Time) -> Option<&[usize]> {
         let upstreams = self.targets.get(target)?;
         let any_accepts = |indexes: &[usize]| {
@@ -154,6 +163,7 @@
         Some(&upstreams.grouped)
     }
 
+    /// The upstream that last served the request's prefix, unless the request has failed on it.
     fn last_for_prefix(&self, request: &PlacementRequest<'_>) -> Option<&UpstreamState> {
         let id = self.affinity.lookup(request.prefix?)?;
         self.get(id)
@@ -168,8 +178,8 @@
     }
 }
 
-/// The least full upstream, one that the request has not failed on if there is
-/// one.
+/// The least utilized upstream on which the request has not failed, or the least utilized one if
+/// the request has failed on all of them.
 fn least_utilized_untried<'a>(
     states: impl Iterator<Item = &'a UpstreamState> + Clone,
     request: &PlacementRequest<'_>,
@@ -182,8 +192,9 @@
     least_utilized(untried, now, rng).or_else(|| least_utilized(states, now, rng))
 }
 
-/// The least full upstream, counting what speaks against it as slots; ties are
-/// broken at random, so that several hosts do not all choose the same one.
+/// The least utilized upstream. Failures, slowness and another failure domain count as additional
+/// utilization. Ties are broken at random, so that several hosts do not all select the same
+/// upstream.
 fn least_utilized<'a>(
     states: impl Iterator<Item = &'a UpstreamState> + Clone,
     now: Time,
--- a/crates/policy/src/upstreams/directory_view.rs
+++ b/crates/policy/src/upstreams/directory_view.rs
@@ -1,40 +1,41 @@
 use super::*;
 
-/// Time after the directory's return for which an upstream that is missing
-/// from it may only have lapsed. The installation promises the return of the
-/// living ones within about two seconds.
+/// Time after the directory's return during which a missing upstream's entry may merely have
+/// expired. Running upstreams are listed again within about two seconds.
 const EXPIRY_GRACE: Duration = Duration::from_millis(2_000);
 
-/// What the directory says of the upstreams.
+/// The upstreams that the directory lists, protected against an outage of the directory.
 ///
-/// What goes wrong without a memory of missing ones: while the directory is
-/// away, upstreams cannot renew their entries and all lapse; the first reading
-/// after its return lists none, and every request is refused although all
-/// upstreams are well. So for a short while after its return a missing
-/// upstream is kept; at any other time one that is missing is gone at once.
+/// During an outage upstreams cannot renew their entries, so all entries expire. The first list
+/// after the outage is empty, and without protection every request would be refused although all
+/// upstreams are healthy. A missing upstream is therefore kept for a short time after the
+/// directory's return. At any other time a missing upstream is removed at once.
 ///
-/// A host cannot tell an outage of the directory from a fault on its own way there. An outage
-/// lets most entries of a target lapse, so where most are listed and stay the missing ones have
-/// left.
+/// A host cannot tell an outage of the directory from a fault on its own path to the directory. An
+/// outage lets most entries of a target expire. Where most upstreams of a target are still listed
+/// and not leaving, the missing ones have left and are removed.
 #[derive(Debug, Default)]
 pub(crate) struct DirectoryView {
+    /// Listed upstreams that are leaving.
     leaving: BTreeSet<UpstreamId>,
-    /// Missing ones that may only have lapsed, and until when that is believed.
+    /// Upstreams that are kept although they are missing from the list, and the time until which
+    /// they are kept.
     missing: BTreeMap<UpstreamId, Time>,
-    /// Whether it gives no answer now.
+    /// Whether the directory does not answer.
     lost: bool,
-    /// When it answered again, after it had been lost.
+    /// When the directory last answered again after an outage.
     regained_at: Option<Time>,
+    /// Listed upstreams, and missing ones that are kept.
     upstreams: BTreeMap<UpstreamId, Upstream>,
 }
 
 impl DirectoryView {
-    /// All upstreams, those included that may only have lapsed.
+    /// All upstreams in use: listed ones, and missing ones that are kept.
     pub(crate) const fn upstreams(&self) -> &BTreeMap<UpstreamId, Upstream> {
         &self.upstreams
     }
 
-    /// Whether the directory answers, as far as is known.
+    /// Whether the directory answers, as far as this host knows.
     pub(crate) const fn is_reachable(&self) -> bool {
         !self.lost
     }
@@ -44,22 +45,22 @@
         self.upstreams.contains_key(upstream) && !self.missing.contains_key(upstream)
     }
 
-    /// Upstreams that are used though they are not listed.
+    /// Upstreams that are used although the directory does not list them.
     pub(crate) fn missing(&self) -> impl Iterator<Item = &UpstreamId> {
         self.missing.keys()
     }
 
-    /// Upstreams that are leaving.
+    /// Listed upstreams that are leaving.
     pub(crate) fn leaving(&self) -> BTreeSet<UpstreamId> {
         self.leaving.clone()
     }
 
-    /// Notes that the directory gives no answer.
+    /// Records that the directory does not answer.
     pub(crate) const fn note_lost(&mut self) {
         self.lost = true;
     }
 
-    /// Notes that the directory answers again since a moment.
+    /// Records that the directory has answered again since `at`.
     pub(crate) const fn note_regained(&mut self, at: Time) {
         if self.lost {
             self.regained_at = Some(at);
@@ -67,15 +68,13 @@
         self.lost = false;
     }
 
-    /// Notes that the directory never was away: a missing upstream is gone at once.
-    ///
-    /// Guards against requests to an upstream whose entry was removed, where only the way by
-    /// which this host reaches the directory had changed.
+    /// Records that the directory was available all along and only this host's path to it changed.
+    /// No grace period starts, so an upstream whose entry was removed gets no further requests.
     pub(crate) const fn note_reachable_again(&mut self) {
         self.lost = false;
     }
 
-    /// Takes a whole reading.
+    /// Replaces the list with a complete one that was just read.
     pub(crate) fn update(
         &mut self,
         leaving: BTreeSet<UpstreamId>,
@@ -87,13 +86,13 @@
             .retain(|id, _| !self.upstreams.contains_key(id));
         let before = std::mem::replace(&mut self.leaving, leaving);
         if let Some(until) = self.grace_until(now) {
-            // One that said that it leaves has left.
+            // Upstreams that were listed as leaving have left.
             let stayed = known.into_iter().filter(|(id, _)| !before.contains(id));
             self.keep_expired(stayed, until);
         }
     }
 
-    /// Keeps upstreams that were known and are missing now, if their entries may only have lapsed.
+    /// Keeps known upstreams that are missing now if their entries may merely have expired.
     fn keep_expired(&mut self, known: impl Iterator<Item = (UpstreamId, Upstream)>, until: Time) {
         let missing = known.filter(|(id, _)| !self.upstreams.contains_key(id));
         let missing = missing.filter(|(id, _)| !self.is_replaced(id));
@@ -112,7 +111,7 @@
         }
     }
 
-    /// Drops missing upstreams that have not come back; true if there was one.
+    /// Removes missing upstreams whose grace period has ended. Returns whether there were any.
     pub(crate) fn expire(&mut self, now: Time) -> bool {
         let before = self.missing.len();
         let upstreams = &mut self.upstreams;
@@ -126,8 +125,8 @@
         self.missing.len() != before
     }
 
-    /// Whether a newer incarnation of an upstream is listed: ids are in the order of names
-    /// and then of starts, so it would follow.
+    /// Whether a newer incarnation of an upstream is listed. Ids are ordered by name, then by start
+    /// time, so a newer incarnation directly follows the given one.
     fn is_replaced(&self, id: &UpstreamId) -> bool {
         let mut later = self
             .upstreams
@@ -137,6 +136,7 @@
             .is_some_and(|(listed, _)| id.is_replaced_by(listed))
     }
 
+    /// End of the current grace period; `None` outside of one.
     fn grace_until(&self, now: Time) -> Option<Time> {
         let until = self.regained_at? + EXPIRY_GRACE;
         (now < until).then_some(until)
--- a/crates/policy/src/upstreams/group.rs
+++ b/crates/policy/src/upstreams/group.rs
@@ -1,19 +1,20 @@
 use super::*;
 
-/// Upstreams of the own failure domain that serve the same targets.
+/// Upstreams that serve the same targets. They are in this host's failure domain, or in any domain
+/// if the pool ignores domains.
 #[derive(Debug, Default)]
 pub(crate) struct Group {
-    /// Requests that this host has there.
+    /// Requests of this host in flight.
     pub(crate) in_flight: u32,
-    /// Trial requests among them.
+    /// Trial requests among `in_flight`.
     pub(crate) in_flight_trial: u32,
     /// Names of the targets, joined by commas.
     pub(crate) name: String,
-    /// Places of its upstreams, in the order of their ids.
+    /// Indexes of the upstreams in [`Pool::states`], in the order of their ids.
     pub(crate) upstream_indexes: Vec<usize>,
-    /// This host's share.
+    /// This host's share of the slots.
     pub(crate) share: Share,
-    /// Slots of all its upstreams.
+    /// Slots of all upstreams in the group.
     pub(crate) slots: u32,
 }
 
--- a/crates/policy/src/upstreams/in_flight_history.rs
+++ b/crates/policy/src/upstreams/in_flight_history.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// How long changes are kept; a load report that is older is of no use.
+/// How long changes are kept. Older load reports are of no use.
 const RETENTION: Duration = Duration::from_secs(3);
 
-/// How many requests a host had on an upstream at each moment of the last
-/// seconds.
+/// Number of requests that this host had in flight on an upstream over the last seconds.
 ///
-/// What goes wrong without it: a load report shows the upstream as it was some
-/// time ago. Taken against the requests of now, the host's own that ended since
-/// count as those of others, and their slots stand idle until the next report.
+/// A load report shows the upstream's load as it was some time ago. If this host's current requests
+/// were subtracted from that load, own requests that have ended since would count as requests of
+/// other hosts, and their slots would stay idle until the next report.
 #[derive(Debug, Default)]
 pub(crate) struct InFlightHistory {
+    /// Times of changes, oldest first, each with the number of requests from then on.
     changes: VecDeque<(Time, u32)>,
 }
 
@@ -22,7 +22,8 @@
         }
     }
 
-    /// Requests at a moment: those of the last change before it.
+    /// Requests in flight at `moment`. Before the first known change the number after that change
+    /// is returned.
     pub(crate) fn at(&self, moment: Time) -> u32 {
         let before = self.changes.iter().rev().find(|(at, _)| *at <= moment);
         let known = before.or(self.changes.front());
--- a/crates/policy/src/upstreams/long_prompt_detector.rs
+++ b/crates/policy/src/upstreams/long_prompt_detector.rs
@@ -1,35 +1,36 @@
 use super::*;
 
-/// Prompts that are remembered: some ten seconds of one host's, so that a burst of
-/// long ones is followed and a single one changes little.
+/// Maximum number of recent prompts kept, about ten seconds of one host's traffic. A burst of long
+/// prompts moves the threshold, while a single long prompt hardly does.
 const MAX_RECENT_PROMPTS: usize = 256;
 
-/// Prompts that must have been seen before any counts as long.
+/// Number of prompts that must have been seen before any counts as long.
 const MIN_RECENT_PROMPTS: usize = 32;
 
-/// Prompts between two looks at all that are remembered.
+/// Number of prompts between two updates of the threshold.
 const THRESHOLD_UPDATE_INTERVAL: usize = 16;
 
-/// Part of all prompt tokens that the long prompts hold together. Where the sizes
-/// differ much these are few requests: one in 12 before six hosts, each of
-/// 18,000 tokens or more, and the pauses that they caused were beyond the target.
+/// Share of all prompt tokens that belongs to long prompts. Where prompt sizes vary widely, these
+/// are few requests: with six hosts one in 12, each with 18,000 tokens or more. Such prompts cause
+/// pauses beyond the target.
 const LONG_PROMPT_TOKEN_SHARE: f64 = 0.25;
 
-/// Tells which prompts are long, by those seen lately.
+/// Decides which prompts are long, compared with recent prompts.
 ///
-/// A limit in tokens would hold for one kind of engine and load only. What is long
-/// follows from what is asked for: the fewest prompts that hold a quarter of all
-/// tokens to be read.
+/// A fixed limit in tokens would fit only one kind of engine and load. Long prompts are therefore
+/// the smallest set of recent prompts that together have a quarter of all prompt tokens.
 #[derive(Debug, Default)]
 pub(crate) struct LongPromptDetector {
+    /// Size from which a prompt is long; `None` until enough prompts have been seen.
     threshold_tokens: Option<u64>,
+    /// Sizes of recent prompts in tokens, oldest first.
     recent: VecDeque<u64>,
-    /// Prompts since the last look.
+    /// Prompts since the last update of the threshold.
     since_update: usize,
 }
 
 impl LongPromptDetector {
-    /// Notes a prompt by its tokens; true if it is long.
+    /// Records a prompt by its size in tokens. Returns whether the prompt is long.
     pub(crate) fn observe(&mut self, tokens: u64) -> bool {
         if tokens == 0 {
             return false;
@@ -48,7 +49,7 @@
             .is_some_and(|threshold| tokens >= threshold)
     }
 
-    /// Tokens from which on a prompt is long.
+    /// Size of the smallest prompt that counts as long.
     fn compute_threshold(&self) -> Option<u64> {
         let mut sizes: Vec<u64> = self.recent.iter().copied().collect();
         sizes.sort_unstable_by(|a, b| b.cmp(a));
--- a/crates/policy/src/upstreams/mod.rs
+++ b/crates/policy/src/upstreams/mod.rs
@@ -1,4 +1,4 @@
-//! What is known of upstreams, and the choice between them.
+//! State of the upstreams, and selection among them.
 
 use super::*;
 
--- a/crates/policy/src/upstreams/placement_request.rs
+++ b/crates/policy/src/upstreams/placement_request.rs
@@ -1,25 +1,29 @@
 use super::*;
 
-/// What a request asks of its upstream.
+/// What a request requires of its upstream.
 #[derive(Debug)]
 pub(crate) struct PlacementRequest<'a> {
-    /// Upstreams that it has failed on.
+    /// Upstreams on which the request has failed.
     pub(crate) avoid: &'a [UpstreamId],
-    /// Engines to which the choice of each kind is narrowed; `None` for all.
+    /// Maximum number of engines that each preselection keeps for the comparison of costs; `None`
+    /// to compare all engines.
     pub(crate) max_candidates: Option<usize>,
-    /// When its first token is due.
+    /// When the first token is due.
     pub(crate) first_token_due: Time,
-    /// Whether its prompt is long, by those seen lately.
+    /// Whether the prompt is long compared with recent prompts.
     pub(crate) has_long_prompt: bool,
-    /// Token time that it needs; `None` if it can miss its target anyway.
+    /// Longest time between tokens that meets the target; `None` if the request may miss its target
+    /// on any upstream.
     pub(crate) between_token_target_ms: Option<u64>,
-    /// Parts of its prompt in order, where they are known.
+    /// Parts of the prompt in order; empty if they are not known.
     pub(crate) parts: &'a [PromptPart],
-    /// Whether long prompts beside it can make it late.
+    /// Whether the class has the shortest target for pauses between tokens, so that long prompts on
+    /// the same engine can make the request late.
     pub(crate) is_pause_sensitive: bool,
+    /// Hash of the start of the prompt.
     pub(crate) prefix: Option<PrefixHash>,
     pub(crate) rank: Rank,
-    /// Part of the engines that is for streams that long prompts can make late.
+    /// Share of the engines that is reserved for pause-sensitive streams.
     pub(crate) stream_share: f64,
     pub(crate) target: &'a Target,
 }
--- a/crates/policy/src/upstreams/target_census.rs
+++ b/crates/policy/src/upstreams/target_census.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// How many upstreams of each target are listed and stay, and how many are missing.
+/// How many upstreams of each target are listed and not leaving, and how many are missing.
 #[derive(Debug, Default)]
 pub(crate) struct TargetCensus {
     targets: HashMap<Target, Counts>,
@@ -27,8 +27,8 @@
         census
     }
 
-    /// Whether entries have lapsed together: more are missing than stay for some target of an
-    /// upstream.
+    /// Whether the entry of an upstream probably expired together with others: for some target that
+    /// the upstream serves, more upstreams are missing than staying.
     pub(crate) fn is_mostly_missing(&self, definition: &Upstream) -> bool {
         let targets = pool::targets_of(definition);
         let mut counts = targets.iter().filter_map(|target| self.targets.get(target));
