--- a/crates/policy/src/upstreams/placement.rs
+++ b/crates/policy/src/upstreams/placement.rs
@@ -1,65 +1,69 @@
-//! Placement of prompts whose parts are known: the engine that is expected to
-//! give the first token first.
+//! Placement of prompts whose parts are known, on the engine that is expected to produce the first
+//! token soonest.
+//!
+//! A request is pause-sensitive if its class has the shortest target for pauses between tokens.
+//! Long prompts on the same engine can make such a request late, so a share of the engines is
+//! reserved for pause-sensitive requests.
 
 use super::*;
 
-/// Cost of one request that runs on an engine, in prompt tokens: it slows every
-/// step a little. A step of 3.4 ms takes 0.1 ms more for each request, over
-/// some 25 steps, and an engine reads 112 prompt tokens in a millisecond.
+/// Cost of one request that runs on an engine, in prompt tokens. The request slows every step: a
+/// step of 3.4 ms takes 0.1 ms longer per request, over some 25 steps, and an engine prefills 112
+/// prompt tokens per millisecond.
 const RUNNING_REQUEST_COST_TOKENS: f64 = 280.0;
 
-/// Weight of tokens that must be read again against tokens that wait already: what
-/// is read again costs all requests, what waits only delays this one.
+/// Weight of tokens that have to be prefilled, relative to tokens that are already queued. Prefill
+/// work delays all requests, while queued work delays only the new one.
 const UNCACHED_TOKEN_WEIGHT: f64 = 20.0;
 
-/// Prompt tokens that an engine is taken to read in a millisecond where none is seen to differ from
-/// the others.
+/// Prefill rate assumed while no engine differs in speed from the others, in prompt tokens per
+/// millisecond.
 const UNIFORM_PREFILL_TOKENS_PER_MS: f64 = 100.0;
 
-/// Cost, in prompt tokens, of an engine at which the first token is expected too
-/// late: as much as reading 7,500 tokens again. So a document that many ask for is
-/// read by a second engine once the first one is late with it, and not while all
-/// are late.
+/// Cost of an engine on which the first token is expected too late, in prompt tokens: as much as
+/// prefilling 7,500 tokens. A second engine therefore prefills a document that many requests share
+/// once the first engine is late, but not while all engines are late.
 const LATE_FIRST_TOKEN_COST_TOKENS: f64 = 150_000.0;
 
-/// Cost of an engine in another failure domain, in prompt tokens: the bytes
-/// between domains and a longer way. About 2 ms of an engine's time.
+/// Cost of an engine in another failure domain, in prompt tokens. It stands for the traffic between
+/// domains and the longer network path, and equals about 2 ms of an engine's time.
 const CROSS_DOMAIN_COST_TOKENS: f64 = 200.0;
 
-/// Cost of an engine against which everything speaks that [`TrackRecord`] can
-/// hold, in prompt tokens: as much as reading a prompt of 20,000 tokens again, so
-/// a prompt leaves an engine that fails half of its requests.
+/// Cost per unit of [`TrackRecord::cost`], in prompt tokens: as much as prefilling 20,000 tokens.
+/// An engine that fails half of its requests has a cost of one unit, so prompts move to other
+/// engines.
 const TRACK_RECORD_COST_TOKENS: f64 = 400_000.0;
 
-/// Cost of an engine that is kept clear for streams for each token of any other prompt, in
-/// prompt tokens. One of 17,000 tokens, which would make streams late, goes there when the
-/// others are 0.6 s behind; one of 2,000, which hardly does, when they are 0.08 s behind.
+/// Cost of an engine that is reserved for pause-sensitive streams, for each token of any other
+/// prompt, in prompt tokens. A prompt of 17,000 tokens, which delays streams, goes to a reserved
+/// engine when the other engines are 0.6 s behind. A prompt of 2,000 tokens, which hardly delays
+/// them, does so when the other engines are 0.08 s behind.
 ///
-/// What goes wrong where all cost as much: in an overload short prompts of a more urgent
-/// class are refused by full engines, while long ones begin there and engines of the other
-/// side have room. One would notice that more than one in twelve of them get nothing.
+/// If the cost did not depend on the size of the prompt, full engines would refuse short prompts of
+/// a more urgent class in an overload, while long prompts start on these engines and the reserved
+/// ones have room. More than one in twelve of the short prompts would be refused.
 const RESERVED_ENGINE_COST_PER_TOKEN: f64 = 3.5;
 
-/// Cost of a long prompt for each request there that it can make late, in prompt
-/// tokens: five such requests weigh as much as reading 5,000 tokens again.
+/// Cost of a long prompt for each pause-sensitive request on the engine, in prompt tokens. Five
+/// such requests weigh as much as prefilling 5,000 tokens.
 const LONG_PROMPT_COST_PER_STREAM_TOKENS: f64 = 20_000.0;
 
-/// Cost, for a stream that long prompts can make late, of an engine that is not kept clear
-/// for it, in prompt tokens: 0.1 to 0.2 s of its reading. With ten times as much streams
-/// are no less late, share fewer engines and are lost together with one.
+/// Cost of an unreserved engine for a pause-sensitive stream, in prompt tokens: 0.1 to 0.2 s of
+/// prefill time. With ten times this cost no fewer streams are late, but streams share fewer
+/// engines, and more of them are lost together when an engine fails.
 const UNRESERVED_ENGINE_COST_TOKENS: f64 = 10_000.0;
 
-/// Time until its first token is due from which on a prompt may have its home in another failure
-/// domain, where hosts do not know all engines: if that domain is cut off, the prompt can still
-/// be placed anew.
+/// Minimum time until the first token is due for a prompt to prefer an engine in another failure
+/// domain, where hosts do not know all engines. If that domain is cut off, enough time is left to
+/// place the prompt again.
 const MIN_TIME_LEFT_FOR_REMOTE: Duration = Duration::from_millis(1_000);
 
-/// Engines that show what is usual.
+/// Number of engines that are sampled for baselines.
 const BASELINE_SAMPLE_SIZE: usize = 64;
 
 impl Pool {
-    /// The engine with the least expected work before a prompt's first token,
-    /// one that the request has not failed on if there is one.
+    /// The engine with the lowest cost for a prompt, among those on which the request has not
+    /// failed if there are any.
     pub(crate) fn place<'a>(
         &'a self,
         states: impl Iterator<Item = &'a UpstreamState> + Clone,
@@ -75,6 +79,8 @@
     }
 }
 
+/// The engine with the lowest cost. If the request limits the number of candidates, only the
+/// engines that rank first for the shared parts and for the whole prompt are compared.
 fn cheapest_engine<'a>(
     states: impl Iterator<Item = &'a UpstreamState> + Clone,
     request: &PlacementRequest<'_>,
@@ -84,7 +90,8 @@
     let cost_model = CostModel::new(states.clone(), request, copies, now);
     let hashes = prompt_cache::chain_hashes(request.parts);
     let prompt_hash = hashes.last().map_or(0, |(hash, _)| hash);
-    // Of equal ones each prompt takes another: the first one would get those of all hosts.
+    // Engines with the same cost are ordered by a hash of the prompt. A fixed order would send the
+    // prompts of all hosts to the first of these engines.
     let preference = |state: &UpstreamState| Preference::of(state, prompt_hash);
     let cheapest = |states: Vec<&'a UpstreamState>| {
         let costs = states
@@ -111,7 +118,7 @@
     cheapest(candidates)
 }
 
-/// The first engines in the order of a key.
+/// The first `count` engines in the rendezvous order of `key`, in this order.
 fn first_by_preference<'a>(
     states: impl Iterator<Item = &'a UpstreamState>,
     key: u64,
@@ -131,12 +138,14 @@
     first.into_iter().map(|(_, state)| state).collect()
 }
 
-/// Engines among which a prompt has its home. Where hosts do not know all of them, all hosts
-/// that may place the prompt must come to the same one.
+/// Engines among which a prompt's preferred engine is selected. Where hosts do not know all
+/// engines, all hosts that may place the prompt must select the same one.
 #[derive(Clone, Copy, Debug)]
 enum PreferredScope {
     All,
+    /// Engines that the hosts of all failure domains know.
     Common,
+    /// Engines of this host's failure domain.
     Local,
 }
 
@@ -165,28 +174,30 @@
     }
 }
 
-/// A prompt to be placed, and what is usual among the engines.
+/// Cost of placing a prompt on an engine, compared with baselines over all engines.
 struct CostModel<'a, 'w> {
-    /// Whether no engine is seen to differ in speed from the others.
+    /// Whether no engine is observed to differ in speed from the others.
     is_uniform_speed: bool,
-    /// Hash of the parts that it shares with others.
+    /// Hash of the parts that the prompt shares with others.
     shared_chain_hash: u64,
-    /// What other engines have read of it.
+    /// What engines have already prefilled of the prompt.
     copies: PromptCopies,
-    /// Time until its first token is due.
+    /// Time until the first token is due.
     time_left_ms: f64,
+    /// Engine on which all hosts place the prompt unless another one costs less.
     preferred_engine: Option<&'a UpstreamId>,
-    /// Which engines may be its home.
+    /// Engines among which the preferred engine is selected.
     preferred_scope: PreferredScope,
     has_long_prompt: bool,
     now: Time,
     parts: &'w [PromptPart],
     is_pause_sensitive: bool,
-    /// Engines up to this place in their order are kept clear for streams that long prompts
-    /// can make late; `None` if there are none.
+    /// Last position in the reservation order whose engine is reserved for pause-sensitive streams;
+    /// `None` if no engine is reserved.
     reserved_up_to: Option<u64>,
     /// Tokens of the whole prompt.
     tokens: u64,
+    /// Median of the track records.
     baseline_record: Usual,
     median_token_time_ms: f64,
 }
@@ -231,11 +242,13 @@
         self.preferred_scope.contains(state)
     }
 
+    /// Whether the engine is reserved for pause-sensitive streams and the prompt belongs to one, or
+    /// neither is the case.
     fn matches_reservation(&self, state: &UpstreamState) -> bool {
         is_reserved(state, self.reserved_up_to) == self.is_pause_sensitive
     }
 
-    /// What it costs to place the prompt on an engine, in prompt tokens.
+    /// Cost of placing the prompt on an engine, in prompt tokens.
     fn cost(&self, state: &UpstreamState) -> f64 {
         let uncached = self.uncached_tokens(state);
         let running_cost =
@@ -243,8 +256,9 @@
         let queued = (state.backlog_tokens + state.others_backlog_tokens) as f64 + running_cost;
         let slowness = self.slowness(state);
         let first_token_ms = (queued + uncached) * slowness / self.prefill_tokens_per_ms(state);
-        // What is to be read again counts alike on all: homes give fast engines their part, and a
-        // second preference for them would gather there what hosts do not know of each other.
+        // Tokens to be prefilled are not scaled by the speed of the engine. Fast engines are
+        // already preferred for more prompts. With a second advantage they would receive too much
+        // at once, as hosts do not know immediately what others send there.
         let queued = queued / state.speed.factor();
         let lateness = if first_token_ms > self.time_left_ms {
             LATE_FIRST_TOKEN_COST_TOKENS
@@ -268,14 +282,13 @@
             + pause_cost
     }
 
-    /// Cost of the pauses that follow from placing the prompt on an engine, in the
-    /// streams there or in its own.
+    /// Cost of the pauses that follow from placing the prompt on an engine, in the streams there or
+    /// in the prompt's own stream.
     ///
-    /// What goes wrong without it: an engine reads long prompts between the tokens of
-    /// its streams, and the later part of a long prompt takes longest. All streams
-    /// beside it stand still for too long, however soon their first token came. One
-    /// would notice that the most urgent class misses its target by a few
-    /// milliseconds of its longest pause.
+    /// An engine prefills long prompts between the tokens of its streams, and the later part of a
+    /// long prompt takes longest. Without this cost all streams on the same engine pause for too
+    /// long, however early their first tokens are, and the most urgent class misses the target for
+    /// its longest pause by a few milliseconds.
     fn pause_cost(&self, state: &UpstreamState) -> f64 {
         let delayed_streams = f64::from(state.pause_sensitive + state.others_pause_sensitive);
         let long_prompt = if self.has_long_prompt {
@@ -294,17 +307,18 @@
         }
     }
 
-    /// Tokens that the engine is believed to have to read.
+    /// Estimated number of tokens that the engine has to prefill.
     fn uncached_tokens(&self, state: &UpstreamState) -> f64 {
         let mut cached = state.cache.cached_tokens(self.parts);
         if self.preferred_engine == Some(&state.id) {
-            // Other hosts sent the shared parts there, if any was asked for them.
+            // If other hosts have received the shared parts, they have sent them to the preferred
+            // engine.
             cached = cached.max(prompt_cache::total_tokens(shared_parts(self.parts)));
         }
         (self.tokens - cached) as f64
     }
 
-    /// Prompt tokens that an engine reads in a millisecond.
+    /// Prompt tokens that an engine prefills per millisecond.
     const fn prefill_tokens_per_ms(&self, state: &UpstreamState) -> f64 {
         if self.is_uniform_speed {
             UNIFORM_PREFILL_TOKENS_PER_MS
@@ -313,7 +327,8 @@
         }
     }
 
-    /// How much slower its tokens come than is usual at its speed.
+    /// How many times longer the engine takes per token than the median engine, with its known
+    /// speed taken into account.
     fn slowness(&self, state: &UpstreamState) -> f64 {
         let token_time_ms = normalized_token_time_ms(state);
         token_time_ms.map_or(1.0, |token_time_ms| {
@@ -322,46 +337,46 @@
     }
 }
 
-/// How much slower than usual an engine is believed to be at the most.
+/// Upper bound on the slowness of an engine.
 const MAX_SLOWNESS: f64 = 8.0;
 
-/// The median time between two tokens over the engines.
+/// Median time between two tokens over the engines, normalized by their speeds.
 ///
-/// What goes wrong with the fastest in its place: an engine without work gives
-/// tokens many times as fast as one that reads prompts, all others look slow, and
-/// prompts leave the engines that keep their parts although nothing is wrong.
+/// The time of the fastest engine would be a wrong baseline. An idle engine generates tokens many
+/// times as fast as one that prefills prompts, so all others would look slow, and prompts would
+/// leave the engines that cache their parts although nothing is wrong.
 fn median_token_time_ms<'a>(states: impl Iterator<Item = &'a UpstreamState>) -> f64 {
     let mut times: Vec<f64> = states.filter_map(normalized_token_time_ms).collect();
     times.sort_by(f64::total_cmp);
     times.get(times.len() / 2).copied().unwrap_or(1.0)
 }
 
-/// The time between two tokens that an engine of the usual speed would have in its place.
+/// Time between two tokens that an engine of the usual speed would have under the same load.
 fn normalized_token_time_ms(state: &UpstreamState) -> Option<f64> {
     let token_time_ms = state.token_time_ms?;
     Some(token_time_ms * state.speed.factor())
 }
 
-/// Whether no engine is seen to differ in speed from the others.
+/// Whether no engine is observed to differ in speed from the others.
 fn have_same_speed<'a>(mut states: impl Iterator<Item = &'a UpstreamState>) -> bool {
     states.all(|state| state.speed.step == SpeedStep::USUAL)
 }
 
-/// The parts that a prompt shares with others. The last one belongs to the request
-/// or its session alone.
+/// The parts that a prompt shares with others: all but the last one, which belongs to a single
+/// request or session.
 pub(crate) fn shared_parts(parts: &[PromptPart]) -> &[PromptPart] {
     &parts[..parts.len().saturating_sub(1)]
 }
 
-/// Hash of the whole chain of parts that a prompt shares with others.
+/// Chain hash of the parts that a prompt shares with others; 0 if there are none.
 pub(crate) fn shared_chain_hash(parts: &[PromptPart]) -> u64 {
     let hash = prompt_cache::chain_hashes(shared_parts(parts)).last();
     hash.map_or(0, |(hash, _)| hash)
 }
 
-/// The engine on which all hosts place a prompt if nothing speaks against it,
-/// by rendezvous hashing: so a shared part is read once and not once a host. Each engine is the home
-/// of prompts in proportion to its speed.
+/// The engine on which all hosts place a prompt unless another one costs less. All hosts select the
+/// same engine by rendezvous hashing, so a shared part is prefilled once instead of once per host.
+/// Each engine is preferred for a share of the prompts in proportion to its speed.
 fn preferred_engine<'a>(
     states: impl Iterator<Item = &'a UpstreamState>,
     chain_hash: u64,
@@ -371,20 +386,21 @@
     first.map(|(_, state)| state)
 }
 
-/// Weight of an engine for a key in rendezvous hashing, the same on every host and
-/// for every incarnation.
+/// Hash of an engine and a key for rendezvous hashing. The hash is the same on every host and for
+/// every incarnation of the engine.
 pub(crate) fn rendezvous_hash(id: &UpstreamId, key: u64) -> u64 {
     let name = id.name().bytes();
     name.fold(key, |hash, byte| prompt_cache::mix(hash, u64::from(byte)))
 }
 
-/// Whether an engine is kept clear of long prompts.
+/// Whether an engine is reserved for pause-sensitive streams, and therefore kept free of long
+/// prompts.
 fn is_reserved(state: &UpstreamState, reserved_up_to: Option<u64>) -> bool {
     reserved_up_to.is_some_and(|last| state.reservation_order <= last)
 }
 
-/// The last place in the engines' order that is kept clear of long prompts: so many engines that
-/// they can do a share of what all can do.
+/// Last position in the reservation order whose engine is reserved, so that the reserved engines
+/// provide `share` of the capacity of all engines. `None` if no engine is reserved.
 fn reserved_up_to<'a>(
     states: impl Iterator<Item = &'a UpstreamState> + Clone,
     share: f64,
@@ -398,6 +414,7 @@
     Some(*order.select_nth_unstable(last).1)
 }
 
+/// [`reserved_up_to`] for engines of different speeds.
 fn reserved_up_to_by_speed<'a>(
     states: impl Iterator<Item = &'a UpstreamState>,
     share: f64,
@@ -408,7 +425,7 @@
     let mut left = share * order.iter().map(|(_, factor)| factor).sum::<f64>();
     let mut last = None;
     for (position, factor) in order {
-        // An engine more than half of which is left over belongs to the other side.
+        // An engine is reserved if at least half of its capacity is within the share.
         if left < factor / 2.0 {
             break;
         }
--- a/crates/policy/src/upstreams/pool.rs
+++ b/crates/policy/src/upstreams/pool.rs
@@ -1,42 +1,48 @@
 use super::*;
 
-/// All upstreams, and the choice between them.
+/// All upstreams that this host knows.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     pub(crate) affinity: Affinity,
-    /// Until when upstreams want nothing from this host.
+    /// Backoffs that upstreams asked this host for, with the time until which they last.
     pub(crate) backoffs: HashMap<UpstreamId, Time>,
-    /// Upstreams that the hosts of all failure domains know; `None` where that is each of them.
+    /// Upstreams that the hosts of all failure domains know; `None` if these are all upstreams.
     pub(crate) common_ids: Option<BTreeSet<UpstreamId>>,
-    /// Upstreams that said that they leave.
+    /// Upstreams that announced that they are leaving.
     pub(crate) departures: Departures,
     pub(crate) groups: Vec<Group>,
-    /// Whether any upstream names a limit.
+    /// Whether any upstream names a rate limit.
     pub(crate) has_limits: bool,
+    /// Index of each upstream in `states`.
     pub(crate) index_by_id: HashMap<UpstreamId, usize>,
-    /// Limits of upstreams whose entries have lapsed.
+    /// Rate limits of upstreams whose directory entries expired. They apply again when the
+    /// upstreams are listed again.
     pub(crate) expired_limits: HashMap<UpstreamId, UpstreamLimit>,
-    /// Upstreams that are leaving by the platform's list. It may be read before
-    /// the configuration that names them, so it is kept apart from the states.
+    /// Upstreams that are leaving according to the platform. The platform's list may be read before
+    /// the configuration that names the upstreams, so it is kept apart from `states`.
     pub(crate) listed_leaving: BTreeSet<UpstreamId>,
-    /// When what was learned of the engines' speeds is looked at next.
+    /// When the observed speeds of the engines are evaluated next.
     pub(crate) next_speed_review: Time,
     pub(crate) room_rules: RoomRules,
-    /// Counts the times that shares were set.
+    /// Counts how often shares were set.
     pub(crate) shares_version: u64,
     pub(crate) silent_domains: SilentDomains,
-    /// Whether the upstreams of all failure domains are used alike.
+    /// Whether upstreams of all failure domains are used alike.
     ignores_domains: bool,
     pub(crate) states: Vec<UpstreamState>,
+    /// Upstreams of each target.
     pub(crate) targets: HashMap<Target, TargetUpstreams>,
 }
 
-/// Where the upstreams of one target are, by their failure domain.
+/// Upstreams of one target, as indexes into [`Pool::states`].
 #[derive(Debug, Default)]
 pub(crate) struct TargetUpstreams {
+    /// Upstreams of other failure domains; empty if the pool ignores domains.
     pub(crate) remote: Vec<usize>,
-    /// Groups of its own ones.
+    /// Indexes of the groups in [`Pool::groups`] that serve the target.
     pub(crate) groups: Vec<usize>,
+    /// Upstreams that belong to a group: those of this host's failure domain, or all if the pool
+    /// ignores domains.
     pub(crate) grouped: Vec<usize>,
 }
 
@@ -49,8 +55,8 @@
         }
     }
 
-    /// Follows a new set of upstreams. Those that are gone from it get no new
-    /// work and are forgotten once their last request has ended.
+    /// Replaces the set of upstreams. Upstreams that are no longer in the set get no new requests
+    /// and are dropped once their last request has ended.
     pub(crate) fn update_upstreams(
         &mut self,
         upstreams: &BTreeMap<UpstreamId, Upstream>,
@@ -86,8 +92,8 @@
         self.mark_leaving();
     }
 
-    /// Sets this host's share of each group, given its name and slots, and of
-    /// each upstream of another domain, given its slots.
+    /// Sets this host's share of each group from its name and slots, and of each upstream of
+    /// another failure domain from its slots.
     pub(crate) fn set_shares(
         &mut self,
         group_share: impl Fn(&str, u32) -> Share,
@@ -112,13 +118,13 @@
         }
     }
 
-    /// This host's share of the group that an upstream is in.
+    /// This host's share of the group that an upstream belongs to, in slots.
     pub(crate) fn share(&self, id: &UpstreamId) -> Option<u32> {
         let group = self.get(id)?.group?;
         Some(self.groups[group].share.slots)
     }
 
-    /// The groups of the own domain, as its coordinator divides them.
+    /// The groups whose slots the coordinator of the failure domain divides among the hosts.
     pub(crate) fn groups_to_divide(&self) -> Vec<Divided> {
         let groups = self.groups.iter();
         groups
@@ -130,18 +136,19 @@
             .collect()
     }
 
-    /// Follows a new reading of the platform's list.
+    /// Replaces the upstreams that are leaving according to the platform.
     pub(crate) fn set_listed_leaving(&mut self, leaving: BTreeSet<UpstreamId>) {
         self.listed_leaving = leaving;
         self.mark_leaving();
     }
 
-    /// Ids of the upstreams for which something holds.
+    /// Ids of the upstreams for which a predicate holds.
     pub(crate) fn select(&self, holds: impl Fn(&UpstreamState) -> bool) -> Vec<UpstreamId> {
         let states = self.states.iter().filter(|state| holds(state));
         states.map(|state| state.id.clone()).collect()
     }
 
+    /// Rebuilds groups and indexes from the states.
     fn reindex(&mut self, domain: &FailureDomainId) {
         self.index_by_id.clear();
         self.targets.clear();
@@ -202,7 +209,7 @@
             .map(|index| &mut self.states[*index])
     }
 
-    /// Slots that this host may fill for a target.
+    /// Slots that this host may use for a target.
     pub(crate) fn slots_for(&self, target: &Target) -> u32 {
         let Some(upstreams) = self.targets.get(target) else {
             return 0;
@@ -232,7 +239,7 @@
             .map_or(Vec::new(), |state| targets_of(&state.definition))
     }
 
-    /// Takes a slot.
+    /// Takes a slot for a request.
     pub(crate) fn start_request(&mut self, id: &UpstreamId, facts: &RequestFacts, now: Time) {
         if let Some(prefix) = facts.prefix {
             self.affinity.note(prefix, id);
@@ -248,7 +255,7 @@
         }
     }
 
-    /// Gives a slot back.
+    /// Releases the slot of a request.
     pub(crate) fn end_request(&mut self, id: &UpstreamId, facts: &RequestFacts, now: Time) {
         let trial = u32::from(facts.rank.plan == Plan::Trial);
         let Some(state) = self.get_mut(id) else {
@@ -270,7 +277,7 @@
     }
 }
 
-/// One place's part of a number that is spread evenly over places.
+/// Part of a total that is divided evenly. The first parts get the remainder.
 fn even_share(total: u32, parts: usize, index: usize) -> u32 {
     let parts = parts.max(1) as u32;
     total / parts + u32::from((index as u32) < total % parts)
--- a/crates/policy/src/upstreams/prompt_cache.rs
+++ b/crates/policy/src/upstreams/prompt_cache.rs
@@ -1,32 +1,37 @@
 use super::*;
 
-/// Part of an engine's memory that cached prompts are believed to take: the
-/// rest holds the requests that run.
+/// Share of an engine's memory that is assumed to hold cached prompts. The rest holds running
+/// requests.
 const PROMPT_CACHE_MEMORY_SHARE: f64 = 0.7;
 
-/// Tokens that an engine is believed to keep where its memory is not known.
+/// Assumed cache size of an engine whose memory is not known.
 const DEFAULT_CAPACITY_TOKENS: u64 = 400_000;
 
-/// A part of a prompt that an engine is believed to keep.
+/// A part of a prompt that an engine is assumed to have in its cache.
 #[derive(Clone, Copy, Debug)]
 struct CachedPart {
+    /// Number of the last use; the lowest is the least recent.
     last_use: u64,
-    /// Whether it is known to have been read; else it was only sent there.
+    /// Whether the engine is known to have prefilled the part. Otherwise the part was only sent to
+    /// the engine.
     is_confirmed: bool,
     tokens: Tokens,
 }
 
-/// The parts of prompts that an engine is believed to keep, from what this host
-/// sent there; the least recently used ones are forgotten first.
+/// Estimate of the prompt parts in an engine's cache, from the prompts that were sent to the
+/// engine. The least recently used parts are evicted first.
 ///
-/// A part is of use only behind the same earlier parts, so it is remembered by
-/// a hash over the whole chain up to it.
+/// A part can be reused only behind the same earlier parts, so each part is identified by a hash
+/// over the whole chain of parts up to it.
 #[derive(Debug)]
 pub(crate) struct PromptCache {
+    /// Chain hashes of the parts by their last use.
     chain_by_last_use: BTreeMap<u64, u64>,
     capacity_tokens: u64,
+    /// Parts by chain hash.
     parts: HashMap<u64, CachedPart>,
     next_use: u64,
+    /// Tokens of all parts.
     used_tokens: u64,
 }
 
@@ -44,13 +49,13 @@
         }
     }
 
-    /// Tokens of a prompt that need not be read again.
+    /// Tokens of a prompt that the engine does not have to prefill again.
     pub(crate) fn cached_tokens(&self, parts: &[PromptPart]) -> u64 {
         let cached = chain_hashes(parts).take_while(|(hash, _)| self.parts.contains_key(hash));
         cached.map(|(_, part)| u64::from(part.tokens.get())).sum()
     }
 
-    /// Tokens of a prompt that another engine can fetch from there.
+    /// Tokens of a prompt that another engine can fetch from this one.
     pub(crate) fn fetchable_tokens(&self, parts: &[PromptPart]) -> u64 {
         let confirmed = chain_hashes(parts).take_while(|(hash, _)| self.is_confirmed(hash));
         confirmed
@@ -58,7 +63,7 @@
             .sum()
     }
 
-    /// Notes that a prompt is sent there.
+    /// Records that a prompt is sent to the engine.
     pub(crate) fn note_sent(&mut self, parts: &[PromptPart]) {
         for (hash, part) in chain_hashes(parts) {
             self.touch(hash, part.tokens);
@@ -66,7 +71,7 @@
         self.evict_least_recent();
     }
 
-    /// Notes that a prompt that was sent there has been read.
+    /// Records that the engine has prefilled a prompt that was sent to it.
     pub(crate) fn confirm(&mut self, parts: &[PromptPart]) {
         for (hash, part) in chain_hashes(parts) {
             self.touch(hash, part.tokens);
@@ -75,7 +80,8 @@
         self.evict_least_recent();
     }
 
-    /// The parts of a prompt that are not known to be read.
+    /// The parts of a prompt that the engine is not known to have prefilled, with their chain
+    /// hashes.
     pub(crate) fn unconfirmed_parts<'a>(
         &self,
         parts: &'a [PromptPart],
@@ -83,7 +89,7 @@
         chain_hashes(parts).skip_while(|(hash, _)| self.is_confirmed(hash))
     }
 
-    /// Notes that a prompt that was sent there has not been read for it.
+    /// Records that the engine has not prefilled a prompt that was sent to it.
     pub(crate) fn remove_unconfirmed(&mut self, parts: &[PromptPart]) {
         let unconfirmed: Vec<u64> = self
             .unconfirmed_parts(parts)
@@ -101,7 +107,7 @@
         self.parts.get(hash).is_some_and(|part| part.is_confirmed)
     }
 
-    /// Notes that another host had a part read there.
+    /// Records that the engine has prefilled a part for another host.
     pub(crate) fn confirm_part(&mut self, hash: u64, tokens: Tokens) {
         self.touch(hash, tokens);
         self.mark_confirmed(hash);
@@ -114,7 +120,7 @@
         }
     }
 
-    /// The parts of a prompt that are not kept.
+    /// The parts of a prompt that are not in the cache, with their chain hashes.
     pub(crate) fn uncached_parts<'a>(
         &self,
         parts: &'a [PromptPart],
@@ -153,12 +159,12 @@
     }
 }
 
-/// Tokens of some parts together.
+/// Total number of tokens of prompt parts.
 pub(crate) fn total_tokens(parts: &[PromptPart]) -> u64 {
     parts.iter().map(|part| u64::from(part.tokens.get())).sum()
 }
 
-/// The parts of a prompt, each with a hash over all parts up to it.
+/// The parts of a prompt, each with a hash over the chain of all parts up to it.
 pub(crate) fn chain_hashes(parts: &[PromptPart]) -> impl Iterator<Item = (u64, &PromptPart)> {
     parts.iter().scan(0_u64, |hash, part| {
         *hash = mix(*hash, part.id);
@@ -166,8 +172,7 @@
     })
 }
 
-/// Mixes two numbers into one that is the same on every host (the finalizer of
-/// SplitMix64).
+/// Mixes two numbers into one that is the same on every host, with the finalizer of SplitMix64.
 pub(crate) const fn mix(a: u64, b: u64) -> u64 {
     let mut z = a.rotate_left(17) ^ b.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/policy/src/upstreams/rendezvous.rs
+++ b/crates/policy/src/upstreams/rendezvous.rs
@@ -1,10 +1,10 @@
-//! Rendezvous hashing of keys over engines, by what each can do.
+//! Rendezvous hashing of keys to engines, weighted by the speeds of the engines.
 
 use super::*;
 
-/// An engine's place in the order of a key; the greatest comes first. All hosts that believe the
-/// same of the engines get the same order, and a change of one engine's speed moves only keys to
-/// or from that engine.
+/// Position of an engine in the order of a key; the greatest comes first. All hosts that know the
+/// same speeds get the same order. A change of one engine's speed moves only keys to or from that
+/// engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Preference {
     hash: u64,
@@ -27,7 +27,8 @@
         by_score.then_with(|| self.hash.cmp(&other.hash))
     }
 
-    /// Score by which an engine is first for a part of all keys in proportion to its speed.
+    /// Weighted score. Each engine has the greatest score for a share of all keys in proportion to
+    /// its speed.
     fn score(&self) -> f64 {
         let uniform = (self.hash as f64 + 0.5) / 2.0_f64.powi(64);
         -self.step.factor() / uniform.min(1.0 - f64::EPSILON).ln()
--- a/crates/policy/src/upstreams/upstream_census.rs
+++ b/crates/policy/src/upstreams/upstream_census.rs
@@ -3,18 +3,19 @@
 /// A service in a failure domain.
 pub(crate) type ServiceDomain = (String, FailureDomainId);
 
-/// Where the upstreams of an installation are, and how many: all that is kept of those that a
-/// host does not know.
+/// Service and failure domain of every upstream of the installation. A host keeps nothing else
+/// about upstreams outside of its working set.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamCensus {
+    /// Number of upstreams per service and failure domain.
     counts: BTreeMap<ServiceDomain, usize>,
-    /// Number of each upstream's place, by its name.
+    /// Index in `service_domains` for each upstream, by the name of the upstream.
     service_domain_numbers: HashMap<String, u32>,
     service_domains: Vec<ServiceDomain>,
 }
 
 impl UpstreamCensus {
-    /// Notes where an upstream is.
+    /// Records the service and failure domain of an upstream.
     pub fn note(&mut self, name: &str, service: &str, domain: &FailureDomainId) {
         self.forget(name);
         let service_domain = (service.to_string(), domain.clone());
@@ -31,7 +32,7 @@
             .insert(name.to_string(), number as u32);
     }
 
-    /// An upstream is gone.
+    /// Removes an upstream.
     pub fn forget(&mut self, name: &str) {
         let number = self.service_domain_numbers.remove(name);
         let service_domain = number.and_then(|number| self.service_domains.get(number as usize));
@@ -42,19 +43,19 @@
         }
     }
 
-    /// How many upstreams are in each place.
+    /// Number of upstreams per service and failure domain.
     pub(crate) const fn counts(&self) -> &BTreeMap<ServiceDomain, usize> {
         &self.counts
     }
 
-    /// Level from which on a host knows an upstream; 0 for one that is not noted.
+    /// Level of an upstream in a working set; 0 for an upstream that is not recorded.
     pub fn level(&self, name: &str, working_set: &WorkingSet) -> u8 {
         let number = self.service_domain_numbers.get(name);
         let service_domain = number.and_then(|number| self.service_domains.get(*number as usize));
         service_domain.map_or(0, |service_domain| working_set.level(name, service_domain))
     }
 
-    /// Levels of all upstreams.
+    /// Levels of all recorded upstreams.
     pub fn levels(&self, working_set: &WorkingSet) -> Vec<(String, u8)> {
         let names = self.service_domain_numbers.keys();
         names
--- a/crates/policy/src/upstreams/upstream_state.rs
+++ b/crates/policy/src/upstreams/upstream_state.rs
@@ -1,61 +1,61 @@
 use super::*;
 
-/// Weight of the newest sample in the moving average of the token time.
+/// Weight of the newest sample in the moving average of the time between tokens.
 const TOKEN_TIME_WEIGHT: f64 = 0.1;
 
-/// What a host knows of one upstream.
+/// What this host knows of one upstream.
 #[derive(Debug)]
 pub(crate) struct UpstreamState {
-    /// Prompt tokens that this host sent there and that have brought no first
-    /// token yet.
+    /// Prompt tokens of this host's requests that have received no first token yet.
     pub(crate) backlog_tokens: u64,
     pub(crate) backoff: Backoff,
     pub(crate) brittleness: Brittleness,
     pub(crate) cache: PromptCache,
     pub(crate) definition: Upstream,
     pub(crate) departure: Departure,
-    /// Place of its group; `None` for an upstream of another domain.
+    /// Index of the upstream's group; `None` for an upstream of another failure domain.
     pub(crate) group: Option<usize>,
     pub(crate) health: Health,
-    /// Slots that are this host's own, by its share of the group.
+    /// Slots that belong to this host alone, by its share of the group.
     pub(crate) own_slots: u32,
     pub(crate) id: UpstreamId,
-    /// Requests that this host has there.
+    /// Requests of this host in flight.
     pub(crate) in_flight: u32,
-    /// Trial requests among them.
+    /// Trial requests among `in_flight`.
     pub(crate) in_flight_trial: u32,
-    /// What it names as its limit for all hosts together.
+    /// Rate limit that the upstream names for all hosts together.
     pub(crate) limit: UpstreamLimit,
-    /// Slots that this host may fill, for an upstream of another domain.
+    /// Slots that this host may use if the upstream is in another failure domain.
     pub(crate) remote_share: u32,
-    /// Requests of other hosts there that long prompts can make late, by their notes.
+    /// Pause-sensitive requests of other hosts in flight, according to their load notes.
     pub(crate) others_pause_sensitive: u32,
-    /// Requests of this host there that long prompts can make late.
+    /// Pause-sensitive requests of this host in flight: those that long prompts on the same engine
+    /// can make late.
     pub(crate) pause_sensitive: u32,
-    /// Its place among the engines that are kept free of long prompts, the same on
-    /// every host; the least come first.
+    /// Position in the order in which engines are reserved for pause-sensitive requests, the lowest
+    /// first. The order is the same on every host.
     pub(crate) reservation_order: u64,
-    /// Whether the hosts of all failure domains know it.
+    /// Whether the hosts of all failure domains know the upstream.
     pub(crate) is_common: bool,
-    /// Whether it stands in this host's failure domain.
+    /// Whether the upstream is in this host's failure domain.
     pub(crate) is_local: bool,
-    /// How this host's requests there ended lately.
+    /// Recent results of this host's requests.
     pub(crate) track_record: TrackRecord,
-    /// Not configured any more.
+    /// Whether the upstream is no longer configured.
     pub(crate) removed: bool,
-    /// What it can do, if it is an engine.
+    /// Speed of the upstream, if it is an engine.
     pub(crate) speed: EngineSpeed,
-    /// This host's requests there that have brought tokens and not ended.
+    /// Requests of this host in flight that have received tokens.
     pub(crate) streams: u32,
     /// Moving average of the time between two tokens.
     pub(crate) token_time_ms: Option<f64>,
-    /// Transfers of parts of prompts over its link.
+    /// Transfers of prompt parts over the upstream's network link.
     pub(crate) transfers: TransferLink,
     in_flight_history: InFlightHistory,
-    /// Requests of other hosts there, by the last load report or their notes.
+    /// Requests of other hosts in flight, according to the last load report or their load notes.
     pub(crate) others_in_flight: u32,
-    /// Prompt tokens of other hosts there that have brought no first token yet,
-    /// by their notes.
+    /// Prompt tokens of other hosts' requests that have received no first token yet, according to
+    /// their load notes.
     pub(crate) others_backlog_tokens: u64,
 }
 
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Takes a load report against what this host had there when it was made.
+    /// Applies a load report, less the requests that this host had in flight when the report was
+    /// made.
     pub(crate) fn note_report(&mut self, report: LoadReport, now: Time) {
         self.departure.note_reported(report.leaving);
         let reported = report.running + report.waiting;
@@ -123,14 +124,16 @@
         self.in_flight_history.note(self.in_flight, now);
     }
 
-    /// Notes a prompt that is sent there; returns the tokens to be read.
+    /// Records that a prompt is sent. Returns the number of tokens that the upstream has to
+    /// prefill.
     pub(crate) fn start_prefill(&mut self, parts: &[PromptPart]) -> Tokens {
         let prefill = prompt_cache::total_tokens(parts) - self.cache.cached_tokens(parts);
         self.backlog_tokens += prefill;
         Tokens::new(prefill.min(u64::from(u32::MAX)) as u32)
     }
 
-    /// Notes that it keeps a prompt from now on; returns the shared parts that are new to it.
+    /// Records a prompt that is sent in the estimate of the cache. Returns the shared parts that
+    /// are new to the cache.
     pub(crate) fn note_prompt_sent(&mut self, parts: &[PromptPart]) -> Vec<PromptRead> {
         let reads = self.cache.uncached_parts(placement::shared_parts(parts));
         let reads = reads.map(|(chain_hash, part)| self.prompt_read(chain_hash, part));
@@ -139,7 +142,8 @@
         reads
     }
 
-    /// Notes that it has read a prompt; returns the shared parts not known to be read before.
+    /// Records that a prompt has been prefilled. Returns the shared parts that were not known to be
+    /// prefilled before.
     pub(crate) fn confirm_prompt(&mut self, parts: &[PromptPart]) -> Vec<PromptRead> {
         let reads = self.cache.unconfirmed_parts(placement::shared_parts(parts));
         let reads = reads.map(|(chain_hash, part)| self.prompt_read(chain_hash, part));
@@ -156,14 +160,13 @@
         }
     }
 
-    /// Notes that a prompt has been read, or will not be.
+    /// Records that a prompt has been prefilled, or will not be.
     pub(crate) fn end_prefill(&mut self, prefill: Tokens) {
         self.backlog_tokens = self.backlog_tokens.saturating_sub(u64::from(prefill.get()));
     }
 
-    /// Notes a request that was answered whole after `span`. Only the time of a
-    /// plain service says something of it: that of an engine is as long as the
-    /// answer.
+    /// Records a request that was answered completely after `span`. Only the time of a plain
+    /// service describes the upstream: the time of an engine depends on the length of the answer.
     pub(crate) fn note_success(&mut self, span: Duration, now: Time) {
         self.health.note_success();
         self.track_record.note_success(now);
@@ -172,6 +175,7 @@
         }
     }
 
+    /// Records that generating `tokens` tokens took `span`.
     pub(crate) fn note_tokens(&mut self, tokens: Tokens, span: Duration) {
         if tokens.get() == 0 {
             return;
@@ -181,54 +185,55 @@
         *average += TOKEN_TIME_WEIGHT * (sample - *average);
     }
 
-    /// Whether this host has first-hand that it is leaving.
+    /// Whether this host knows that the upstream is leaving from a source other than its peers.
     pub(crate) const fn is_leaving_first_hand(&self) -> bool {
         self.departure.is_first_hand()
     }
 
-    /// Whether any source says that it is leaving; one is enough.
+    /// Whether the upstream is leaving, according to any source, or has been removed.
     pub(crate) fn is_leaving(&self, now: Time) -> bool {
         self.removed || self.departure.is_known(now)
     }
 
-    /// Whether it takes new work, within its limit.
+    /// Whether the upstream takes new requests, as far as its rate limit allows.
     pub(crate) fn is_available(&self, now: Time) -> bool {
         !self.is_leaving(now) && self.health.is_well() && self.backoff.is_over(now)
     }
 
-    /// Whether it takes new work of this host now.
+    /// Whether the upstream takes another request of this host now.
     pub(crate) fn accepts_request(&self, now: Time) -> bool {
         self.is_available(now)
             && self.backoff.may_send(now)
             && self.limit.has_token(now)
-            && self.has_room_by_brittleness(now)
+            && self.brittleness_allows_request(now)
     }
 
-    fn has_room_by_brittleness(&self, now: Time) -> bool {
+    /// Whether the upstream has room for another request, if it is one that fails when it has to
+    /// reject many requests. Any other upstream always has.
+    fn brittleness_allows_request(&self, now: Time) -> bool {
         let slots = self.definition.slots();
         let brittleness = &self.brittleness;
         brittleness.has_room(self.in_flight, self.others_in_flight, slots, now)
     }
 
-    /// Slots that may be used while it comes back slowly.
+    /// Slots that may be used. The number rises slowly after the upstream was ejected.
     fn slow_start_slots(&self, now: Time) -> u32 {
         (f64::from(self.definition.slots()) * self.health.share(now)).ceil() as u32
     }
 
-    /// Whether one of this host's own slots is free; no report is needed for
-    /// that.
+    /// Whether one of this host's own slots is free. This needs no load report.
     pub(crate) fn has_free_own_slot(&self, now: Time) -> bool {
         self.accepts_request(now) && self.in_flight < self.own_slots.min(self.slow_start_slots(now))
     }
 
-    /// Whether a slot is free, by the last load report and own requests.
+    /// Whether a slot is free, according to the last load report or note and this host's requests.
     pub(crate) fn has_free_slot(&self, now: Time) -> bool {
         self.accepts_request(now)
             && self.in_flight + self.others_in_flight < self.slow_start_slots(now)
     }
 
-    /// Whether one more request fits into the upstream's own queue. Only an
-    /// engine serves that by priority.
+    /// Whether another request fits into the upstream's own queue. Only engines serve their queue
+    /// by priority.
     pub(crate) fn has_queue_room(&self, now: Time) -> bool {
         let Upstream::Engine(engine) = &self.definition else {
             return false;
@@ -238,14 +243,15 @@
         self.accepts_request(now) && !slow_start && in_flight < engine.slots + engine.queue_bound
     }
 
-    /// How full it is, 1 for all slots taken, counting what other hosts have
-    /// there by its last report.
+    /// Requests in flight as a share of the slots; 1 if all slots are taken. Requests of other
+    /// hosts are counted according to the last load report or note.
     pub(crate) fn utilization(&self) -> f64 {
         f64::from(self.in_flight + self.others_in_flight)
             / f64::from(self.definition.slots().max(1))
     }
 
-    /// Whether it gives tokens fast enough for a target.
+    /// Whether the upstream generates tokens fast enough for a target. An upstream of unknown speed
+    /// is assumed to.
     pub(crate) fn meets_token_target(&self, target_ms: u64) -> bool {
         self.token_time_ms.is_none_or(|ms| ms <= target_ms as f64)
     }
--- a/crates/policy/src/upstreams/working_set.rs
+++ b/crates/policy/src/upstreams/working_set.rs
@@ -1,54 +1,57 @@
 use super::*;
 
-/// Upstreams of a service up to which every host knows all of them.
+/// Maximum number of upstreams of a service for which every host knows all of them.
 const MAX_UNDIVIDED_UPSTREAMS: usize = 256;
 
-/// Fewest upstreams of a larger service that a host knows in its own failure domain.
+/// Minimum number of upstreams of a larger service that a host knows in its own failure domain.
 const MIN_LOCAL_UPSTREAMS: usize = 128;
 
-/// Fewest upstreams of a larger service that all hosts know, over all failure domains.
+/// Minimum number of upstreams of a larger service that all hosts know, over all failure domains.
 const MIN_COMMON_UPSTREAMS: usize = 160;
 
-/// Fewest of these in one failure domain.
+/// Minimum number of upstreams of a larger service that all hosts know in one failure domain.
 const MIN_COMMON_PER_DOMAIN: usize = 8;
 
-/// Halvings by which a place may differ from what would be announced now until hosts are notified
-/// at once: they would know four times what they need, and more.
+/// Largest difference in halvings between the announced and the current division. With a larger one
+/// hosts know at least four times as many upstreams as they need, so they are notified at once.
 const MAX_HALVINGS_DIFFERENCE: u32 = 1;
 
 /// Which upstreams the hosts of a failure domain know, where there are many.
 ///
-/// What a host keeps, receives and looks at for each request would grow with the upstreams of
-/// the whole installation otherwise. Each upstream has a level, which follows from its name
-/// and from how many there are, so that all hosts come to the same one:
+/// If every host knew all upstreams, its memory, the updates that it receives and the upstreams
+/// that it considers for each request would grow with the whole installation. Each upstream has a
+/// level, which follows from its name and from the number of upstreams, so that all hosts compute
+/// the same level:
 ///
-/// - those of level 0 are known to all hosts, so that a part of a prompt has one home for all;
-/// - those of level 1 are known to the hosts of their own failure domain, too, and carry what
-///   is to stay there;
-/// - the others are known to none but the hosts that ask the store.
+/// - Upstreams of level 0 are known to all hosts, so that all hosts prefer the same engine for a
+///   part of a prompt.
+/// - Upstreams of level 1 are also known to the hosts of their own failure domain. They serve
+///   requests that have to stay in the domain.
+/// - All other upstreams are known only to hosts that query the store.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct WorkingSet {
-    /// How the upstreams of each place are divided, where they are.
+    /// Halvings by service and failure domain, only for services with many upstreams.
     divided: BTreeMap<ServiceDomain, Halvings>,
 }
 
-/// How often the upstreams of a place are halved.
+/// How often the upstreams of a service in a failure domain are halved to get the known ones.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Halvings {
-    /// Until those are left that all hosts know.
+    /// Halvings to get the upstreams that all hosts know.
     common: u32,
-    /// Until those are left that hosts of the own failure domain know; `None` in another one.
+    /// Halvings to get the upstreams that hosts of the same failure domain know; `None` in another
+    /// domain.
     local: Option<u32>,
 }
 
 impl WorkingSet {
-    /// Level up to which a host knows upstreams.
+    /// Highest level of the upstreams that a host knows.
     pub const KNOWN_LEVEL: u8 = 1;
 
-    /// Level of upstreams that no host knows but those that ask the store.
+    /// Level of upstreams that only hosts that query the store know.
     const UNKNOWN_LEVEL: u8 = 2;
 
-    /// Divides upstreams for the hosts of a failure domain.
+    /// Divides the upstreams for the hosts of the failure domain `own`.
     pub fn divide(own: &FailureDomainId, census: &UpstreamCensus) -> Self {
         let mut services: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for ((service, _), count) in census.counts() {
@@ -71,7 +74,7 @@
         }
     }
 
-    /// The same division as another host announced it.
+    /// The division that another host announced.
     pub fn from_divided_places(places: &[DividedPlace]) -> Self {
         let divided = places.iter().map(|announced| {
             let halvings = Halvings {
@@ -88,7 +91,7 @@
         }
     }
 
-    /// How the upstreams of each place are divided.
+    /// The division, as it is announced to other hosts.
     pub fn divided_places(&self) -> Vec<DividedPlace> {
         let divided = self.divided.iter();
         let places = divided.map(|((service, domain), halvings)| DividedPlace {
@@ -105,7 +108,8 @@
         self.level(name, &(service.to_string(), domain.clone()))
     }
 
-    /// Whether upstreams are divided about as they would be now, as `now` says.
+    /// Whether the division is about the same as `now`, the division by the current number of
+    /// upstreams.
     pub fn is_close_to(&self, now: &Self) -> bool {
         let service_domains = self.divided.keys().chain(now.divided.keys());
         let mut differences = service_domains.map(|service_domain| {
@@ -117,8 +121,8 @@
         differences.all(|difference| difference <= MAX_HALVINGS_DIFFERENCE)
     }
 
-    /// Whether whoever knows the upstreams of a level by another division knows all of those
-    /// of this one.
+    /// Whether a host that knows the upstreams of a level according to `other` knows all upstreams
+    /// of that level according to this division.
     pub fn is_within(&self, other: &Self) -> bool {
         let mut service_domains = other.divided.iter();
         service_domains.all(|(service_domain, before)| {
@@ -127,16 +131,17 @@
         })
     }
 
-    /// Whether any host knows a part of the upstreams only.
+    /// Whether hosts know only a part of the upstreams of any service.
     pub fn is_divided(&self) -> bool {
         !self.divided.is_empty()
     }
 
-    /// Level of an upstream of a place.
+    /// Level of an upstream of a service and failure domain.
     pub(crate) fn level(&self, name: &str, service_domain: &ServiceDomain) -> u8 {
         let Some(halvings) = self.divided.get(service_domain) else {
             return 0;
         };
+        // Each halving keeps the upstreams whose hash has one more leading zero.
         let zeros = hash_of(hash_of(0, service_domain.1.as_str()), name).leading_zeros();
         if zeros >= halvings.common {
             0
@@ -155,7 +160,7 @@
         self.divided.get(service_domain).copied().unwrap_or(whole)
     }
 
-    /// Tells this division from others; 0 if nothing is divided.
+    /// Identifies this division among others; 0 if nothing is divided.
     pub fn division_hash(&self) -> u32 {
         if !self.is_divided() {
             return 0;
@@ -170,7 +175,7 @@
     }
 }
 
-/// How often upstreams can be halved until so many of them are left, or a few more.
+/// How often upstreams can be halved so that at least `least` of them are left.
 fn halvings(upstreams: usize, least: usize) -> u32 {
     (upstreams / least).checked_ilog2().unwrap_or_default()
 }
