--- a/crates/policy/src/hosts/peering.rs
+++ b/crates/policy/src/hosts/peering.rs
@@ -107,7 +107,7 @@
             failure_domain: self.options.failure_domain.clone(),
             host: self.options.host.clone(),
             incarnation: self.options.incarnation,
-            leaving: self.pool.select(UpstreamState::is_said_leaving),
+            leaving: self.pool.select(UpstreamState::is_leaving_first_hand),
             phase: self.peer_phase(),
             protocol: peer::PROTOCOL,
             version: self.version(),
@@ -142,7 +142,7 @@
         let answer = HeartbeatAnswer {
             grants,
             incarnation: self.options.incarnation,
-            leaving: self.pool.select(UpstreamState::is_said_leaving),
+            leaving: self.pool.select(UpstreamState::is_leaving_first_hand),
             protocol: peer::PROTOCOL,
             valid_ms: self.peering.share_validity().as_millis() as u64,
             version: self.version(),
@@ -208,7 +208,7 @@
             hosts.insert(self.options.host.clone());
         }
         hosts.insert(heartbeat.host.clone());
-        let groups = self.pool.divided();
+        let groups = self.pool.groups_to_divide();
         let max_age = self.peering.heartbeat_interval() / 2;
         let coordinator = &mut self.peering.coordinator;
         coordinator.grants(&heartbeat.host, hosts, &groups, now, max_age)
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -89,7 +89,7 @@
     upstream_limits::{UpstreamLimit, UpstreamLimits},
     upstream_notices::{AnnouncementSchedule, Backoff, Departure, Departures},
     upstreams::{
-        DirectoryView, EnginePartition, LongPrompts, PlacementRequest, Pool, UpstreamState,
+        DirectoryView, EnginePartition, LongPromptDetector, PlacementRequest, Pool, UpstreamState,
         placement, pool, prompt_cache,
     },
 };
--- a/crates/policy/src/overload/early_refusal.rs
+++ b/crates/policy/src/overload/early_refusal.rs
@@ -208,8 +208,8 @@
             self.neighbors.installation_size().max(observed) as f64 / observed as f64;
         let targets = self.early_refusal.classes.keys().map(|(target, _)| target);
         let loads = targets.map(|target| {
-            let states = self.pool.copies(target);
-            let accepting = states.filter(|state| state.takes_work(now));
+            let states = self.pool.upstreams_of(target);
+            let accepting = states.filter(|state| state.is_available(now));
             (target.clone(), PoolLoad::new(accepting, hosts_per_observed))
         });
         loads.collect()
--- a/crates/policy/src/queueing/admission.rs
+++ b/crates/policy/src/queueing/admission.rs
@@ -317,7 +317,9 @@
         };
         let max_duration = Duration::from_millis(resolved.class.deadline_ms);
         let queues = self.lanes.entry(arrival.target.clone()).or_default();
-        let is_long = queues.long_prompts.note(prompt_cache::tokens(&parts));
+        let is_long = queues
+            .long_prompts
+            .observe(prompt_cache::total_tokens(&parts));
         let pause_target_ms = resolved.class.pause_target_ms;
         let pause_bound = pause_target_ms.is_some() && pause_target_ms == self.shortest_pause_ms;
         if let Some(last_part) = parts.last() {
--- a/crates/policy/src/queueing/dispatch.rs
+++ b/crates/policy/src/queueing/dispatch.rs
@@ -161,7 +161,7 @@
         if let Some(queues) = self.lanes.get_mut(&facts.target) {
             queues.serve(facts.rank, item, now);
         }
-        self.pool.start(&upstream, facts, now);
+        self.pool.start_request(&upstream, facts, now);
         request.attempts += 1;
         if request.attempts == 1 {
             let facts = &request.facts;
@@ -198,7 +198,7 @@
             return 0;
         };
         let own_tokens = u64::from(request.stage.prefill.get());
-        (state.backlog + state.others_backlog).saturating_sub(own_tokens)
+        (state.backlog_tokens + state.others_backlog_tokens).saturating_sub(own_tokens)
     }
 
     /// Adds the action that sends the current attempt of a running request.
@@ -224,19 +224,19 @@
                 fetch_from: fetch.map(|fetch| fetch.address),
                 inputs: Box::new(SendInputs {
                     attempt: request.attempts,
-                    backlog: state.backlog,
+                    backlog: state.backlog_tokens,
                     rejection_limit: state.brittleness.rate(),
                     class: request.facts.class.clone(),
-                    expected_wait: Duration::from_secs_f64(state.waiting_ms() / 1_000.0),
+                    expected_wait: Duration::from_secs_f64(state.queued_prefill_ms() / 1_000.0),
                     fetch_source: fetch.map(|fetch| fetch.source.clone()),
                     fetch_tokens: fetch.map(|fetch| fetch.tokens).unwrap_or_default(),
                     fingerprint: request.facts.fingerprint,
                     in_flight: state.in_flight,
                     rate_limit: state.limit.rate(),
                     others_age: self.neighbors.oldest_note_age(now),
-                    others_backlog: state.others_backlog,
-                    others_in_flight: state.others,
-                    shared_parts_hash: placement::shared_chain(&request.facts.parts),
+                    others_backlog: state.others_backlog_tokens,
+                    others_in_flight: state.others_in_flight,
+                    shared_parts_hash: placement::shared_chain_hash(&request.facts.parts),
                     prefill_tokens: running.prefill,
                     waited: now.since(request.facts.arrived),
                 }),
--- a/crates/policy/src/queueing/target_queues.rs
+++ b/crates/policy/src/queueing/target_queues.rs
@@ -16,7 +16,7 @@
 pub(crate) struct TargetQueues {
     pub(crate) congestion: CongestionControl,
     pub(crate) minimum_share: MinimumShare,
-    pub(crate) long_prompts: LongPrompts,
+    pub(crate) long_prompts: LongPromptDetector,
     pub(crate) service_rate: ServiceRate,
     pub(crate) partition: EnginePartition,
     last_arrival: Time,
@@ -29,7 +29,7 @@
         Self {
             congestion: CongestionControl::default(),
             minimum_share: MinimumShare::default(),
-            long_prompts: LongPrompts::default(),
+            long_prompts: LongPromptDetector::default(),
             service_rate: ServiceRate::default(),
             partition: EnginePartition::default(),
             last_arrival: Time::default(),
--- a/crates/policy/src/reach/transit.rs
+++ b/crates/policy/src/reach/transit.rs
@@ -34,7 +34,7 @@
         let mut hosts: Vec<(bool, bool, u64, SocketAddr)> = hosts
             .map(|(pair_weight, is_same_domain, address)| {
                 let avoided = self.transit.is_avoided(address, now);
-                let weight = placement::weight_of(upstream, pair_weight);
+                let weight = placement::rendezvous_hash(upstream, pair_weight);
                 (avoided, !is_same_domain, weight, address)
             })
             .collect();
--- a/crates/policy/src/requests/attempts.rs
+++ b/crates/policy/src/requests/attempts.rs
@@ -220,7 +220,7 @@
     ) {
         let upstream = &request.stage.upstream;
         if let Some(state) = self.pool.get_mut(upstream) {
-            state.record.note_failure(now);
+            state.track_record.note_failure(now);
             if cause == FailureCause::ErrorStatus {
                 state.backoff.note_accepted(request.stage.sent);
             }
@@ -299,7 +299,8 @@
             let streams = u32::from(request.stage.is_streaming);
             state.streams = state.streams.saturating_sub(streams);
         }
-        self.pool.end(&request.stage.upstream, &request.facts, now);
+        self.pool
+            .end_request(&request.stage.upstream, &request.facts, now);
     }
 }
 
--- a/crates/policy/src/requests/claims.rs
+++ b/crates/policy/src/requests/claims.rs
@@ -67,7 +67,7 @@
         let open = self
             .pool
             .get(&request.stage.upstream)
-            .is_some_and(|state| state.takes_work(now));
+            .is_some_and(|state| state.is_available(now));
         let in_time = now <= request.facts.deadline;
         if open && in_time && !request.stage.caller_gone {
             let mut request = request.into_running(now);
@@ -77,7 +77,8 @@
         }
         let attempt = request.stage.attempt;
         if in_time && !request.stage.caller_gone {
-            self.pool.end(&request.stage.upstream, &request.facts, now);
+            self.pool
+                .end_request(&request.stage.upstream, &request.facts, now);
             self.enqueue(now, request.into_running(now).requeue());
             return;
         }
@@ -121,7 +122,8 @@
     /// [`PARK_DURATION`] the request returns to its queue to try the claim again; at its deadline
     /// it is refused.
     fn park(&mut self, now: Time, request: Request<Claiming>) {
-        self.pool.end(&request.stage.upstream, &request.facts, now);
+        self.pool
+            .end_request(&request.stage.upstream, &request.facts, now);
         let request = request.park();
         self.deadlines.insert((request.facts.deadline, request.id));
         self.parked.insert((now + PARK_DURATION, request.id));
@@ -144,7 +146,8 @@
     }
 
     fn release_slot_and_limit(&mut self, now: Time, request: &Request<Claiming>) {
-        self.pool.end(&request.stage.upstream, &request.facts, now);
+        self.pool
+            .end_request(&request.stage.upstream, &request.facts, now);
         self.limits.release(&request.facts.team);
     }
 }
--- a/crates/policy/src/requests/resuming.rs
+++ b/crates/policy/src/requests/resuming.rs
@@ -95,7 +95,7 @@
         self.release_slot(now, &request);
         let broken = request.stage.attempt;
         let attempt = self.new_attempt();
-        self.pool.start(&upstream, &request.facts, now);
+        self.pool.start_request(&upstream, &request.facts, now);
         let mut request = request.move_to(upstream, attempt, now);
         self.start_prompt(now, &mut request);
         request.stage.prompt_tokens_ahead = self.prompt_tokens_ahead(&request);
--- a/crates/policy/src/upstream_limits/mod.rs
+++ b/crates/policy/src/upstream_limits/mod.rs
@@ -124,7 +124,7 @@
     pub(crate) fn restore_lapsed_limits(&mut self, now: Time) {
         let pool = &mut self.pool;
         let restored = pool.restore_limits();
-        pool.lapsed_limits
+        pool.expired_limits
             .retain(|_, limit| now.since(limit.as_of()) < LIMIT_RETENTION);
         self.upstream_limits.limited.extend(restored);
         self.pool.has_limits = !self.upstream_limits.is_empty();
@@ -146,11 +146,11 @@
     /// before their entries lapsed. Returns these upstreams.
     fn restore_limits(&mut self) -> Vec<UpstreamId> {
         let mut restored = Vec::new();
-        if self.lapsed_limits.is_empty() {
+        if self.expired_limits.is_empty() {
             return restored;
         }
         for state in &mut self.states {
-            if let Some(limit) = self.lapsed_limits.remove(&state.id) {
+            if let Some(limit) = self.expired_limits.remove(&state.id) {
                 state.limit = limit;
                 restored.push(state.id.clone());
             }
--- a/crates/policy/src/upstream_limits/token_limited.rs
+++ b/crates/policy/src/upstream_limits/token_limited.rs
@@ -13,20 +13,20 @@
 
     /// Whether a limit is all that keeps requests of a target from its upstreams.
     fn is_token_limited(&self, target: &Target, now: Time) -> bool {
-        let mut upstreams = self.pool.copies(target);
+        let mut upstreams = self.pool.upstreams_of(target);
         let is_limited = upstreams
             .clone()
             .any(|state| self.lacks_only_token(state, now));
-        is_limited && !upstreams.any(|state| state.is_open(now))
+        is_limited && !upstreams.any(|state| state.accepts_request(now))
     }
 
     fn lacks_only_token(&self, state: &UpstreamState, now: Time) -> bool {
-        state.takes_work(now) && !state.limit.has_token(now)
+        state.is_available(now) && !state.limit.has_token(now)
     }
 
     /// Upstreams of a target that would accept a request if this host had a token.
     pub(crate) fn token_limited_upstreams(&self, target: &Target, now: Time) -> Vec<UpstreamId> {
-        let upstreams = self.pool.copies(target);
+        let upstreams = self.pool.upstreams_of(target);
         let token_limited = upstreams.filter(|state| self.lacks_only_token(state, now));
         token_limited.map(|state| state.id.clone()).collect()
     }
--- a/crates/policy/src/upstream_notices/leaving.rs
+++ b/crates/policy/src/upstream_notices/leaving.rs
@@ -24,7 +24,7 @@
             let reached = self
                 .directory
                 .as_ref()
-                .is_some_and(DirectoryView::is_reached);
+                .is_some_and(DirectoryView::is_reachable);
             let delay = if reached {
                 DIRECTORY_LISTING_DELAY
             } else {
@@ -72,7 +72,7 @@
         let is_news = self.departures.note(upstream, source, now);
         if let (Some(first_hand), Some(place)) = (
             self.departures.known_first_hand(upstream),
-            self.index.get(upstream),
+            self.index_by_id.get(upstream),
         ) {
             self.states[*place].departure.note_stated(first_hand);
         }
@@ -96,7 +96,7 @@
     }
 
     fn drop_expired_departures(&mut self, now: Time) {
-        let index = &self.index;
+        let index = &self.index_by_id;
         self.departures
             .drop_expired(|id| index.contains_key(id), now);
     }
--- a/crates/policy/src/upstream_notices/unavailable.rs
+++ b/crates/policy/src/upstream_notices/unavailable.rs
@@ -44,7 +44,7 @@
     /// When the upstreams of a target accept requests again; `None` if one may accept them now, or
     /// if that time is unknown.
     fn next_availability(&self, target: &Target, now: Time) -> Option<NextAvailability> {
-        let upstreams = self.pool.copies(target);
+        let upstreams = self.pool.upstreams_of(target);
         let mut next = None;
         for state in upstreams {
             if state.is_leaving(now) {
--- a/crates/policy/src/upstreams/rendezvous.rs
+++ b/crates/policy/src/upstreams/rendezvous.rs
@@ -1,10 +1,10 @@
-//! Rendezvous hashing of keys over engines, by what each can do.
+//! Rendezvous hashing of keys to engines, weighted by the speeds of the engines.
 
 use super::*;
 
-/// An engine's place in the order of a key; the greatest comes first. All hosts that believe the
-/// same of the engines get the same order, and a change of one engine's speed moves only keys to
-/// or from that engine.
+/// Position of an engine in the order of a key; the greatest comes first. All hosts that know the
+/// same speeds get the same order. A change of one engine's speed moves only keys to or from that
+/// engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Preference {
     hash: u64,
@@ -14,7 +14,7 @@
 impl Preference {
     pub(crate) fn of(state: &UpstreamState, key: u64) -> Self {
         Self {
-            hash: placement::weight_of(&state.id, key),
+            hash: placement::rendezvous_hash(&state.id, key),
             step: state.speed.step,
         }
     }
@@ -27,9 +27,10 @@
         by_score.then_with(|| self.hash.cmp(&other.hash))
     }
 
-    /// Score by which an engine is first for a part of all keys in proportion to its speed.
+    /// Weighted score. Each engine has the greatest score for a share of all keys in proportion to
+    /// its speed.
     fn score(&self) -> f64 {
-        let unit = (self.hash as f64 + 0.5) / 2.0_f64.powi(64);
-        -self.step.factor() / unit.min(1.0 - f64::EPSILON).ln()
+        let uniform = (self.hash as f64 + 0.5) / 2.0_f64.powi(64);
+        -self.step.factor() / uniform.min(1.0 - f64::EPSILON).ln()
     }
 }
