--- a/crates/policy/src/queueing/fair_queue.rs
+++ b/crates/policy/src/queueing/fair_queue.rs
@@ -91,7 +91,7 @@
     pub(crate) fn remove(&mut self, item: &QueuedItem) -> bool {
         let mut removed = false;
         self.update_team(&item.team, |team_queue| {
-            removed = team_queue.items.remove(item)
+            removed = team_queue.items.remove(item);
         });
         if removed {
             self.len -= 1;
