--- a/crates/policy/src/upstreams/choice.rs
+++ b/crates/policy/src/upstreams/choice.rs
@@ -120,9 +120,9 @@
         overdraft || self.groups[group].has_room(rank, &self.room_rules)
     }
 
-    /// Whether a request of `rank` may wait in an upstream's own queue when all upstreams look
-    /// full. While this host has share left, a slot must be free and the load reports are outdated.
-    /// Only groups that are shared with other hosts are queued for.
+    /// Whether a request of `rank` may wait in an upstream's own queue because all upstreams look
+    /// full. While this host has share left, some slot must be free, so the load reports are
+    /// outdated. This is possible only in a group whose slots this host shares with other hosts.
     fn may_use_queue(&self, state: &UpstreamState, rank: Rank) -> bool {
         let Some(group) = state.group else {
             return false;
--- a/crates/policy/src/upstreams/directory_view.rs
+++ b/crates/policy/src/upstreams/directory_view.rs
@@ -1,7 +1,8 @@
 use super::*;
 
 /// Time after the directory's return during which a missing upstream's entry may merely have
-/// expired. Running upstreams are listed again within about two seconds.
+/// expired. The installation guarantees that running upstreams are listed again within about two
+/// seconds.
 const EXPIRY_GRACE: Duration = Duration::from_millis(2_000);
 
 /// The upstreams that the directory lists, protected against an outage of the directory.
--- a/crates/policy/src/upstreams/long_prompt_detector.rs
+++ b/crates/policy/src/upstreams/long_prompt_detector.rs
@@ -53,11 +53,11 @@
     fn compute_threshold(&self) -> Option<u64> {
         let mut sizes: Vec<u64> = self.recent.iter().copied().collect();
         sizes.sort_unstable_by(|a, b| b.cmp(a));
-        let threshold = LONG_PROMPT_TOKEN_SHARE * sizes.iter().sum::<u64>() as f64;
+        let min_sum = LONG_PROMPT_TOKEN_SHARE * sizes.iter().sum::<u64>() as f64;
         let mut sum = 0;
         sizes.into_iter().find(|size| {
             sum += size;
-            sum as f64 >= threshold
+            sum as f64 >= min_sum
         })
     }
 }
--- a/crates/policy/src/upstreams/placement.rs
+++ b/crates/policy/src/upstreams/placement.rs
@@ -311,7 +311,7 @@
     fn uncached_tokens(&self, state: &UpstreamState) -> f64 {
         let mut cached = state.cache.cached_tokens(self.parts);
         if self.preferred_engine == Some(&state.id) {
-            // If other hosts have received the shared parts, they have sent them to the preferred
+            // If any host has received the shared parts before, it has sent them to the preferred
             // engine.
             cached = cached.max(prompt_cache::total_tokens(shared_parts(self.parts)));
         }
--- a/crates/policy/src/upstreams/placement_request.rs
+++ b/crates/policy/src/upstreams/placement_request.rs
@@ -12,8 +12,9 @@
     pub(crate) first_token_due: Time,
     /// Whether the prompt is long compared with recent prompts.
     pub(crate) has_long_prompt: bool,
-    /// Longest time between tokens that meets the target; `None` if the request may miss its target
-    /// on any upstream.
+    /// Longest time between tokens that meets the target; `None` if the request is expected to miss
+    /// its first-token target on any upstream, so that it leaves the fast upstreams to other
+    /// requests.
     pub(crate) between_token_target_ms: Option<u64>,
     /// Parts of the prompt in order; empty if they are not known.
     pub(crate) parts: &'a [PromptPart],
--- a/crates/policy/src/upstreams/upstream_state.rs
+++ b/crates/policy/src/upstreams/upstream_state.rs
@@ -195,7 +195,7 @@
         self.removed || self.departure.is_known(now)
     }
 
-    /// Whether the upstream takes new requests, as far as its rate limit allows.
+    /// Whether the upstream takes new requests, apart from its rate limit.
     pub(crate) fn is_available(&self, now: Time) -> bool {
         !self.is_leaving(now) && self.health.is_well() && self.backoff.is_over(now)
     }
@@ -216,7 +216,7 @@
         brittleness.has_room(self.in_flight, self.others_in_flight, slots, now)
     }
 
-    /// Slots that may be used. The number rises slowly after the upstream was ejected.
+    /// Slots that may be used. The number rises slowly after the upstream returns from an ejection.
     fn slow_start_slots(&self, now: Time) -> u32 {
         (f64::from(self.definition.slots()) * self.health.share(now)).ceil() as u32
     }
