--- a/crates/policy/src/duties/demand_ledger.rs
+++ b/crates/policy/src/duties/demand_ledger.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 /// Time beside two messages of a host in which it must have told something to be observed.
-const OBSERVED_MARGIN: Duration = Duration::from_millis(1_000);
+const FRESHNESS_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// Part of the hosts that must be observed: without more of them, less is told than is asked.
-const OBSERVED_SHARE: f64 = 0.75;
+const MIN_REPORTING_SHARE: f64 = 0.75;
 
 /// Time for which a silent host is remembered.
-const REMEMBERED: Duration = Duration::from_secs(60);
+const HOST_RETENTION: Duration = Duration::from_secs(60);
 
 /// Engines that one host can keep busy. What tells more is not a count.
-const MAX_BUSY_BY_HOST: f64 = 1_000.0;
+const MAX_BUSY_PER_HOST: f64 = 1_000.0;
 
 /// Incarnations of a host that are remembered, for messages that were overtaken.
 const MAX_INCARNATIONS: usize = 4;
@@ -27,25 +27,25 @@
     /// Totals of the last incarnations, the latest one last.
     incarnations: VecDeque<(Incarnation, BTreeMap<ModelId, u64>)>,
     last_received: Time,
-    latest: Vec<ModelWork>,
+    latest_work: Vec<ModelWork>,
 }
 
 impl HostWork {
     /// The totals of an incarnation, and whether they are the latest one's.
-    fn totals(&mut self, incarnation: Incarnation) -> (&mut BTreeMap<ModelId, u64>, bool) {
-        let known = self
+    fn totals_of(&mut self, incarnation: Incarnation) -> (&mut BTreeMap<ModelId, u64>, bool) {
+        let position = self
             .incarnations
             .iter()
             .position(|(of, _)| *of == incarnation);
-        let place = known.unwrap_or_else(|| {
+        let index = position.unwrap_or_else(|| {
             if self.incarnations.len() == MAX_INCARNATIONS {
                 self.incarnations.pop_front();
             }
             self.incarnations.push_back((incarnation, BTreeMap::new()));
             self.incarnations.len() - 1
         });
-        let is_latest = place + 1 == self.incarnations.len();
-        (&mut self.incarnations[place].1, is_latest)
+        let is_latest = index + 1 == self.incarnations.len();
+        (&mut self.incarnations[index].1, is_latest)
     }
 }
 
@@ -53,38 +53,38 @@
     /// Takes a host's totals. They only grow, so one that was overtaken changes nothing.
     ///
     /// What a host did before its first message here is not counted: it may be of any age.
-    pub fn take(&mut self, now: Time, note: &UsageNote) {
+    pub fn record(&mut self, now: Time, note: &UsageNote) {
         let is_new = !self.hosts.contains_key(&note.host);
         let host = self.hosts.entry(note.host.clone()).or_default();
-        let most_ms = MAX_BUSY_BY_HOST * millis(now.since(host.last_received));
-        let (totals, is_latest) = host.totals(note.incarnation);
+        let max_added_ms = MAX_BUSY_PER_HOST * millis(now.since(host.last_received));
+        let (totals, is_latest) = host.totals_of(note.incarnation);
         for work in &note.work {
             let total = totals.entry(work.model.clone()).or_default();
             let added_ms = work.total_ms.saturating_sub(*total) as f64;
             *total = work.total_ms.max(*total);
-            if !is_new && added_ms <= most_ms {
+            if !is_new && added_ms <= max_added_ms {
                 *self.totals_ms.entry(work.model.clone()).or_default() += added_ms;
             }
         }
         if is_latest {
-            host.latest.clone_from(&note.work);
+            host.latest_work.clone_from(&note.work);
         }
         host.last_received = now;
     }
 
     /// What is asked for; `None` while too few of the hosts tell it.
-    pub fn observed(
+    pub fn observed_demand(
         &mut self,
         now: Time,
-        hosts_in_all: usize,
+        host_count: usize,
     ) -> Option<BTreeMap<ModelId, ObservedDemand>> {
         self.hosts
-            .retain(|_, host| now.since(host.last_received) < REMEMBERED);
-        let valid = reporting::tell_interval(hosts_in_all) * 2 + OBSERVED_MARGIN;
+            .retain(|_, host| now.since(host.last_received) < HOST_RETENTION);
+        let max_age = reporting::report_interval(host_count) * 2 + FRESHNESS_MARGIN;
         let fresh = self.hosts.values();
-        let fresh = fresh.filter(|host| now.since(host.last_received) <= valid);
+        let fresh = fresh.filter(|host| now.since(host.last_received) <= max_age);
         let fresh: Vec<&HostWork> = fresh.collect();
-        if hosts_in_all == 0 || (fresh.len() as f64) < OBSERVED_SHARE * hosts_in_all as f64 {
+        if host_count == 0 || (fresh.len() as f64) < MIN_REPORTING_SHARE * host_count as f64 {
             return None;
         }
         let totals_ms = self.totals_ms.iter();
@@ -100,7 +100,7 @@
                 )
             })
             .collect();
-        for work in fresh.iter().flat_map(|host| &host.latest) {
+        for work in fresh.iter().flat_map(|host| &host.latest_work) {
             if let Some(demand) = demands.get_mut(&work.model) {
                 demand.in_flight = demand.in_flight.saturating_add(work.in_flight);
                 demand.waiting_ms += f64::from(work.waiting_ms);
--- a/crates/policy/src/duties/lease.rs
+++ b/crates/policy/src/duties/lease.rs
@@ -4,16 +4,16 @@
 const HOLDER_MARGIN: Duration = Duration::from_millis(500);
 
 /// … and what the next one waits beyond it.
-const TAKER_MARGIN: Duration = Duration::from_millis(300);
+const CANDIDATE_MARGIN: Duration = Duration::from_millis(300);
 
 /// Time between two renewals, as a part of a term: two may fail.
 const RENEWALS_PER_TERM: u32 = 4;
 
 /// Holders that the lease remembers: more than can give it up within a term.
-const MAX_PREVIOUS: usize = 8;
+const MAX_PREVIOUS_HOLDERS: usize = 8;
 
 /// Time between two looks of a host that waits for the lease.
-const LOOK_INTERVAL: Duration = Duration::from_millis(1_000);
+const READ_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// What is to be done for the lease now.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -56,22 +56,22 @@
 #[derive(Debug, Default)]
 struct Candidate {
     /// When the lease was read last.
-    looked: Option<Time>,
+    last_read: Option<Time>,
     /// What was seen last, and when it was first seen so.
-    seen: Option<(StoredLease, Time)>,
+    observed: Option<(StoredLease, Time)>,
     /// A write whose answer is open: the lease is read before anything else is written.
-    written: Option<(LeaseRecord, Time)>,
+    pending_write: Option<(LeaseRecord, Time)>,
 }
 
 #[derive(Debug)]
 struct Holder {
     /// When the last confirmed write was sent.
-    confirmed: Time,
+    confirmed_at: Time,
     /// When the last write was sent, confirmed or not.
-    renewed: Time,
+    last_write_sent: Time,
     stored: StoredLease,
     /// Whether the answer to the last write did not come.
-    unsure: bool,
+    is_write_unconfirmed: bool,
 }
 
 impl Lease {
@@ -86,37 +86,40 @@
     }
 
     /// What to do now.
-    pub fn next(&mut self, now: Time, era: u32) -> LeaseStep {
+    pub fn next_step(&mut self, now: Time, era: u32) -> LeaseStep {
         let host = self.host.clone();
         let incarnation = self.incarnation;
         let term = self.term;
         match &mut self.state {
-            State::Holder(holder) if holder.unsure => LeaseStep::Read,
+            State::Holder(holder) if holder.is_write_unconfirmed => LeaseStep::Read,
             State::Holder(holder) => {
-                let due = holder.renewed + term / RENEWALS_PER_TERM;
+                let due = holder.last_write_sent + term / RENEWALS_PER_TERM;
                 if now < due {
                     return LeaseStep::Wait(due.since(now));
                 }
-                holder.renewed = now;
+                holder.last_write_sent = now;
                 LeaseStep::Write {
                     expected: holder.stored.version,
                     record: holder.stored.record.clone(),
                 }
             }
             State::Candidate(candidate) => {
-                let Some(looked) = candidate.looked.filter(|_| candidate.written.is_none()) else {
+                let Some(last_read) = candidate
+                    .last_read
+                    .filter(|_| candidate.pending_write.is_none())
+                else {
                     return LeaseStep::Read;
                 };
-                let Some(wait) = candidate.wait(now, &host, term) else {
-                    let record = candidate.taken(host, incarnation, era);
-                    candidate.written = Some((record.clone(), now));
-                    let seen = candidate.seen.as_ref();
+                let Some(wait) = candidate.time_until_free(now, &host, term) else {
+                    let record = candidate.next_record(host, incarnation, era);
+                    candidate.pending_write = Some((record.clone(), now));
+                    let seen = candidate.observed.as_ref();
                     return LeaseStep::Write {
                         expected: seen.map_or(0, |(stored, _)| stored.version),
                         record,
                     };
                 };
-                let due = looked + LOOK_INTERVAL;
+                let due = last_read + READ_INTERVAL;
                 if now >= due {
                     return LeaseStep::Read;
                 }
@@ -132,20 +135,20 @@
                 Some(stored) if stored.record == holder.stored.record => {
                     if stored.version > holder.stored.version {
                         // The write whose answer was lost was done.
-                        holder.confirmed = holder.renewed;
+                        holder.confirmed_at = holder.last_write_sent;
                     }
                     holder.stored = stored;
-                    holder.unsure = false;
+                    holder.is_write_unconfirmed = false;
                 }
-                stored => self.lose(now, stored),
+                stored => self.become_candidate(now, stored),
             },
             State::Candidate(candidate) => {
-                candidate.looked = Some(now);
-                if let Some((record, sent)) = candidate.written.take()
+                candidate.last_read = Some(now);
+                if let Some((record, sent)) = candidate.pending_write.take()
                     && let Some(stored) = &stored
                     && stored.record == record
                 {
-                    return self.hold(stored.clone(), sent);
+                    return self.become_holder(stored.clone(), sent);
                 }
                 if let Some(stored) = stored.as_ref().filter(|stored| {
                     let record = &stored.record;
@@ -154,30 +157,30 @@
                 }) {
                     // Nobody took it since, but when it was written is not known: it is
                     // renewed before anything is done under it.
-                    return self.hold(stored.clone(), Time::default());
+                    return self.become_holder(stored.clone(), Time::default());
                 }
-                candidate.see(now, stored);
+                candidate.observe(now, stored);
             }
         }
     }
 
     /// The store did a write that was sent at a moment, and gave it a version.
     pub fn note_written(&mut self, sent: Time, record: LeaseRecord, version: u64) {
-        self.hold(StoredLease { record, version }, sent);
+        self.become_holder(StoredLease { record, version }, sent);
     }
 
     /// The store did not do the last write, as its condition did not hold.
     pub fn note_conflict(&mut self, now: Time) {
-        self.lose(now, None);
+        self.become_candidate(now, None);
         if let State::Candidate(candidate) = &mut self.state {
-            candidate.looked = None;
+            candidate.last_read = None;
         }
     }
 
     /// The store gave no answer to the last write: it may have been done, or will be.
-    pub fn note_unknown(&mut self) {
+    pub fn note_write_unknown(&mut self) {
         if let State::Holder(holder) = &mut self.state {
-            holder.unsure = true;
+            holder.is_write_unconfirmed = true;
         }
     }
 
@@ -186,7 +189,7 @@
         let State::Holder(holder) = &self.state else {
             return None;
         };
-        let until = holder.confirmed + self.term.saturating_sub(HOLDER_MARGIN);
+        let until = holder.confirmed_at + self.term.saturating_sub(HOLDER_MARGIN);
         let is_held = now < until && !holder.stored.record.released;
         is_held.then_some((holder.stored.record.token, until))
     }
@@ -207,7 +210,7 @@
             return None;
         };
         let StoredLease { record, version } = holder.stored.clone();
-        self.lose(now, None);
+        self.become_candidate(now, None);
         let record = LeaseRecord {
             released: true,
             ..record
@@ -215,29 +218,29 @@
         Some((record, version))
     }
 
-    fn hold(&mut self, stored: StoredLease, sent: Time) {
+    fn become_holder(&mut self, stored: StoredLease, sent: Time) {
         self.state = State::Holder(Holder {
-            confirmed: sent,
-            renewed: sent,
+            confirmed_at: sent,
+            last_write_sent: sent,
             stored,
-            unsure: false,
+            is_write_unconfirmed: false,
         });
     }
 
-    fn lose(&mut self, now: Time, stored: Option<StoredLease>) {
+    fn become_candidate(&mut self, now: Time, stored: Option<StoredLease>) {
         let mut candidate = Candidate::default();
         if stored.is_some() {
-            candidate.looked = Some(now);
-            candidate.see(now, stored);
+            candidate.last_read = Some(now);
+            candidate.observe(now, stored);
         }
         self.state = State::Candidate(candidate);
     }
 }
 
 impl Candidate {
-    fn see(&mut self, now: Time, stored: Option<StoredLease>) {
-        self.seen = stored.map(|stored| {
-            let first = self.seen.take().filter(|(seen, _)| *seen == stored);
+    fn observe(&mut self, now: Time, stored: Option<StoredLease>) {
+        self.observed = stored.map(|stored| {
+            let first = self.observed.take().filter(|(seen, _)| *seen == stored);
             (stored, first.map_or(now, |(_, first)| first))
         });
     }
@@ -246,23 +249,23 @@
     ///
     /// One that was released is free at once, except for hosts that held it before: two
     /// holders must not act in turns within a term.
-    fn wait(&self, now: Time, own: &HostId, term: Duration) -> Option<Duration> {
-        let (stored, first) = self.seen.as_ref()?;
+    fn time_until_free(&self, now: Time, own: &HostId, term: Duration) -> Option<Duration> {
+        let (stored, first) = self.observed.as_ref()?;
         let record = &stored.record;
         if record.released && !record.previous.contains(own) {
             return None;
         }
-        let free = *first + term + TAKER_MARGIN;
-        (now < free).then(|| free.since(now))
+        let free_at = *first + term + CANDIDATE_MARGIN;
+        (now < free_at).then(|| free_at.since(now))
     }
 
-    fn taken(&self, host: HostId, incarnation: Incarnation, era: u32) -> LeaseRecord {
-        let before = self.seen.as_ref().map(|(stored, _)| &stored.record);
+    fn next_record(&self, host: HostId, incarnation: Incarnation, era: u32) -> LeaseRecord {
+        let before = self.observed.as_ref().map(|(stored, _)| &stored.record);
         let holders = before.into_iter().flat_map(|before| {
             let holders = std::iter::once(&before.host).chain(&before.previous);
             holders.filter(|holder| **holder != host)
         });
-        let previous: Vec<HostId> = holders.take(MAX_PREVIOUS).cloned().collect();
+        let previous: Vec<HostId> = holders.take(MAX_PREVIOUS_HOLDERS).cloned().collect();
         LeaseRecord {
             host,
             incarnation,
--- a/crates/policy/src/duties/mod.rs
+++ b/crates/policy/src/duties/mod.rs
@@ -14,12 +14,12 @@
 mod domain_prices;
 mod lease;
 mod lease_record;
+mod median_clock;
 mod observed_demand;
 mod reporting;
 mod service_demand;
 mod start_time;
 mod target_bound;
-mod true_time;
 mod usage_counts;
 mod usage_ledger;
 mod work_counts;
@@ -32,11 +32,11 @@
     domain_prices::DomainPrices,
     lease::{Lease, LeaseStep},
     lease_record::{FencingToken, LeaseRecord, StoredLease},
+    median_clock::MedianClock,
     observed_demand::ObservedDemand,
     service_demand::DemandView,
     start_time::StartTime,
     target_bound::TargetBound,
-    true_time::TrueTime,
     usage_ledger::{UsageLedger, UsageReport, WindowRules},
 };
 
--- a/crates/policy/src/duties/reporting.rs
+++ b/crates/policy/src/duties/reporting.rs
@@ -3,18 +3,18 @@
 use super::*;
 
 /// Time between two messages to the holder …
-const TELL_INTERVAL: Duration = Duration::from_millis(400);
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// … and for each host of the installation, so that the holder's traffic stays bounded:
 /// a message of 24 teams has some 600 bytes.
-const TELL_INTERVAL_PER_HOST: Duration = Duration::from_millis(3);
+const REPORT_INTERVAL_PER_HOST: Duration = Duration::from_millis(3);
 
 /// Time for which the last word of a holder counts.
-const HOLDER_VALID: Duration = Duration::from_secs(6);
+const HOLDER_TTL: Duration = Duration::from_secs(6);
 
 /// Time between two messages to the holder where there are so many hosts.
-pub(super) fn tell_interval(hosts: usize) -> Duration {
-    TELL_INTERVAL + TELL_INTERVAL_PER_HOST * hosts as u32
+pub(super) fn report_interval(hosts: usize) -> Duration {
+    REPORT_INTERVAL + REPORT_INTERVAL_PER_HOST * hosts as u32
 }
 
 /// The host that holds the lease of the duties, as far as this one knows.
@@ -31,12 +31,12 @@
 pub(crate) struct Reporting {
     pub(crate) counts: UsageCounts,
     holder: Option<KnownHolder>,
-    next_announcement: Time,
+    next_report: Time,
     pub(crate) work: WorkCounts,
 }
 
 impl Reporting {
-    fn note_holder(&mut self, now: Time, address: Option<SocketAddr>, note: &DutyNote) {
+    fn update_holder(&mut self, now: Time, address: Option<SocketAddr>, note: &DutyNote) {
         if self
             .holder
             .as_ref()
@@ -49,7 +49,7 @@
             .as_ref()
             .is_none_or(|known| known.token < note.token);
         if is_new {
-            self.next_announcement = now;
+            self.next_report = now;
         }
         self.holder = Some(KnownHolder {
             address,
@@ -57,7 +57,7 @@
             token: note.token,
         });
         self.counts
-            .note_holder(now, note.unix_ms, note.reported_through);
+            .update_from_holder(now, note.unix_ms, note.reported_through);
     }
 }
 
@@ -69,12 +69,12 @@
 
     /// Another host announced that it holds the duties.
     pub(crate) fn on_duty_advertised(&mut self, now: Time, from: SocketAddr, note: &DutyNote) {
-        self.reporting.note_holder(now, Some(from), note);
+        self.reporting.update_holder(now, Some(from), note);
     }
 
     /// This host holds the duties, and tells the others.
     pub(crate) fn on_duty_held(&mut self, now: Time, note: DutyNote, actions: &mut Vec<Action>) {
-        self.reporting.note_holder(now, None, &note);
+        self.reporting.update_holder(now, None, &note);
         let to = if self.neighbors.exchanges_with_subset() {
             self.neighbors.all_addresses().to_vec()
         } else {
@@ -84,18 +84,18 @@
     }
 
     pub(crate) fn on_time_of_day(&mut self, now: Time, unix_ms: u64) {
-        self.reporting.counts.note_own_time(now, unix_ms);
+        self.reporting.counts.record_own_time(now, unix_ms);
     }
 
     /// Tells the holder what was counted.
     pub(crate) fn tick_reporting(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if self.usage_window_ms().is_none() || now < self.reporting.next_announcement {
+        if self.usage_window_ms().is_none() || now < self.reporting.next_report {
             return;
         }
         let hosts = self.neighbors.len().max(self.neighbors.installation_size());
-        self.reporting.next_announcement = now + tell_interval(hosts);
+        self.reporting.next_report = now + report_interval(hosts);
         let holder = self.reporting.holder.as_ref();
-        let Some(holder) = holder.filter(|holder| now.since(holder.last_received) < HOLDER_VALID)
+        let Some(holder) = holder.filter(|holder| now.since(holder.last_received) < HOLDER_TTL)
         else {
             return;
         };
@@ -104,31 +104,31 @@
             incarnation: self.options.incarnation,
             protocol: peer::PROTOCOL,
             unix_ms: 0,
-            windows: self.reporting.counts.windows(),
-            work: self.reporting.work.works(&self.pool),
+            windows: self.reporting.counts.window_counts(),
+            work: self.reporting.work.model_work(&self.pool),
         };
         let to = holder.address;
         actions.push(Action::TellUsage { note, to });
     }
 
     /// Counts a request of a team that began to run at a moment.
-    pub(crate) fn note_begun(&mut self, now: Time, begun: Time, team: Option<TeamId>) {
+    pub(crate) fn count_started(&mut self, now: Time, started: Time, team: Option<TeamId>) {
         if let Some((team, window_ms)) = team.zip(self.usage_window_ms()) {
             let counts = &mut self.reporting.counts;
-            counts.note_begun(begun, now, &team, window_ms);
+            counts.count_started(started, now, &team, window_ms);
         }
     }
 
     /// Counts a request that was answered whole, if that was not done with its first token.
-    pub(crate) fn note_answered(&mut self, now: Time, request: &mut Request<Running>) {
-        self.note_call_begun(now, request);
+    pub(crate) fn count_answered(&mut self, now: Time, request: &mut Request<Running>) {
+        self.count_service_call(now, request);
         let team = request.take_uncounted_team();
-        self.note_begun(now, now, team);
+        self.count_started(now, now, team);
     }
 
     /// Counts a request that failed, if it most likely began: an upstream that answers with
     /// an error of its own has begun it.
-    pub(crate) fn note_failed_begun(
+    pub(crate) fn count_failed(
         &mut self,
         now: Time,
         request: &mut Request<Running>,
@@ -137,19 +137,19 @@
         if failure.verdict == Verdict::NotRun {
             return;
         }
-        self.note_call_begun(now, request);
+        self.count_service_call(now, request);
         if failure.cause == FailureCause::ErrorStatus {
             let team = request.take_uncounted_team();
-            self.note_begun(now, now, team);
+            self.count_started(now, now, team);
         }
     }
 
     /// Counts a call that a plain service began when it got it, as far as can be known. An
     /// engine begins with the first token.
-    pub(crate) fn note_call_begun(&mut self, now: Time, request: &mut Request<Running>) {
+    pub(crate) fn count_service_call(&mut self, now: Time, request: &mut Request<Running>) {
         if matches!(request.facts.target, Target::Service(_)) {
             let team = request.take_uncounted_team();
-            self.note_begun(now, request.stage.sent, team);
+            self.count_started(now, request.stage.sent, team);
         }
     }
 }
--- a/crates/policy/src/duties/service_demand.rs
+++ b/crates/policy/src/duties/service_demand.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ServiceDemand {
     forecast: DemandForecast,
-    pub(super) start: StartTime,
+    pub(super) start_time: StartTime,
     pub(super) target: CapacityTarget,
 }
 
@@ -16,7 +16,7 @@
     /// Upstreams that are busy now.
     pub busy: f64,
     /// Upstreams that will be busy at the most.
-    pub busiest: f64,
+    pub peak_busy: f64,
     /// Whether prices by failure domain can be used.
     pub has_prices: bool,
 }
@@ -26,55 +26,56 @@
     /// number changed.
     ///
     /// `at_start` are the upstreams of the start, `by_start` those that are kept for them.
-    pub(super) fn note(
+    pub(super) fn update(
         &mut self,
         now: Time,
         demand: Option<&ObservedDemand>,
         pools: &[&PoolCapacity],
-        at_start: u32,
-        by_start: u32,
-        parts: &[f64],
+        baseline: u32,
+        planned_for_baseline: u32,
+        shares: &[f64],
     ) -> bool {
         let Some(demand) = demand else {
             self.forecast.note_unobserved();
-            self.target.note_unknown();
+            self.target.note_demand_unknown();
             return false;
         };
         let slots = pools.iter().map(|pool| pool.slots).max();
-        self.forecast.note(now, demand, slots.unwrap_or_default());
-        if at_start == 0 || self.forecast.level() <= 0.0 {
-            self.target.note_unknown();
+        self.forecast.record(now, demand, slots.unwrap_or_default());
+        if baseline == 0 || self.forecast.busy() <= 0.0 {
+            self.target.note_demand_unknown();
             return false;
         }
         if self.target.count().is_none() {
-            self.target.begin(by_start);
+            self.target.set_initial(planned_for_baseline);
         }
-        let greatest_part = parts.iter().copied().fold(0.0, f64::max);
+        let max_domain_share = shares.iter().copied().fold(0.0, f64::max);
         let ready = pools.iter();
         let ready = ready.map(|pool| pool.regular_ready + pool.reclaimable_ready);
         let need = CapacityNeed {
-            at_start,
-            busiest: self.busiest(pools),
-            exposed_share: greatest_part,
-            is_new: !self.forecast.is_known(now),
+            baseline,
+            peak_busy: self.peak_busy(pools),
+            max_domain_share,
+            is_history_short: !self.forecast.has_full_window(now),
             ready: ready.sum(),
-            usual: self.forecast.usual(),
+            average_busy: self.forecast.average_busy(),
             waiting_ms: demand.waiting_ms,
         };
-        self.target.note_need(now, &need)
+        self.target.update(now, &need)
     }
 
-    fn busiest(&self, pools: &[&PoolCapacity]) -> f64 {
-        let named = pools.iter().find_map(|pool| pool.start);
-        self.forecast.busiest(self.start.get(named))
+    fn peak_busy(&self, pools: &[&PoolCapacity]) -> f64 {
+        let configured = pools.iter().find_map(|pool| pool.start_time);
+        self.forecast
+            .peak_busy(self.start_time.estimate(configured))
     }
 
     pub(super) fn view(&self, pools: &[&PoolCapacity]) -> DemandView {
         DemandView {
             bound: self.target.bound(),
-            busiest: self.busiest(pools),
-            busy: self.forecast.level(),
-            has_prices: capacity_plan::prices_of(pools).is_some(),
+            peak_busy: self.peak_busy(pools),
+            busy: self.forecast.busy(),
+            has_prices: capacity_plan::domain_prices(pools).is_some(),
         }
     }
 }
--- a/crates/policy/src/duties/usage_counts.rs
+++ b/crates/policy/src/duties/usage_counts.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 /// Windows that are kept while they are not known to be reported.
-const MAX_WINDOWS: usize = 6;
+const MAX_UNREPORTED_WINDOWS: usize = 6;
 
 /// Own readings of the time of day from which the time is taken while no holder tells it.
-const MAX_READINGS: usize = 60;
+const MAX_OWN_READINGS: usize = 60;
 
 /// Time for which a holder's word on the time counts.
-const ANNOUNCEMENT_VALID: Duration = Duration::from_secs(30);
+const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(30);
 
 /// Requests of each team that began to run on this host's account, by window.
 #[derive(Debug, Default)]
@@ -22,24 +22,30 @@
 
 impl UsageCounts {
     /// Takes a reading of this host's time of day.
-    pub(crate) fn note_own_time(&mut self, now: Time, unix_ms: u64) {
-        let offset_ms = unix_ms as i64 - true_time::steady_ms(now);
+    pub(crate) fn record_own_time(&mut self, now: Time, unix_ms: u64) {
+        let offset_ms = unix_ms as i64 - median_clock::steady_ms(now);
         self.own_offsets_ms.push_back(offset_ms);
-        if self.own_offsets_ms.len() > MAX_READINGS {
+        if self.own_offsets_ms.len() > MAX_OWN_READINGS {
             self.own_offsets_ms.pop_front();
         }
     }
 
     /// Takes the holder's word on the time and on what was reported.
-    pub(crate) fn note_holder(&mut self, now: Time, unix_ms: u64, reported_through: u64) {
-        self.announced_offset_ms = Some((now, unix_ms as i64 - true_time::steady_ms(now)));
+    pub(crate) fn update_from_holder(&mut self, now: Time, unix_ms: u64, reported_through: u64) {
+        self.announced_offset_ms = Some((now, unix_ms as i64 - median_clock::steady_ms(now)));
         self.reported_through = Some(reported_through);
         self.windows.retain(|window, _| *window > reported_through);
     }
 
     /// Counts a request that began to run at a moment.
-    pub(crate) fn note_begun(&mut self, begun: Time, now: Time, team: &TeamId, window_ms: u64) {
-        let Some(window) = self.window(begun, now, window_ms) else {
+    pub(crate) fn count_started(
+        &mut self,
+        started: Time,
+        now: Time,
+        team: &TeamId,
+        window_ms: u64,
+    ) {
+        let Some(window) = self.window_at(started, now, window_ms) else {
             return;
         };
         if self
@@ -50,14 +56,14 @@
         }
         let teams = self.windows.entry(window).or_default();
         *teams.entry(team.clone()).or_default() += 1;
-        while self.windows.len() > MAX_WINDOWS {
+        while self.windows.len() > MAX_UNREPORTED_WINDOWS {
             self.windows.pop_first();
         }
     }
 
     /// What is to be announced to other hosts: totals, so that a lost or doubled message does no
     /// harm.
-    pub(crate) fn windows(&self) -> Vec<WindowCounts> {
+    pub(crate) fn window_counts(&self) -> Vec<WindowCounts> {
         let windows = self.windows.iter();
         windows
             .map(|(window, counts)| WindowCounts {
@@ -70,17 +76,17 @@
             .collect()
     }
 
-    fn window(&self, begun: Time, now: Time, window_ms: u64) -> Option<u64> {
-        let unix_ms = true_time::steady_ms(begun) + self.offset_ms(now)?;
+    fn window_at(&self, started: Time, now: Time, window_ms: u64) -> Option<u64> {
+        let unix_ms = median_clock::steady_ms(started) + self.offset_ms(now)?;
         u64::try_from(unix_ms).ok()?.checked_div(window_ms)
     }
 
     /// The holder's word, or the median of the own readings: one that jumps for some seconds
     /// does not move it.
     fn offset_ms(&self, now: Time) -> Option<i64> {
-        let advertised = self.announced_offset_ms;
+        let announced = self.announced_offset_ms;
         if let Some((_, offset_ms)) =
-            advertised.filter(|(advertised, _)| now.since(*advertised) < ANNOUNCEMENT_VALID)
+            announced.filter(|(announced, _)| now.since(*announced) < ANNOUNCEMENT_TTL)
         {
             return Some(offset_ms);
         }
--- a/crates/policy/src/duties/work_counts.rs
+++ b/crates/policy/src/duties/work_counts.rs
@@ -9,7 +9,7 @@
 
 impl WorkCounts {
     /// Counts a prompt that an engine gets to read.
-    pub(crate) fn note_sent(&mut self, model: &ModelId, read_ms: f64) {
+    pub(crate) fn add_prompt(&mut self, model: &ModelId, read_ms: f64) {
         if let Some(total_ms) = self.totals_ms.get_mut(model) {
             *total_ms += read_ms;
         } else {
@@ -18,18 +18,18 @@
     }
 
     /// What is to be told the holder of the duties: totals, so that a lost message does no harm.
-    pub(crate) fn works(&self, pool: &Pool) -> Vec<ModelWork> {
+    pub(crate) fn model_work(&self, pool: &Pool) -> Vec<ModelWork> {
         let totals_ms = self.totals_ms.iter().take(peer::MAX_MODELS);
         totals_ms
             .map(|(model, total_ms)| {
                 let target = Target::Model(model.clone());
-                let copies = pool.upstreams_of(&target);
-                let waiting_ms: f64 = copies
+                let upstreams = pool.upstreams_of(&target);
+                let waiting_ms: f64 = upstreams
                     .clone()
                     .map(|state| state.prefill_ms(state.backlog_tokens))
                     .sum();
                 ModelWork {
-                    in_flight: copies.map(|state| state.in_flight).sum(),
+                    in_flight: upstreams.map(|state| state.in_flight).sum(),
                     model: model.clone(),
                     total_ms: *total_ms as u64,
                     waiting_ms: waiting_ms as u32,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -51,9 +51,9 @@
     crashes::{CrashNoted, CrashSource},
     duties::{
         CapacityNeed, CapacityOrder, CapacityPlan, CapacityTarget, DemandForecast, DemandLedger,
-        DemandView, DomainPrices, FencingToken, Lease, LeaseRecord, LeaseStep, ObservedDemand,
-        PoolCapacity, StartTime, StoredLease, TargetBound, TrueTime, UsageLedger, UsageReport,
-        WindowRules,
+        DemandView, DomainPrices, FencingToken, Lease, LeaseRecord, LeaseStep, MedianClock,
+        ObservedDemand, PoolCapacity, StartTime, StoredLease, TargetBound, UsageLedger,
+        UsageReport, WindowRules,
     },
     event::Event,
     fetch_end::FetchEnd,
--- a/crates/policy/src/prompt_transfers/starting.rs
+++ b/crates/policy/src/prompt_transfers/starting.rs
@@ -31,7 +31,7 @@
             request.stage.prefill = state.start_prefill(&facts.parts);
             if let Target::Model(model) = &facts.target {
                 let read_ms = state.prefill_ms(u64::from(request.stage.prefill.get()));
-                self.reporting.work.note_sent(model, read_ms);
+                self.reporting.work.add_prompt(model, read_ms);
             }
             let reads = state.note_prompt_sent(&facts.parts);
             if TransferSpeed::of(state).is_none() {
--- a/crates/policy/src/requests/attempts.rs
+++ b/crates/policy/src/requests/attempts.rs
@@ -42,7 +42,7 @@
         let is_direct = request.stage.is_direct;
         let read_parts = is_first_on_upstream.then(|| request.facts.parts.clone());
         let team = request.take_uncounted_team();
-        self.note_begun(now, now, team);
+        self.count_started(now, now, team);
         if let Some(parts) = read_parts {
             self.note_prompt_read(&upstream, &parts, is_rendezvous);
         }
@@ -122,7 +122,7 @@
         response: Option<StoredResponse>,
         actions: &mut Vec<Action>,
     ) {
-        self.note_answered(now, &mut request);
+        self.count_answered(now, &mut request);
         if !request.stage.is_streaming {
             let stage = &request.stage;
             self.note_prompt_read(&stage.upstream, &request.facts.parts, stage.is_rendezvous);
@@ -162,7 +162,7 @@
     ) {
         request.verdict = request.verdict.join(failure.verdict);
         request.possible_runs += u32::from(failure.verdict != Verdict::NotRun);
-        self.note_failed_begun(now, &mut request, failure);
+        self.count_failed(now, &mut request, failure);
         self.note_unfinished(now, &request);
         let is_path_failure = failure.cause.is_of_connection() && self.is_path_lost(&request.stage);
         if !is_path_failure {
--- a/crates/policy/src/requests/refusing.rs
+++ b/crates/policy/src/requests/refusing.rs
@@ -117,7 +117,7 @@
         mut request: Request<Running>,
         actions: &mut Vec<Action>,
     ) {
-        self.note_call_begun(now, &mut request);
+        self.count_service_call(now, &mut request);
         self.note_unfinished(now, &request);
         self.release_slot(now, &request);
         self.limits.release(&request.facts.team);
--- a/crates/policy/tests/duties/capacity.rs
+++ b/crates/policy/tests/duties/capacity.rs
@@ -44,7 +44,7 @@
             regular_ready: self.regular,
             service: "pool".parse().unwrap(),
             slots: 64,
-            start: None,
+            start_time: None,
         }
     }
 
@@ -159,7 +159,7 @@
     let mut plan = CapacityPlan::default();
     let domains = ["a", "b", "c"].map(|domain| (domain.parse().unwrap(), 20));
     let service = || "pool".parse().unwrap();
-    plan.resume(
+    plan.restore_baselines(
         domains
             .clone()
             .map(|(domain, count)| (service(), domain, count))
@@ -191,10 +191,10 @@
 fn a_later_holder_goes_on_with_what_was_wanted() {
     let mut platform = Platform::with_regular(20);
     platform.pass(Duration::from_secs(20));
-    let wanted = platform.plan.wanted();
+    let wanted = platform.plan.baselines();
     platform.reclaimable = 3;
     platform.plan = CapacityPlan::default();
-    platform.plan.resume(wanted);
+    platform.plan.restore_baselines(wanted);
     platform.orders();
     platform.pass(Duration::from_secs(15));
     assert_eq!((platform.reclaimable, platform.regular), (38, 2));
--- a/crates/policy/tests/duties/demand.rs
+++ b/crates/policy/tests/duties/demand.rs
@@ -250,7 +250,7 @@
 #[test]
 fn cheaper_failure_domains_get_more_within_bounds() {
     let prices = |named: [Option<f64>; 3]| DomainPrices::new(named.into_iter());
-    let parts = prices([Some(1.0), Some(0.1), Some(3.0)]).unwrap().parts();
+    let parts = prices([Some(1.0), Some(0.1), Some(3.0)]).unwrap().shares();
     assert!(parts[1] > parts[0] && parts[0] >= parts[2], "{parts:?}");
     assert!(
         parts.iter().all(|part| (0.25..0.45).contains(part)),
@@ -260,17 +260,21 @@
     for price in absurd {
         assert_eq!(prices([Some(1.0), Some(0.8), price]), None, "{price:?}");
     }
-    assert_eq!(DomainPrices::equal(4).parts(), [0.25; 4]);
+    assert_eq!(DomainPrices::equal(4).shares(), [0.25; 4]);
 }
 
 /// Guards against an upstream's start time that is taken from one late order.
 #[test]
 fn start_times_are_learned() {
     let mut start = StartTime::default();
-    assert_eq!(start.get(Some(seconds(4))), seconds(4));
-    start.note(seconds(6));
-    assert_eq!(start.get(Some(seconds(4))), seconds(6));
-    start.note(Duration::MAX);
-    assert!(start.get(None) < seconds(30), "{:?}", start.get(None));
+    assert_eq!(start.estimate(Some(seconds(4))), seconds(4));
+    start.record(seconds(6));
+    assert_eq!(start.estimate(Some(seconds(4))), seconds(6));
+    start.record(Duration::MAX);
+    assert!(
+        start.estimate(None) < seconds(30),
+        "{:?}",
+        start.estimate(None)
+    );
     assert!(CapacityPlan::default().targets().is_empty());
 }
--- a/crates/policy/tests/duties/lease.rs
+++ b/crates/policy/tests/duties/lease.rs
@@ -158,7 +158,7 @@
                 let lease = &mut self.nodes[host].lease;
                 match answer {
                     Answer::Conflict => lease.note_conflict(now),
-                    Answer::Lost => lease.note_unknown(),
+                    Answer::Lost => lease.note_write_unknown(),
                     Answer::Read(row) => lease.note_read(now, row),
                     Answer::Written {
                         record,
@@ -179,7 +179,7 @@
     fn call(&mut self, host: usize, now: Time) {
         let delay_ms = self.rng.random_range(5..600);
         let at_ms = self.now_ms + delay_ms;
-        match self.nodes[host].lease.next(now, 0) {
+        match self.nodes[host].lease.next_step(now, 0) {
             LeaseStep::Wait(wait) => {
                 self.nodes[host].next_ms = self.now_ms + wait.as_millis() as u64;
             }
@@ -334,9 +334,9 @@
     let mut hosts: Vec<Lease> = (0..HOSTS).map(|host| node(host, 0).lease).collect();
     let mut row: Option<StoredLease> = None;
     for (version, lease) in (1..).zip(&mut hosts) {
-        assert_eq!(lease.next(now, 0), LeaseStep::Read);
+        assert_eq!(lease.next_step(now, 0), LeaseStep::Read);
         lease.note_read(now, row.clone());
-        let LeaseStep::Write { record, .. } = lease.next(now, 0) else {
+        let LeaseStep::Write { record, .. } = lease.next_step(now, 0) else {
             panic!("it is free");
         };
         lease.note_written(now, record, version);
@@ -344,7 +344,7 @@
         row = Some(StoredLease { record, version });
     }
     let first = &mut hosts[0];
-    assert_eq!(first.next(now, 0), LeaseStep::Read);
+    assert_eq!(first.next_step(now, 0), LeaseStep::Read);
     first.note_read(now, row);
-    assert!(matches!(first.next(now, 0), LeaseStep::Wait(_)));
+    assert!(matches!(first.next_step(now, 0), LeaseStep::Wait(_)));
 }
--- a/crates/policy/tests/duties/ledger.rs
+++ b/crates/policy/tests/duties/ledger.rs
@@ -25,7 +25,7 @@
 
 fn total_ms(ledger: &mut DemandLedger, now: Time) -> f64 {
     let model: ModelId = "pool".parse().unwrap();
-    ledger.observed(now, 1).unwrap()[&model].total_ms
+    ledger.observed_demand(now, 1).unwrap()[&model].total_ms
 }
 
 /// Guards against work that counts twice, or that a host did before it was observed.
@@ -33,10 +33,10 @@
 fn totals_count_once() {
     let mut ledger = DemandLedger::default();
     let at = |ms: u64| Time::from_ms(10_000 + ms);
-    ledger.take(at(0), &note(1, 1, 5_000));
-    ledger.take(at(500), &note(1, 1, 5_400));
-    ledger.take(at(600), &note(1, 1, 5_100));
-    ledger.take(at(700), &note(1, 1, 5_400));
+    ledger.record(at(0), &note(1, 1, 5_000));
+    ledger.record(at(500), &note(1, 1, 5_400));
+    ledger.record(at(600), &note(1, 1, 5_100));
+    ledger.record(at(700), &note(1, 1, 5_400));
     assert_eq!(total_ms(&mut ledger, at(700)), 400.0);
 }
 
@@ -45,10 +45,10 @@
 fn a_restarted_host_adds_what_it_did_since() {
     let mut ledger = DemandLedger::default();
     let at = |ms: u64| Time::from_ms(10_000 + ms);
-    ledger.take(at(0), &note(1, 1, 5_000));
-    ledger.take(at(900), &note(1, 2, 300));
-    ledger.take(at(901), &note(1, 1, 5_000));
-    ledger.take(at(950), &note(1, 2, 300));
+    ledger.record(at(0), &note(1, 1, 5_000));
+    ledger.record(at(900), &note(1, 2, 300));
+    ledger.record(at(901), &note(1, 1, 5_000));
+    ledger.record(at(950), &note(1, 2, 300));
     assert_eq!(total_ms(&mut ledger, at(950)), 300.0);
 }
 
@@ -58,13 +58,13 @@
     let mut ledger = DemandLedger::default();
     let now = Time::from_ms(10_000);
     for host in 0..10 {
-        ledger.take(now, &note(host, 1, 0));
+        ledger.record(now, &note(host, 1, 0));
     }
-    assert!(ledger.observed(now, 10).is_some());
-    assert!(ledger.observed(now, 13).is_some());
-    assert!(ledger.observed(now, 14).is_none());
-    assert!(ledger.observed(now, 0).is_none());
+    assert!(ledger.observed_demand(now, 10).is_some());
+    assert!(ledger.observed_demand(now, 13).is_some());
+    assert!(ledger.observed_demand(now, 14).is_none());
+    assert!(ledger.observed_demand(now, 0).is_none());
     let later = now + Duration::from_secs(4);
-    assert!(ledger.observed(later, 10).is_none());
-    assert!(ledger.observed(later, 985).is_none());
+    assert!(ledger.observed_demand(later, 10).is_none());
+    assert!(ledger.observed_demand(later, 985).is_none());
 }
--- a/crates/policy/tests/duties/played_service.rs
+++ b/crates/policy/tests/duties/played_service.rs
@@ -107,7 +107,7 @@
     }
 
     pub fn bound(&self) -> TargetBound {
-        let view = self.plan.view(&service(), &self.pools());
+        let view = self.plan.demand_view(&service(), &self.pools());
         view.unwrap().bound
     }
 
@@ -120,11 +120,11 @@
     }
 
     pub fn change_holder(&mut self) {
-        let (wanted, targets) = (self.plan.wanted(), self.plan.targets());
+        let (wanted, targets) = (self.plan.baselines(), self.plan.targets());
         self.ledger = DemandLedger::default();
         self.plan = CapacityPlan::default();
-        self.plan.resume(wanted);
-        self.plan.resume_targets(targets);
+        self.plan.restore_baselines(wanted);
+        self.plan.restore_targets(targets);
     }
 
     /// Seconds since callers came; `None` before.
@@ -147,8 +147,8 @@
         }
         let pools = self.pools();
         if self.follows_demand {
-            let observed = self.ledger.observed(now, HOSTS as usize);
-            self.plan.note_demand(now, observed.as_ref(), &pools);
+            let observed = self.ledger.observed_demand(now, HOSTS as usize);
+            self.plan.update_demand(now, observed.as_ref(), &pools);
         }
         for order in self.plan.orders(now, &pools) {
             if !self.loses_orders {
@@ -183,7 +183,7 @@
                     waiting_ms: 0,
                 }],
             };
-            self.ledger.take(self.now, &note);
+            self.ledger.record(self.now, &note);
         }
     }
 
@@ -202,7 +202,7 @@
                     regular_ready,
                     service: service(),
                     slots: 64,
-                    start: None,
+                    start_time: None,
                 },
             )
             .collect()
--- a/crates/policy/tests/duties/usage.rs
+++ b/crates/policy/tests/duties/usage.rs
@@ -6,8 +6,8 @@
 };
 
 const RULES: WindowRules = WindowRules {
-    late: Duration::from_secs(10),
-    window: Duration::from_secs(5),
+    report_deadline: Duration::from_secs(10),
+    window_length: Duration::from_secs(5),
 };
 
 /// Unix time at the steady clock's zero.
@@ -40,21 +40,21 @@
 fn counts_of_all_hosts_and_incarnations_are_added_once() {
     let mut ledger = UsageLedger::new(RULES);
     assert_eq!(
-        ledger.due(Time::from_ms(0)),
+        ledger.next_report(Time::from_ms(0)),
         None,
         "no host has announced the time"
     );
     let during = Time::from_ms(4_000);
-    ledger.take(during, note(1, 1, during, &[(WINDOW, 10)]));
-    assert_eq!(ledger.due(during), None);
+    ledger.record(during, note(1, 1, during, &[(WINDOW, 10)]));
+    assert_eq!(ledger.next_report(during), None);
     let after = Time::from_ms(6_600);
-    ledger.take(after, note(1, 1, after, &[(WINDOW, 12)]));
-    ledger.take(after, note(1, 1, during, &[(WINDOW, 10)]));
-    ledger.take(after, note(1, 2, after, &[(WINDOW, 3)]));
-    ledger.take(after, note(2, 7, after, &[(WINDOW, 5), (WINDOW + 1, 1)]));
-    assert_eq!(ledger.due(after), report(WINDOW, 20));
+    ledger.record(after, note(1, 1, after, &[(WINDOW, 12)]));
+    ledger.record(after, note(1, 1, during, &[(WINDOW, 10)]));
+    ledger.record(after, note(1, 2, after, &[(WINDOW, 3)]));
+    ledger.record(after, note(2, 7, after, &[(WINDOW, 5), (WINDOW + 1, 1)]));
+    assert_eq!(ledger.next_report(after), report(WINDOW, 20));
     ledger.note_reported(WINDOW);
-    assert_eq!(ledger.due(after), None, "the next window goes on");
+    assert_eq!(ledger.next_report(after), None, "the next window goes on");
 }
 
 /// Guards against a report without a host whose last counts are still on their way, and
@@ -63,15 +63,15 @@
 fn a_host_that_is_not_observed_is_waited_for_as_long_as_the_report_allows() {
     let mut ledger = UsageLedger::new(RULES);
     let during = Time::from_ms(4_000);
-    ledger.take(during, note(1, 1, during, &[(WINDOW, 10)]));
-    ledger.take(during, note(2, 1, during, &[(WINDOW, 10)]));
-    assert_eq!(ledger.due(during), None);
+    ledger.record(during, note(1, 1, during, &[(WINDOW, 10)]));
+    ledger.record(during, note(2, 1, during, &[(WINDOW, 10)]));
+    assert_eq!(ledger.next_report(during), None);
     let after = Time::from_ms(6_600);
-    ledger.take(after, note(1, 1, after, &[(WINDOW, 12)]));
-    assert_eq!(ledger.due(after), None);
+    ledger.record(after, note(1, 1, after, &[(WINDOW, 12)]));
+    assert_eq!(ledger.next_report(after), None);
     let last = Time::from_ms(11_500);
-    ledger.take(last, note(1, 1, last, &[(WINDOW, 12)]));
-    assert_eq!(ledger.due(last), report(WINDOW, 22));
+    ledger.record(last, note(1, 1, last, &[(WINDOW, 12)]));
+    assert_eq!(ledger.next_report(last), report(WINDOW, 22));
 }
 
 /// Guards against windows that begin where the time of day of a few hosts has jumped.
@@ -83,7 +83,7 @@
         let jump_ms = if host < 3 { 2_400 } else { 0 };
         let mut note = note(host, 1, now, &[]);
         note.unix_ms -= jump_ms;
-        ledger.take(now, note);
+        ledger.record(now, note);
     }
     assert_eq!(ledger.unix_ms(now), Some(ZERO_UNIX_MS + 2_000));
 }
@@ -94,11 +94,11 @@
     let mut ledger = UsageLedger::new(RULES);
     let now = Time::from_ms(6_600);
     ledger.note_reported(WINDOW);
-    ledger.take(now, note(1, 1, now, &[(WINDOW, 12), (WINDOW + 1, 4)]));
-    assert_eq!(ledger.due(now), None);
+    ledger.record(now, note(1, 1, now, &[(WINDOW, 12), (WINDOW + 1, 4)]));
+    assert_eq!(ledger.next_report(now), None);
     let later = Time::from_ms(12_000);
-    ledger.take(later, note(1, 1, later, &[(WINDOW + 1, 9)]));
-    assert_eq!(ledger.due(later), report(WINDOW + 1, 9));
+    ledger.record(later, note(1, 1, later, &[(WINDOW + 1, 9)]));
+    assert_eq!(ledger.next_report(later), report(WINDOW + 1, 9));
 }
 
 /// Guards against a new holder that reports a window from the first hosts that it observes.
@@ -107,10 +107,13 @@
     let mut ledger = UsageLedger::new(RULES);
     ledger.note_reported(WINDOW - 1);
     let taken = Time::from_ms(8_000);
-    ledger.begin(taken);
-    ledger.take(taken, note(1, 1, taken, &[(WINDOW, 12)]));
+    ledger.begin_term(taken);
+    ledger.record(taken, note(1, 1, taken, &[(WINDOW, 12)]));
     let soon = Time::from_ms(8_500);
-    assert_eq!(ledger.due(soon), None);
-    ledger.take(soon, note(2, 1, soon, &[(WINDOW, 30)]));
-    assert_eq!(ledger.due(Time::from_ms(10_100)), report(WINDOW, 42));
+    assert_eq!(ledger.next_report(soon), None);
+    ledger.record(soon, note(2, 1, soon, &[(WINDOW, 30)]));
+    assert_eq!(
+        ledger.next_report(Time::from_ms(10_100)),
+        report(WINDOW, 42)
+    );
 }
