--- a/crates/policy/src/duties/capacity_plan.rs
+++ b/crates/policy/src/duties/capacity_plan.rs
@@ -1,84 +1,86 @@
 use super::*;
 
-/// Time for which no further upstream must have come before their number counts as what the
-/// operator wants: they register one after the other.
+/// Time without a new upstream after which the number of upstreams counts as the one that the
+/// operator wants. Upstreams register one after the other at the start.
 const REGISTRATION_SETTLE_TIME: Duration = Duration::from_millis(2_500);
 
-/// Time without a further order for reclaimable upstreams after one was refused. It doubles
-/// each time …
+/// Pause before reclaimable upstreams are ordered again after a refusal. The pause doubles with
+/// each further refusal, up to [`MAX_REFUSAL_BACKOFF`].
 const INITIAL_REFUSAL_BACKOFF: Duration = Duration::from_secs(4);
 
-/// … up to this: where none can be had for long, each try is a call that gains nothing.
+/// Longest pause after a refusal. While no reclaimable upstreams are available for a long time,
+/// each further order is a call without effect.
 const MAX_REFUSAL_BACKOFF: Duration = Duration::from_secs(8);
 
-/// Part of the wanted upstreams of a domain that stays regular, so that a domain keeps some
-/// whatever is taken away.
+/// Share of a domain's baseline that stays regular, so that the domain keeps some upstreams when
+/// all reclaimable ones are taken away.
 const MIN_REGULAR_SHARE: f64 = 0.1;
 
-/// Part of the price of the wanted upstreams, all of them regular, that is spent: what is
-/// saved on cheaper ones buys more of them, for bursts.
+/// Share of the baseline's price at regular rates that is spent. The savings on reclaimable
+/// upstreams pay for additional ones, as a reserve for bursts.
 const BUDGET_SHARE: f64 = 0.6;
 
-/// Upstreams of a service up to which one kind takes the place of the other: each that comes
-/// or goes is announced to all hosts, and thousands at once would hold up what they must learn in
-/// time.
+/// Greatest baseline of a service for which reclaimable upstreams replace regular ones. Every
+/// upstream that starts or stops is announced to all hosts, and thousands of announcements at once
+/// would delay other updates that the hosts need in time.
 const MAX_REPLACEABLE: u32 = 200;
 
-/// Time for which enough reclaimable upstreams must be ready before regular ones are given
-/// up: those are lost with what they keep.
+/// Time for which enough reclaimable upstreams must have been ready before regular ones are
+/// released. A released upstream loses its prompt cache.
 const REGULAR_SCALE_DOWN_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Time after which an order that was not filled is made again.
+/// Time after which an order that was not filled is placed again.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(8);
 
-/// What is listed of the upstreams of one service in one failure domain.
+/// Capacity of one service in one failure domain, as listed by the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolCapacity {
-    /// The failure domain.
+    /// Failure domain of the pool.
     pub domain: FailureDomainId,
-    /// Most upstreams of both kinds together.
+    /// Maximum number of upstreams, regular and reclaimable together.
     pub max: u32,
-    /// Fewest upstreams of both kinds together.
+    /// Minimum number of upstreams, regular and reclaimable together.
     pub min: u32,
-    /// The model, where the upstreams are engines.
+    /// Model that the upstreams serve, if they are engines.
     pub model: Option<ModelId>,
-    /// Price of a regular upstream, beside that of other failure domains.
+    /// Price of a regular upstream, relative to the prices in other failure domains.
     pub price: Option<f64>,
-    /// Price of a reclaimable upstream as a part of that of a regular one; `None` if there
-    /// are none.
+    /// Price of a reclaimable upstream as a fraction of the price of a regular one; `None` if the
+    /// pool has no reclaimable upstreams.
     pub reclaimable_price: Option<f64>,
-    /// Reclaimable upstreams that take work.
+    /// Reclaimable upstreams that accept requests.
     pub reclaimable_ready: u32,
-    /// Regular upstreams that take work.
+    /// Regular upstreams that accept requests.
     pub regular_ready: u32,
-    /// The service.
+    /// Service of the upstreams.
     pub service: ServiceId,
-    /// Requests that an upstream runs at once.
+    /// Requests that an upstream runs concurrently.
     pub slots: u32,
-    /// Time that an upstream takes to start, as the operator names it.
+    /// Time that an upstream takes to start, as configured by the operator.
     pub start_time: Option<Duration>,
 }
 
-/// An order for upstreams.
+/// Order for upstreams of one kind in one failure domain.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CapacityOrder {
-    /// How many there should be of this kind.
+    /// Desired total number of upstreams of this kind, including those that already run.
     pub count: u32,
-    /// Where.
+    /// Failure domain of the upstreams.
     pub domain: FailureDomainId,
-    /// Whether they are of the kind that may be reclaimed.
+    /// Whether the upstreams are of the kind that may be reclaimed.
     pub is_reclaimable: bool,
-    /// Of which service.
+    /// Service of the upstreams.
     pub service: ServiceId,
 }
 
-/// Decides how many upstreams of each kind there should be.
+/// Decides how many regular and reclaimable upstreams each failure domain should have.
 ///
-/// The number that was there at the start is kept over all failure domains, also after all
-/// reclaimable upstreams of one of them are taken away, until it is known what is asked for;
-/// then a number that follows it. Where reclaimable ones are cheaper they take the place of
-/// most regular ones, once they are ready. Regular ones are ordered at once where too few
-/// reclaimable ones are left.
+/// While demand is unknown, the plan keeps the number of upstreams present at the start (the
+/// baseline) in all failure domains together, even after one domain has lost all its reclaimable
+/// upstreams. Once demand is known, the number follows the demand.
+///
+/// Where reclaimable upstreams are cheaper, they replace most regular ones as soon as they are
+/// ready. Regular ones are ordered immediately where too few reclaimable ones are left.
 #[derive(Debug, Default)]
 pub struct CapacityPlan {
     pools: BTreeMap<(ServiceId, FailureDomainId), PoolPlan>,
@@ -87,16 +89,16 @@
 
 #[derive(Debug, Default)]
 struct PoolPlan {
-    /// When the wanted number last grew.
+    /// When the baseline last grew.
     last_growth: Time,
     last_orders: BTreeMap<bool, PlacedOrder>,
     refusal_backoff: Option<Duration>,
     backoff_until: Time,
-    /// Since when enough reclaimable upstreams are ready.
+    /// Since when enough reclaimable upstreams have been ready.
     surplus_since: Option<Time>,
-    /// Upstreams of both kinds by what is asked for, once that is known.
+    /// Upstreams of both kinds that the demand requires; `None` while demand is unknown.
     target: Option<u32>,
-    /// Upstreams that the operator wants, as they were there at the start.
+    /// Upstreams that were present at the start, which is the number that the operator wants.
     baseline: u32,
 }
 
@@ -104,12 +106,12 @@
 struct PlacedOrder {
     placed_at: Time,
     count: u32,
-    /// Whether upstreams of it are still to come.
+    /// Whether the ordered upstreams have not all started yet.
     is_pending: bool,
 }
 
 impl CapacityPlan {
-    /// Upstreams that are wanted, by service and failure domain, for a host that takes over.
+    /// Baselines by service and failure domain, to be stored for the next lease holder.
     pub fn baselines(&self) -> Vec<(ServiceId, FailureDomainId, u32)> {
         let pools = self.pools.iter();
         pools
@@ -117,7 +119,7 @@
             .collect()
     }
 
-    /// Goes on from what an earlier holder wanted.
+    /// Restores the baselines that an earlier lease holder stored.
     pub fn restore_baselines(&mut self, baselines: Vec<(ServiceId, FailureDomainId, u32)>) {
         for (service, domain, count) in baselines {
             let pool = self.pools.entry((service, domain)).or_default();
@@ -125,7 +127,8 @@
         }
     }
 
-    /// Upstreams by what is asked for, where that is known, for a host that takes over.
+    /// Targets by service and failure domain, where demand is known, to be stored for the next
+    /// lease holder.
     pub fn targets(&self) -> Vec<(ServiceId, FailureDomainId, u32)> {
         let pools = self.pools.iter();
         pools
@@ -135,7 +138,7 @@
             .collect()
     }
 
-    /// Goes on from what an earlier holder found was asked for.
+    /// Restores the targets that an earlier lease holder stored.
     pub fn restore_targets(&mut self, targets: Vec<(ServiceId, FailureDomainId, u32)>) {
         let mut counts: BTreeMap<ServiceId, u32> = BTreeMap::new();
         for (service, domain, count) in targets {
@@ -150,7 +153,8 @@
         }
     }
 
-    /// Takes what is asked for of all models; `None` where that is not known now.
+    /// Updates the targets from the observed demand of all models; `None` if demand is currently
+    /// unknown.
     pub fn update_demand(
         &mut self,
         now: Time,
@@ -186,19 +190,20 @@
         }
     }
 
-    /// Demand of a service, as far as it is known.
+    /// Demand of a service, if it is known.
     pub fn demand_view(&self, service: &ServiceId, pools: &[PoolCapacity]) -> Option<DemandView> {
         let of_service = service_pools(pools, service);
         Some(self.services.get(service)?.view(&of_service))
     }
 
-    /// Upstreams that are wanted of a service in a failure domain now.
+    /// Desired number of upstreams of a service in a failure domain, regular and reclaimable
+    /// together.
     pub fn desired_count(&self, service: &ServiceId, domain: &FailureDomainId) -> u32 {
         let pool = self.pools.get(&(service.clone(), domain.clone()));
         pool.map_or(0, PoolPlan::desired_count)
     }
 
-    /// Upstreams that are kept of a service by the number at the start.
+    /// Upstreams of a service, of both kinds, that are planned for the baseline.
     fn planned_for_baseline(&self, of_service: &[&PoolCapacity]) -> u32 {
         let domains = of_service.len() as u32;
         let kept = of_service.iter().map(|capacity| {
@@ -208,8 +213,8 @@
         kept.sum()
     }
 
-    /// Divides a service's upstreams over failure domains. Where they grow none gives any up,
-    /// whatever its price.
+    /// Splits the target of a service among its failure domains. When the target grows, no domain
+    /// loses upstreams, whatever its price.
     fn split_target(
         &mut self,
         count: u32,
@@ -229,7 +234,7 @@
         }
     }
 
-    /// The orders to be made now, given all pools that can be ordered for.
+    /// Orders to place now. `pools` are all pools for which upstreams can be ordered.
     pub fn orders(&mut self, now: Time, pools: &[PoolCapacity]) -> Vec<CapacityOrder> {
         let mut orders = Vec::new();
         for capacity in pools {
@@ -255,14 +260,14 @@
         orders
     }
 
-    /// Upstreams that are wanted of a service in all domains.
+    /// Sum of a service's baselines in all failure domains.
     fn total_baseline(&self, service: &ServiceId) -> u32 {
         let of_service = self.pools.iter().filter(|((of, _), _)| of == service);
         of_service.map(|(_, plan)| plan.baseline).sum()
     }
 
-    /// Regular upstreams that a domain needs beyond those kept in any case, so that all domains
-    /// of a service come to what is wanted of them together.
+    /// Regular upstreams that a domain needs above its minimum, so that all domains of a service
+    /// together have the number required after a loss.
     fn regular_for_gap(&self, of_service: &[&PoolCapacity], capacity: &PoolCapacity) -> u32 {
         let gap = |pool: &PoolCapacity| {
             let plan = self.pools.get(&pool_key(pool));
@@ -279,7 +284,7 @@
         fill.ceil() as u32
     }
 
-    /// An order was taken.
+    /// Records that an order was accepted.
     pub fn note_accepted(&mut self, now: Time, order: &CapacityOrder) {
         if let Some(plan) = self.plan_for(order) {
             let count = order.count;
@@ -296,7 +301,7 @@
         }
     }
 
-    /// An order was refused, as there are none of this kind now.
+    /// Records that an order was refused because no upstreams of its kind are available.
     pub fn note_refused(&mut self, now: Time, order: &CapacityOrder) {
         if let Some(plan) = self.plan_for(order)
             && order.is_reclaimable
@@ -318,7 +323,7 @@
     of_service.collect()
 }
 
-/// Prices by failure domain; `None` where they are missing or absurd.
+/// Prices by failure domain; `None` if any price is missing or implausible.
 pub(super) fn domain_prices(of_service: &[&PoolCapacity]) -> Option<DomainPrices> {
     DomainPrices::new(of_service.iter().map(|pool| pool.price))
 }
@@ -327,24 +332,24 @@
     (pool.service.clone(), pool.domain.clone())
 }
 
-/// Regular upstreams that are kept in any case.
+/// Regular upstreams that are kept in any case for a baseline.
 fn min_regular(baseline: u32) -> u32 {
     (f64::from(baseline) * MIN_REGULAR_SHARE).ceil() as u32
 }
 
 impl PoolPlan {
-    /// Upstreams of both kinds that are wanted.
+    /// Desired number of upstreams of both kinds.
     fn desired_count(&self) -> u32 {
         self.target.unwrap_or(self.baseline)
     }
 
-    /// Regular upstreams that are kept in any case: where more than at the start are wanted, the
-    /// others are of the cheaper kind.
+    /// Regular upstreams that are kept in any case. Upstreams above the baseline do not raise this
+    /// minimum, because they are of the cheaper reclaimable kind.
     fn min_regular(&self) -> u32 {
         min_regular(self.desired_count().min(self.baseline))
     }
 
-    /// Upstreams of both kinds that are kept by the number at the start.
+    /// Upstreams of both kinds that are planned for the baseline.
     fn planned_for_baseline(&self, capacity: &PoolCapacity, domains: u32) -> u32 {
         match capacity.reclaimable_price {
             Some(price) if domains > 1 => {
@@ -355,8 +360,8 @@
         }
     }
 
-    /// Upstreams of both kinds that must be left after a loss: not more than at the start, as
-    /// those that fill the gap are dear.
+    /// Upstreams of both kinds that must remain after a loss. The number does not exceed the
+    /// baseline, because the regular upstreams that fill the gap are expensive.
     fn min_after_loss(&self) -> u32 {
         let min_left =
             |target| (f64::from(target) * capacity_target::MIN_SHARE_AFTER_LOSS).ceil() as u32;
@@ -364,7 +369,7 @@
             .map_or(self.baseline, |target| min_left(target).min(self.baseline))
     }
 
-    /// The time in which an order was filled, once for each.
+    /// Returns the time in which an order was filled, once per order.
     fn take_start_time(&mut self, now: Time, capacity: &PoolCapacity) -> Option<Duration> {
         let ready = [
             (true, capacity.reclaimable_ready),
@@ -383,9 +388,9 @@
         filled
     }
 
-    /// Orders for a pool: whether the kind is reclaimable, and how many.
+    /// Orders for a pool, each as whether the kind is reclaimable and the desired count.
     ///
-    /// `filled` regular ones are wanted beyond those kept in any case.
+    /// `gap_fill` is the number of regular upstreams wanted above the minimum.
     fn next_orders(
         &mut self,
         now: Time,
@@ -421,8 +426,9 @@
         orders
     }
 
-    /// Reclaimable upstreams: those with which all domains but one, and the regular ones, come
-    /// to what is wanted of all, and more as far as the price allows.
+    /// Reclaimable upstreams planned for the baseline. The regular upstreams and the reclaimable
+    /// ones of all domains but one must reach the baseline of all domains. More are planned if the
+    /// budget allows.
     fn reclaimable_for_baseline(&self, domains: u32, price: f64) -> u32 {
         let base = min_regular(self.baseline);
         let missing = (self.baseline - base) * domains;
@@ -451,7 +457,8 @@
         self.order_unless_covered(now, false, count, capacity.regular_ready)
     }
 
-    /// An order for a kind, unless it was made already and filled, or may still be.
+    /// Returns an order for a kind, unless the same order was placed already and is filled or may
+    /// still be filled.
     fn order_unless_covered(
         &self,
         now: Time,
--- a/crates/policy/src/duties/capacity_target.rs
+++ b/crates/policy/src/duties/capacity_target.rs
@@ -1,77 +1,80 @@
 use super::*;
 
-/// Part of the upstreams that is busy on average, at the most: a burst of 2.5 times that is
-/// carried without notice.
+/// Greatest share of the upstreams that may be busy on average. A burst of 2.5 times the average
+/// load is then served without a noticeable delay.
 const MAX_AVERAGE_UTILIZATION: f64 = 0.3;
 
-/// Part of them that is busy in the busiest moment: a prompt then waits for no longer than the
-/// time in which it is read.
+/// Greatest share of the upstreams that may be busy at the peak. A prompt then waits no longer than
+/// its own prefill takes.
 const MAX_PEAK_UTILIZATION: f64 = 0.5;
 
-/// The same after a failure domain lost its reclaimable upstreams: urgent requests go first and
-/// stay in time, others wait.
+/// Greatest share of the upstreams that may be busy at the peak after a failure domain has lost its
+/// reclaimable upstreams. Urgent requests are then served first and stay in time, and other
+/// requests wait.
 const MAX_UTILIZATION_AFTER_LOSS: f64 = 0.8;
 
-/// Part of the wanted upstreams that must be left after such a loss; below it regular ones are
-/// ordered.
+/// Share of the target that must remain after the loss of a domain's reclaimable upstreams. If
+/// fewer remain, regular ones are ordered.
 pub(super) const MIN_SHARE_AFTER_LOSS: f64 = MAX_PEAK_UTILIZATION / MAX_UTILIZATION_AFTER_LOSS;
 
-/// Part of the number at the start that is kept however little is asked for: what upstreams
-/// keep of prompts is lost with them.
+/// Share of the baseline that is kept however low the demand is. Released upstreams lose their
+/// prompt caches.
 const MIN_BASELINE_SHARE: f64 = 0.25;
 
-/// Reading that may wait before an upstream on average, in milliseconds: interactive requests
+/// Average prefill time that may wait at an upstream, in milliseconds. Interactive requests must
 /// begin within half a second.
 const MAX_PREFILL_WAIT_MS: f64 = 300.0;
 
-/// Most that waiting work adds to the upstreams that are there, as a factor: it may be stuck
-/// before sick ones, which more of them don't mend.
+/// Greatest factor by which waiting work raises the target above the upstreams that are ready. The
+/// work may be stuck at unhealthy upstreams, and additional upstreams do not help there.
 const MAX_BACKLOG_GROWTH: f64 = 1.5;
 
-/// Part of the wanted number by which more must be needed to order it, or fewer be there to
-/// count as missing: each order is a call.
+/// Fraction of the target by which the need must exceed the target before more upstreams are
+/// ordered, and by which the ready upstreams must fall short of the target to count as missing.
+/// Each order is a call, so small differences are ignored.
 const SCALE_UP_MARGIN: f64 = 0.1;
 
-/// Part of the wanted number up to which fewer must be enough …
+/// Upstreams are released only while the need is at most this fraction of the target.
 const SCALE_DOWN_RATIO: f64 = 0.75;
 
-/// … for this time, before some are given up: they come back without what they kept.
+/// Time for which the need must stay within [`SCALE_DOWN_RATIO`] before upstreams are released.
+/// Released upstreams that are ordered again start with empty prompt caches.
 const SCALE_DOWN_DELAY: Duration = Duration::from_secs(4);
 
-/// What speaks for a number of upstreams of a service.
+/// Measurements that determine how many upstreams a service needs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CapacityNeed {
-    /// Upstreams at the start.
+    /// Upstreams that were present at the start.
     pub baseline: u32,
-    /// Upstreams that will be busy at the most.
+    /// Greatest number of upstreams that are expected to be busy.
     pub peak_busy: f64,
-    /// Greatest part of the upstreams that is in one failure domain: nearly all of it may be
-    /// reclaimed.
+    /// Greatest share of the upstreams in one failure domain. Nearly all of that share may be
+    /// reclaimed at once.
     pub max_domain_share: f64,
-    /// Whether demand was seen for too short a time to give anything up.
+    /// Whether demand was observed for too short a time to release upstreams.
     pub is_history_short: bool,
-    /// Upstreams that take work.
+    /// Upstreams that accept requests.
     pub ready: u32,
     /// Upstreams that are busy on average.
     pub average_busy: f64,
-    /// Reading that waits before them, in milliseconds of an upstream.
+    /// Prefill work that waits at the upstreams, in milliseconds of one upstream.
     pub waiting_ms: f64,
 }
 
-/// How many upstreams of a service are wanted in all failure domains.
+/// Target number of upstreams of a service in all failure domains together.
 ///
-/// Grows at once, and shrinks in few steps.
+/// The target grows immediately and shrinks in few steps.
 #[derive(Debug, Default)]
 pub struct CapacityTarget {
     bound: TargetBound,
-    /// `None` before any upstream was seen.
+    /// Current target; `None` until an initial or computed target is set.
     count: Option<u32>,
-    /// Since when fewer are enough, and the most that were needed since.
+    /// Since when fewer upstreams suffice, and the greatest need since then.
     scale_down: Option<(Time, u32)>,
 }
 
 impl CapacityNeed {
-    /// Upstreams that are needed, and what decides it.
+    /// Number of upstreams that are needed, and the bound that determines the number.
     fn required_upstreams(&self) -> (u32, TargetBound) {
         let remaining_share = (1.0 - self.max_domain_share).max(f64::EPSILON);
         let for_peak = self.peak_busy / MAX_PEAK_UTILIZATION;
@@ -100,7 +103,7 @@
         })
     }
 
-    /// Upstreams that waiting work asks for, `most` at the most.
+    /// Upstreams needed to process the waiting prefill work, at most `limit`.
     fn required_for_backlog(&self, limit: f64) -> f64 {
         let ready = f64::from(self.ready);
         let backlog_ratio = self.waiting_ms / (ready * MAX_PREFILL_WAIT_MS).max(1.0);
@@ -112,28 +115,29 @@
 }
 
 impl CapacityTarget {
-    /// Begins with a number that is there, or that an earlier holder wanted.
+    /// Sets the initial target, from the upstreams that are planned or from the target of an
+    /// earlier lease holder.
     pub fn set_initial(&mut self, count: u32) {
         self.count = Some(count);
     }
 
-    /// What decides the number.
+    /// Bound that determines the target.
     pub const fn bound(&self) -> TargetBound {
         self.bound
     }
 
-    /// The number; `None` before any upstream was seen.
+    /// Current target; `None` until an initial or computed target is set.
     pub const fn count(&self) -> Option<u32> {
         self.count
     }
 
-    /// Notes that demand is not known now: the number stays.
+    /// Records that demand is currently unknown. The target stays the same.
     pub fn note_demand_unknown(&mut self) {
         self.bound = TargetBound::Unknown;
         self.scale_down = None;
     }
 
-    /// Sets the number by what is needed now; true if it changed.
+    /// Updates the target to the current need. Returns true if the target changed.
     pub fn update(&mut self, now: Time, need: &CapacityNeed) -> bool {
         let (needed, bound) = need.required_upstreams();
         self.bound = bound;
@@ -143,7 +147,7 @@
         if f64::from(needed) > f64::from(count) * (1.0 + SCALE_UP_MARGIN) {
             return self.set(needed);
         }
-        // While some are missing the others have their work.
+        // While upstreams are missing, the remaining ones do the work of all, so none are released.
         let is_below_target = f64::from(need.ready) < f64::from(count) * (1.0 - SCALE_UP_MARGIN);
         if need.is_history_short
             || is_below_target
--- a/crates/policy/src/duties/demand_forecast.rs
+++ b/crates/policy/src/duties/demand_forecast.rs
@@ -1,34 +1,37 @@
 use super::*;
 
-/// Time over which the busy upstreams of a moment are counted: long prompts come singly.
+/// Window over which the number of busy upstreams is measured. Long prompts arrive one at a time,
+/// so a shorter window would show few or none of them.
 const SAMPLE_WINDOW: Duration = Duration::from_secs(3);
 
-/// Shortest time over which they are.
+/// Shortest window over which the number of busy upstreams is measured.
 const MIN_SAMPLE_WINDOW: Duration = Duration::from_secs(2);
 
-/// Time for which the busiest moment counts. It spans the waves of callers that come and go in
-/// turns, so that nothing is given up in a trough that the next crest needs.
+/// Time for which a measurement counts towards the peak. The window spans the waves of a periodic
+/// load, so that no upstreams are released in a trough that the next wave needs.
 const PEAK_WINDOW: Duration = Duration::from_secs(20);
 
-/// Most that a rise adds to what is seen, as a part of it: beyond it a rise is a burst, which
-/// ends before an upstream starts.
+/// Greatest rise that is added to the forecast, as a fraction of the current load. A steeper rise
+/// is a burst, which ends before an upstream has started.
 const MAX_RELATIVE_RISE: f64 = 1.0;
 
-/// Forecasts how many upstreams of a service are kept busy.
+/// Forecasts how many upstreams of a service will be busy.
 ///
-/// Answers loads that come in waves or rise within the time that an upstream takes to start.
+/// The forecast covers loads that come in waves, and loads that rise within the time that an
+/// upstream takes to start.
 #[derive(Debug, Default)]
 pub struct DemandForecast {
-    /// When demand was seen first.
+    /// When demand was first observed.
     first_demand: Option<Time>,
-    /// Busy upstreams by moment, the latest last.
+    /// Number of busy upstreams over time, the latest last.
     busy_samples: VecDeque<(Time, f64)>,
-    /// Reading put on upstreams by moment, in milliseconds, the latest last.
+    /// Total prefill work sent to upstreams over time, in milliseconds, the latest last.
     total_samples_ms: VecDeque<(Time, f64)>,
 }
 
 impl DemandForecast {
-    /// Takes what is observed now. `slots` are the requests that an upstream runs at once.
+    /// Records the current demand. `slots` is the number of requests that an upstream runs
+    /// concurrently.
     pub fn record(&mut self, now: Time, demand: &ObservedDemand, slots: u32) {
         self.total_samples_ms.push_back((now, demand.total_ms));
         while self.total_samples_ms.len() > 2
@@ -52,37 +55,38 @@
             .retain(|(noted, _)| now.since(*noted) <= PEAK_WINDOW);
     }
 
-    /// Notes that demand is not observed now. What hosts tell later of this time comes at once,
-    /// and would look like a burst.
+    /// Records that demand is currently not observed, and drops the totals. Work that hosts report
+    /// later for this time arrives at once and would look like a burst.
     pub fn note_unobserved(&mut self) {
         self.total_samples_ms.clear();
     }
 
-    /// Whether demand was seen for long enough to tell its troughs from its crests.
+    /// Whether demand was observed for long enough to tell the troughs of the load from its peaks.
     pub fn has_full_window(&self, now: Time) -> bool {
         self.first_demand
             .is_some_and(|first_demand| now.since(first_demand) >= PEAK_WINDOW)
     }
 
-    /// Upstreams that are busy now.
+    /// Number of upstreams that are busy now.
     pub fn busy(&self) -> f64 {
         self.busy_samples.back().map_or(0.0, |(_, busy)| *busy)
     }
 
-    /// Upstreams that are busy on average.
+    /// Number of upstreams that are busy on average.
     pub fn average_busy(&self) -> f64 {
         let sum: f64 = self.busy_samples.iter().map(|(_, busy)| busy).sum();
         sum / self.busy_samples.len().max(1) as f64
     }
 
-    /// Upstreams that will be busy at the most until one that is ordered now has started.
+    /// Greatest number of upstreams that are expected to be busy until an upstream ordered now has
+    /// started, which takes `start_time`.
     pub fn peak_busy(&self, start_time: Duration) -> f64 {
         let samples = self.busy_samples.iter().map(|(_, busy)| *busy);
         let peak = samples.fold(0.0, f64::max);
         let Some((now, busy)) = self.busy_samples.back() else {
             return peak;
         };
-        // Below the busiest moment a rise is part of a wave that was seen.
+        // A rise below the peak is part of a wave that the peak already covers.
         if *busy < peak {
             return peak;
         }
--- a/crates/policy/src/duties/demand_ledger.rs
+++ b/crates/policy/src/duties/demand_ledger.rs
@@ -1,21 +1,23 @@
 use super::*;
 
-/// Time beside two messages of a host in which it must have told something to be observed.
+/// Time beyond two report intervals after which a host without a report counts as not observed.
 const FRESHNESS_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// Part of the hosts that must be observed: without more of them, less is told than is asked.
+/// Smallest share of the hosts that must be observed. With fewer hosts, the reported demand would
+/// be lower than the actual demand.
 const MIN_REPORTING_SHARE: f64 = 0.75;
 
-/// Time for which a silent host is remembered.
+/// Time after which a silent host is removed.
 const HOST_RETENTION: Duration = Duration::from_secs(60);
 
-/// Engines that one host can keep busy. What tells more is not a count.
+/// Number of engines that one host can keep busy. Work beyond this number is not plausible and is
+/// not counted.
 const MAX_BUSY_PER_HOST: f64 = 1_000.0;
 
-/// Incarnations of a host that are remembered, for messages that were overtaken.
+/// Number of incarnations stored per host, for messages that arrive out of order.
 const MAX_INCARNATIONS: usize = 4;
 
-/// Work of all hosts, as the holder of the duties gathers it.
+/// Sums the work of all hosts on the host that holds the duties.
 #[derive(Debug, Default)]
 pub struct DemandLedger {
     hosts: BTreeMap<HostId, HostWork>,
@@ -31,7 +33,7 @@
 }
 
 impl HostWork {
-    /// The totals of an incarnation, and whether they are the latest one's.
+    /// Returns the totals of an incarnation, and whether this incarnation is the latest.
     fn totals_of(&mut self, incarnation: Incarnation) -> (&mut BTreeMap<ModelId, u64>, bool) {
         let position = self
             .incarnations
@@ -50,9 +52,11 @@
 }
 
 impl DemandLedger {
-    /// Takes a host's totals. They only grow, so one that was overtaken changes nothing.
+    /// Records the totals of a host. Totals only grow, so a message that arrives out of order
+    /// changes nothing.
     ///
-    /// What a host did before its first message here is not counted: it may be of any age.
+    /// Work that a host did before its first message to this host is not counted, because its age
+    /// is unknown.
     pub fn record(&mut self, now: Time, note: &UsageNote) {
         let is_new = !self.hosts.contains_key(&note.host);
         let host = self.hosts.entry(note.host.clone()).or_default();
@@ -72,7 +76,7 @@
         host.last_received = now;
     }
 
-    /// What is asked for; `None` while too few of the hosts tell it.
+    /// Current demand by model; `None` if too few hosts are observed.
     pub fn observed_demand(
         &mut self,
         now: Time,
--- a/crates/policy/src/duties/observed_demand.rs
+++ b/crates/policy/src/duties/observed_demand.rs
@@ -1,10 +1,11 @@
-/// What all hosts together ask of the engines of a model, as they told it.
+/// Demand for the engines of a model, summed over all hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ObservedDemand {
-    /// Requests at engines.
+    /// Requests that are in flight at the engines.
     pub in_flight: u32,
-    /// Reading put on engines since the ledger began, in milliseconds of an engine.
+    /// Prefill work sent to the engines since the holder began to count, in milliseconds of one
+    /// engine.
     pub total_ms: f64,
-    /// Reading among it that waits, in milliseconds of an engine.
+    /// Prefill work that waits at the engines, in milliseconds of one engine.
     pub waiting_ms: f64,
 }
--- a/crates/policy/src/duties/service_demand.rs
+++ b/crates/policy/src/duties/service_demand.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What is asked for of one service, and how many upstreams are wanted for it.
+/// Demand for one service, and the target number of its upstreams.
 #[derive(Debug, Default)]
 pub(super) struct ServiceDemand {
     forecast: DemandForecast,
@@ -8,24 +8,25 @@
     pub(super) target: CapacityTarget,
 }
 
-/// Demand of a service as logs and metrics show it.
+/// Demand for a service, as shown in logs and metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DemandView {
-    /// What decides how many upstreams are wanted.
+    /// Bound that determines the target number of upstreams.
     pub bound: TargetBound,
-    /// Upstreams that are busy now.
+    /// Number of upstreams that are busy now.
     pub busy: f64,
-    /// Upstreams that will be busy at the most.
+    /// Greatest number of upstreams that are expected to be busy.
     pub peak_busy: f64,
-    /// Whether prices by failure domain can be used.
+    /// Whether the prices by failure domain are usable.
     pub has_prices: bool,
 }
 
 impl ServiceDemand {
-    /// Takes what is observed now; `None` where too few hosts tell it. True if the wanted
-    /// number changed.
+    /// Updates the forecast and the target from the observed demand; `None` if too few hosts are
+    /// observed. Returns true if the target changed.
     ///
-    /// `at_start` are the upstreams of the start, `by_start` those that are kept for them.
+    /// `baseline` is the number of upstreams at the start, and `planned_for_baseline` the number of
+    /// both kinds that is planned for it.
     pub(super) fn update(
         &mut self,
         now: Time,
--- a/crates/policy/src/duties/start_time.rs
+++ b/crates/policy/src/duties/start_time.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// Time between an order and an upstream that takes work, before any was seen or named.
+/// Time from an order to a ready upstream that is assumed while no time is measured or configured.
 const DEFAULT_START_TIME: Duration = Duration::from_secs(5);
 
-/// Longest time that is believed: an order that took longer waited for something else.
+/// Longest time that is counted. An order that took longer was delayed by something else.
 const MAX_START_TIME: Duration = Duration::from_secs(60);
 
-/// Weight of what was seen last.
+/// Weight of the newest measurement in the moving average.
 const NEW_SAMPLE_WEIGHT: f64 = 0.3;
 
-/// Time that an upstream takes from its order until it takes work.
+/// Moving average of the time from the order of an upstream until the upstream accepts requests.
 #[derive(Debug, Default)]
 pub struct StartTime {
     average: Option<Duration>,
 }
 
 impl StartTime {
-    /// Takes the time in which an order was filled.
+    /// Records the time in which an order was filled.
     pub fn record(&mut self, span: Duration) {
         let span = span.min(MAX_START_TIME);
         let before = self.average.unwrap_or(span);
@@ -24,7 +24,7 @@
             Some(before.mul_f64(1.0 - NEW_SAMPLE_WEIGHT) + span.mul_f64(NEW_SAMPLE_WEIGHT));
     }
 
-    /// The time, where the operator may have named one.
+    /// Expected start time. The configured time is used until a time was measured.
     pub fn estimate(&self, configured: Option<Duration>) -> Duration {
         self.average
             .or(configured)
--- a/crates/policy/src/duties/target_bound.rs
+++ b/crates/policy/src/duties/target_bound.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-/// What decides how many upstreams are wanted.
+/// Bound that determines the target number of upstreams.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum TargetBound {
     /// Upstreams that are busy on average, with a reserve for bursts.
     Burst,
-    /// Upstreams that will be busy at the most.
+    /// Greatest number of upstreams that are expected to be busy.
     Busy,
-    /// The least that is kept.
+    /// Smallest number of upstreams that is kept in any case.
     Floor,
-    /// Busy upstreams after the loss of a failure domain's reclaimable ones.
+    /// Upstreams that are expected to be busy after a failure domain has lost its reclaimable ones.
     Loss,
-    /// Demand is not known: what there is stays.
+    /// Demand is unknown, and the target stays the same.
     #[default]
     Unknown,
-    /// Work that waits at upstreams.
+    /// Work that waits at the upstreams.
     Waiting,
 }
 
