--- a/crates/policy/src/duties/lease.rs
+++ b/crates/policy/src/duties/lease.rs
@@ -1,42 +1,44 @@
 use super::*;
 
-/// What the holder leaves of a term, for its last bytes to be under way …
+/// Time before the end of a term at which the holder stops acting, so that the last bytes it sends
+/// arrive within the term.
 const HOLDER_MARGIN: Duration = Duration::from_millis(500);
 
-/// … and what the next one waits beyond it.
+/// Time that a candidate waits beyond the end of a term before it takes the lease.
 const CANDIDATE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Time between two renewals, as a part of a term: two may fail.
+/// Number of renewals per term. Two of them may fail without the loss of the lease.
 const RENEWALS_PER_TERM: u32 = 4;
 
-/// Holders that the lease remembers: more than can give it up within a term.
+/// Number of previous holders stored in the lease, which is more than can release the lease within
+/// a term.
 const MAX_PREVIOUS_HOLDERS: usize = 8;
 
-/// Time between two looks of a host that waits for the lease.
+/// Interval at which a candidate reads the lease.
 const READ_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What is to be done for the lease now.
+/// Next step for the lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeaseStep {
-    /// Read it from the store.
+    /// Read the lease from the store.
     Read,
-    /// Nothing for this time.
+    /// Do nothing for this time.
     Wait(Duration),
-    /// Write it, on condition that the store has this version of it; 0 for none at all.
+    /// Write the lease, on condition that the stored version equals `expected`.
     Write {
-        /// The version.
+        /// Expected version in the store; 0 if the store has no lease yet.
         expected: u64,
-        /// What to write.
+        /// Record to write.
         record: LeaseRecord,
     },
 }
 
-/// A lease in the store, as one host sees it.
+/// A lease in the store, as seen by one host.
 ///
-/// Only the store's conditional writes decide who holds it. A holder acts while the term that
-/// began when it *sent* its last confirmed write lasts, less a margin; a taker waits a whole
-/// term and a margin from when it first saw the holder's last write. Both count on their own
-/// clocks, which count suspended time.
+/// Only the conditional writes of the store decide which host holds the lease. A holder acts during
+/// the term that began when it *sent* its last confirmed write, less a margin. A candidate waits a
+/// whole term and a margin from when it first saw the holder's last write. Both use their own
+/// clocks, which include the time that the machine was suspended.
 #[derive(Debug)]
 pub struct Lease {
     host: HostId,
@@ -47,19 +49,20 @@
 
 #[derive(Debug)]
 enum State {
-    /// Another host holds it, or nobody does.
+    /// Another host holds the lease, or no host does.
     Candidate(Candidate),
-    /// This host was the last to write it.
+    /// This host was the last to write the lease.
     Holder(Holder),
 }
 
 #[derive(Debug, Default)]
 struct Candidate {
-    /// When the lease was read last.
+    /// When the lease was last read.
     last_read: Option<Time>,
-    /// What was seen last, and when it was first seen so.
+    /// Lease that was last read, and when it was first read in this version.
     observed: Option<(StoredLease, Time)>,
-    /// A write whose answer is open: the lease is read before anything else is written.
+    /// Write whose result is unknown, and when it was sent. The lease is read before anything else
+    /// is written.
     pending_write: Option<(LeaseRecord, Time)>,
 }
 
@@ -70,12 +73,12 @@
     /// When the last write was sent, confirmed or not.
     last_write_sent: Time,
     stored: StoredLease,
-    /// Whether the answer to the last write did not come.
+    /// Whether the result of the last write is unknown.
     is_write_unconfirmed: bool,
 }
 
 impl Lease {
-    /// The lease as a host sees it that knows nothing of it yet.
+    /// Creates the lease for a host that has not read it yet.
     pub fn new(host: HostId, incarnation: Incarnation, term: Duration) -> Self {
         Self {
             host,
@@ -85,7 +88,7 @@
         }
     }
 
-    /// What to do now.
+    /// Returns the next step. `era` is the era of the store.
     pub fn next_step(&mut self, now: Time, era: u32) -> LeaseStep {
         let host = self.host.clone();
         let incarnation = self.incarnation;
@@ -128,13 +131,13 @@
         }
     }
 
-    /// Takes what was read; `None` if there is no lease yet.
+    /// Handles the result of a read; `None` if the store has no lease yet.
     pub fn note_read(&mut self, now: Time, stored: Option<StoredLease>) {
         match &mut self.state {
             State::Holder(holder) => match stored {
                 Some(stored) if stored.record == holder.stored.record => {
                     if stored.version > holder.stored.version {
-                        // The write whose answer was lost was done.
+                        // The write whose response was lost has taken effect.
                         holder.confirmed_at = holder.last_write_sent;
                     }
                     holder.stored = stored;
@@ -155,8 +158,8 @@
                     let own = record.host == self.host && record.incarnation == self.incarnation;
                     own && !record.released
                 }) {
-                    // Nobody took it since, but when it was written is not known: it is
-                    // renewed before anything is done under it.
+                    // No other host has taken the lease since, but the time of this host's write is
+                    // unknown. The lease is renewed before this host acts under it.
                     return self.become_holder(stored.clone(), Time::default());
                 }
                 candidate.observe(now, stored);
@@ -164,12 +167,12 @@
         }
     }
 
-    /// The store did a write that was sent at a moment, and gave it a version.
+    /// Handles a confirmed write that was sent at `sent` and that created `version`.
     pub fn note_written(&mut self, sent: Time, record: LeaseRecord, version: u64) {
         self.become_holder(StoredLease { record, version }, sent);
     }
 
-    /// The store did not do the last write, as its condition did not hold.
+    /// Handles a write that the store rejected because its condition did not hold.
     pub fn note_conflict(&mut self, now: Time) {
         self.become_candidate(now, None);
         if let State::Candidate(candidate) = &mut self.state {
@@ -177,14 +180,14 @@
         }
     }
 
-    /// The store gave no answer to the last write: it may have been done, or will be.
+    /// Handles a write without a response. The write may have taken effect, or may still do so.
     pub fn note_write_unknown(&mut self) {
         if let State::Holder(holder) = &mut self.state {
             holder.is_write_unconfirmed = true;
         }
     }
 
-    /// The token under which this host may act now, and until when.
+    /// Fencing token under which this host may act now, and the time until which it may.
     pub fn token(&self, now: Time) -> Option<(FencingToken, Time)> {
         let State::Holder(holder) = &self.state else {
             return None;
@@ -194,8 +197,7 @@
         is_held.then_some((holder.stored.record.token, until))
     }
 
-    /// The lease as it lies in the store, where this host wrote it last: further writes are
-    /// made on the condition that it still does.
+    /// Stored lease, if this host wrote it last. Further writes are conditional on its version.
     pub fn stored(&self) -> Option<&StoredLease> {
         match &self.state {
             State::Holder(holder) => Some(&holder.stored),
@@ -203,8 +205,8 @@
         }
     }
 
-    /// Gives the lease up: from now on this host does nothing under it. Gives the write that
-    /// tells the others.
+    /// Releases the lease: from now on this host does nothing under it. Returns the record and the
+    /// expected version for the write that announces the release.
     pub fn release(&mut self, now: Time) -> Option<(LeaseRecord, u64)> {
         let State::Holder(holder) = &self.state else {
             return None;
@@ -245,10 +247,10 @@
         });
     }
 
-    /// Time until the lease may be taken; `None` if it may be now.
+    /// Time until the lease may be taken; `None` if it may be taken now.
     ///
-    /// One that was released is free at once, except for hosts that held it before: two
-    /// holders must not act in turns within a term.
+    /// A released lease may be taken immediately, except by its previous holders: two holders must
+    /// not act alternately within one term.
     fn time_until_free(&self, now: Time, own: &HostId, term: Duration) -> Option<Duration> {
         let (stored, first) = self.observed.as_ref()?;
         let record = &stored.record;
--- a/crates/policy/src/duties/lease_record.rs
+++ b/crates/policy/src/duties/lease_record.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-/// Bits of a fencing token below those of the store's era.
+/// Position of the store's era in a fencing token, above the counter.
 const ERA_SHIFT: u32 = 32;
 
-/// Number that is greater for each later holder of a lease.
+/// Fencing token, which is greater for each later holder of a lease.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct FencingToken(u64);
 
 impl FencingToken {
-    /// The token as upstream interfaces take it.
+    /// The token as a number, as upstream interfaces take it.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The token of the next holder. The store's era is in its upper bits: a store that came
-    /// back from an older copy would give a number out again otherwise.
+    /// Token of the next holder. The era of the store is in the upper bits, because a store that
+    /// was restored from an older copy would otherwise issue a token again.
     #[must_use]
     pub fn next(self, era: u32) -> Self {
         let first_of_era = u64::from(era) << ERA_SHIFT;
@@ -29,26 +29,26 @@
     }
 }
 
-/// The lease as it lies in the store.
+/// The lease as stored.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseRecord {
-    /// The holder.
+    /// Host that holds the lease.
     pub host: HostId,
-    /// The holder's incarnation.
+    /// Incarnation of the holder.
     pub incarnation: Incarnation,
-    /// The last other holders before this one, the latest first.
+    /// Other hosts that held the lease before, the latest first.
     pub previous: Vec<HostId>,
-    /// Whether the holder gave it up, and does nothing under it any more.
+    /// Whether the holder has released the lease and does nothing under it any more.
     pub released: bool,
-    /// The holder's token.
+    /// Fencing token of the holder.
     pub token: FencingToken,
 }
 
-/// The lease with the store's version of it.
+/// A stored lease and its version in the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredLease {
-    /// What is written there.
+    /// Stored record.
     pub record: LeaseRecord,
-    /// Version that a conditional write names.
+    /// Version that a conditional write expects.
     pub version: u64,
 }
--- a/crates/policy/src/duties/median_clock.rs
+++ b/crates/policy/src/duties/median_clock.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-/// Sources whose readings are kept.
+/// Number of sources beyond which expired readings are removed.
 const MAX_SOURCES: usize = 1_024;
 
-/// Time for which a reading counts.
+/// Time for which a reading is valid.
 const READING_TTL: Duration = Duration::from_secs(30);
 
-/// Unix time as most sources have it, on a steady clock.
+/// Unix time by the median of many hosts' clocks, tracked on the steady clock.
 ///
-/// Guards against hosts whose time of day jumps by seconds: the median of several readings
-/// is not moved by a minority of them.
+/// Guards against hosts whose system time jumps by seconds: a minority of wrong readings does not
+/// move the median.
 #[derive(Debug, Default)]
 pub struct MedianClock {
-    /// Latest reading of each source: Unix time less steady time, in milliseconds.
+    /// Latest reading of each source, as Unix time minus steady time in milliseconds.
     offsets_ms: BTreeMap<HostId, (Time, i64)>,
 }
 
 impl MedianClock {
-    /// Takes a source's Unix time at a moment of the steady clock.
+    /// Records the Unix time of a source at the steady time `now`.
     pub fn record(&mut self, now: Time, source: HostId, unix_ms: u64) {
         let offset_ms = unix_ms as i64 - steady_ms(now);
         self.offsets_ms.insert(source, (now, offset_ms));
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Unix time at a moment, in milliseconds; `None` before any reading.
+    /// Unix time at the steady time `now`, in milliseconds; `None` without a valid reading.
     pub fn unix_ms(&self, now: Time) -> Option<u64> {
         let fresh = self.offsets_ms.values();
         let fresh = fresh.filter(|(noted, _)| now.since(*noted) < READING_TTL);
--- a/crates/policy/src/duties/mod.rs
+++ b/crates/policy/src/duties/mod.rs
@@ -1,9 +1,9 @@
-//! Duties that one host at a time does for all: who holds their lease, how many requests of
-//! each team began in a window, and how many upstreams there should be.
+//! Duties that one host at a time performs for all hosts: holding the lease, counting the requests
+//! of each team by window, and planning how many upstreams there should be.
 //!
-//! In: answers of the store, counts and work of the hosts, upstreams that are listed. Out: writes of
-//! the lease, whether the holder may act, reports, orders. No I/O; the calls are made by
-//! whoever speaks to the installation.
+//! Input: responses of the store, counts and work of the hosts, and the listed upstreams. Output:
+//! writes of the lease, whether the holder may act, usage reports, and orders for upstreams. This
+//! module does no I/O; its caller connects to the store and the platform.
 
 use super::*;
 
--- a/crates/policy/src/duties/reporting.rs
+++ b/crates/policy/src/duties/reporting.rs
@@ -1,32 +1,33 @@
-//! What a host counts for the usage reports, and tells the holder of the duties.
+//! Counts of this host for the usage reports, and the messages with these counts to the host that
+//! holds the duties.
 
 use super::*;
 
-/// Time between two messages to the holder …
+/// Base interval between two messages to the holder.
 const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// … and for each host of the installation, so that the holder's traffic stays bounded:
-/// a message of 24 teams has some 600 bytes.
+/// Time added to the interval for each host of the installation, so that the traffic to the holder
+/// stays bounded. A message with 24 teams has about 600 bytes.
 const REPORT_INTERVAL_PER_HOST: Duration = Duration::from_millis(3);
 
-/// Time for which the last word of a holder counts.
+/// Time for which the last announcement of a holder is valid.
 const HOLDER_TTL: Duration = Duration::from_secs(6);
 
-/// Time between two messages to the holder where there are so many hosts.
+/// Interval between two messages to the holder in an installation with this number of hosts.
 pub(super) fn report_interval(hosts: usize) -> Duration {
     REPORT_INTERVAL + REPORT_INTERVAL_PER_HOST * hosts as u32
 }
 
-/// The host that holds the lease of the duties, as far as this one knows.
+/// Host that holds the lease of the duties, as far as this host knows.
 #[derive(Debug)]
 struct KnownHolder {
-    /// `None` for this host itself.
+    /// Address of the holder; `None` if this host is the holder.
     address: Option<SocketAddr>,
     last_received: Time,
     token: u64,
 }
 
-/// State of the reports on this host.
+/// State of usage reporting on this host.
 #[derive(Debug, Default)]
 pub(crate) struct Reporting {
     pub(crate) counts: UsageCounts,
@@ -67,12 +68,12 @@
         Some(window.as_millis() as u64)
     }
 
-    /// Another host announced that it holds the duties.
+    /// Handles the announcement of another host that it holds the duties.
     pub(crate) fn on_duty_advertised(&mut self, now: Time, from: SocketAddr, note: &DutyNote) {
         self.reporting.update_holder(now, Some(from), note);
     }
 
-    /// This host holds the duties, and tells the others.
+    /// Handles that this host holds the duties, and announces it to the other hosts.
     pub(crate) fn on_duty_held(&mut self, now: Time, note: DutyNote, actions: &mut Vec<Action>) {
         self.reporting.update_holder(now, None, &note);
         let to = if self.neighbors.exchanges_with_subset() {
@@ -87,7 +88,7 @@
         self.reporting.counts.record_own_time(now, unix_ms);
     }
 
-    /// Tells the holder what was counted.
+    /// Sends the counts to the holder when they are due.
     pub(crate) fn tick_reporting(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.usage_window_ms().is_none() || now < self.reporting.next_report {
             return;
@@ -111,7 +112,7 @@
         actions.push(Action::TellUsage { note, to });
     }
 
-    /// Counts a request of a team that began to run at a moment.
+    /// Counts a request of a team that began to run at `started`.
     pub(crate) fn count_started(&mut self, now: Time, started: Time, team: Option<TeamId>) {
         if let Some((team, window_ms)) = team.zip(self.usage_window_ms()) {
             let counts = &mut self.reporting.counts;
@@ -119,15 +120,15 @@
         }
     }
 
-    /// Counts a request that was answered whole, if that was not done with its first token.
+    /// Counts a request that was answered in full, unless it was counted at its first token.
     pub(crate) fn count_answered(&mut self, now: Time, request: &mut Request<Running>) {
         self.count_service_call(now, request);
         let team = request.take_uncounted_team();
         self.count_started(now, now, team);
     }
 
-    /// Counts a request that failed, if it most likely began: an upstream that answers with
-    /// an error of its own has begun it.
+    /// Counts a failed request if it most likely began to run. An upstream that responds with an
+    /// error of its own has begun the request.
     pub(crate) fn count_failed(
         &mut self,
         now: Time,
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Counts a call that a plain service began when it got it, as far as can be known. An
-    /// engine begins with the first token.
+    /// Counts a call to a plain service, which is assumed to begin the call when it receives it. An
+    /// engine begins a request with the first token.
     pub(crate) fn count_service_call(&mut self, now: Time, request: &mut Request<Running>) {
         if matches!(request.facts.target, Target::Service(_)) {
             let team = request.take_uncounted_team();
--- a/crates/policy/src/duties/usage_counts.rs
+++ b/crates/policy/src/duties/usage_counts.rs
@@ -1,27 +1,28 @@
 use super::*;
 
-/// Windows that are kept while they are not known to be reported.
+/// Number of windows that are kept while they are not known to be reported.
 const MAX_UNREPORTED_WINDOWS: usize = 6;
 
-/// Own readings of the time of day from which the time is taken while no holder tells it.
+/// Number of this host's own clock readings that are kept. They are used while no holder announces
+/// the time.
 const MAX_OWN_READINGS: usize = 60;
 
-/// Time for which a holder's word on the time counts.
+/// Time for which the time announced by a holder is valid.
 const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(30);
 
-/// Requests of each team that began to run on this host's account, by window.
+/// Number of requests of each team that this host began to run, by window.
 #[derive(Debug, Default)]
 pub(crate) struct UsageCounts {
-    /// Own Unix time less steady time, in milliseconds, the newest last.
+    /// This host's Unix time minus steady time, in milliseconds, the newest reading last.
     own_offsets_ms: VecDeque<i64>,
     reported_through: Option<u64>,
-    /// The holder's Unix time less steady time, in milliseconds, and when it was announced.
+    /// The holder's Unix time minus steady time, in milliseconds, and when it was announced.
     announced_offset_ms: Option<(Time, i64)>,
     windows: BTreeMap<u64, BTreeMap<TeamId, u32>>,
 }
 
 impl UsageCounts {
-    /// Takes a reading of this host's time of day.
+    /// Records a reading of this host's system time.
     pub(crate) fn record_own_time(&mut self, now: Time, unix_ms: u64) {
         let offset_ms = unix_ms as i64 - median_clock::steady_ms(now);
         self.own_offsets_ms.push_back(offset_ms);
@@ -30,14 +31,14 @@
         }
     }
 
-    /// Takes the holder's word on the time and on what was reported.
+    /// Updates the time and the last reported window from an announcement of the holder.
     pub(crate) fn update_from_holder(&mut self, now: Time, unix_ms: u64, reported_through: u64) {
         self.announced_offset_ms = Some((now, unix_ms as i64 - median_clock::steady_ms(now)));
         self.reported_through = Some(reported_through);
         self.windows.retain(|window, _| *window > reported_through);
     }
 
-    /// Counts a request that began to run at a moment.
+    /// Counts a request that began to run at `started`.
     pub(crate) fn count_started(
         &mut self,
         started: Time,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// What is to be announced to other hosts: totals, so that a lost or doubled message does no
+    /// Counts to send to the holder. They are totals, so that a lost or repeated message does no
     /// harm.
     pub(crate) fn window_counts(&self) -> Vec<WindowCounts> {
         let windows = self.windows.iter();
@@ -81,8 +82,8 @@
         u64::try_from(unix_ms).ok()?.checked_div(window_ms)
     }
 
-    /// The holder's word, or the median of the own readings: one that jumps for some seconds
-    /// does not move it.
+    /// Offset announced by the holder, or the median of this host's own readings. The median does
+    /// not move when the system time jumps for a few seconds.
     fn offset_ms(&self, now: Time) -> Option<i64> {
         let announced = self.announced_offset_ms;
         if let Some((_, offset_ms)) =
--- a/crates/policy/src/duties/usage_ledger.rs
+++ b/crates/policy/src/duties/usage_ledger.rs
@@ -1,27 +1,27 @@
 use super::*;
 
-/// Time after the end of a window in which the last counts of it arrive.
+/// Time after the end of a window in which the last counts for the window arrive.
 const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 
-/// Time in which a new holder observes all hosts: they tell it their totals once it has sent them
-/// that it holds the duties.
+/// Time in which a new holder receives the totals of all hosts. The hosts send their totals after
+/// the holder has announced that it holds the duties.
 const GATHER_TIME: Duration = Duration::from_millis(1_000);
 
-/// Time before a report is due at which it is made without hosts that are not observed.
+/// Time before the deadline of a report at which the report is made without the missing hosts.
 const FORCED_REPORT_LEAD: Duration = Duration::from_millis(4_000);
 
-/// Time for which a host that is not observed any more is waited for.
+/// Time for which a report waits for a silent host.
 const HOST_WAIT_LIMIT: Duration = Duration::from_secs(10);
 
-/// Windows that are kept.
+/// Number of windows that are kept, up to the last reported one.
 const RETAINED_WINDOWS: u64 = 8;
 
-/// How windows of usage lie in time.
+/// Length of the usage windows and deadline of their reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WindowRules {
-    /// Time after the end of a window at which its report is due.
+    /// Time from the end of a window to the deadline of its report.
     pub report_deadline: Duration,
-    /// Length of a window; the first one begins with Unix time.
+    /// Length of a window. The first window begins at Unix time zero.
     pub window_length: Duration,
 }
 
@@ -30,7 +30,7 @@
         (self.window_length.as_millis() as u64).max(1)
     }
 
-    /// The window of a moment.
+    /// Number of the window that contains a Unix time.
     pub fn window_at(self, unix_ms: u64) -> u64 {
         unix_ms / self.window_length_ms()
     }
@@ -40,22 +40,22 @@
     }
 }
 
-/// What is to be reported of one window.
+/// Usage report of one window.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageReport {
-    /// Requests that began, by team.
+    /// Requests that began to run, by team.
     pub counts: BTreeMap<TeamId, u64>,
-    /// The window.
+    /// Number of the window.
     pub window: u64,
 }
 
-/// Counts of all hosts, as the holder gathers them.
+/// Sums the counts of all hosts on the host that holds the duties.
 #[derive(Debug)]
 pub struct UsageLedger {
-    /// When this host began to gather.
+    /// When the term of this host began.
     term_start: Option<Time>,
     hosts: BTreeMap<HostId, HostUsage>,
-    /// The last window that was frozen for a report.
+    /// Last window whose report is fixed.
     reported_through: Option<u64>,
     rules: WindowRules,
     clock: MedianClock,
@@ -64,12 +64,12 @@
 #[derive(Debug, Default)]
 struct HostUsage {
     last_received: Time,
-    /// Totals of each incarnation: those of a host that started again add up.
+    /// Totals of each window and incarnation. The totals of a host's incarnations are added up.
     windows: BTreeMap<(u64, Incarnation), BTreeMap<TeamId, u32>>,
 }
 
 impl UsageLedger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     pub fn new(rules: WindowRules) -> Self {
         Self {
             term_start: None,
@@ -80,15 +80,16 @@
         }
     }
 
-    /// Begins a term: reports wait until all hosts had time to tell their totals.
+    /// Begins a term. Reports wait until all hosts had time to send their totals.
     ///
-    /// Guards against a new holder that reports a window from the few hosts that it observed
-    /// first.
+    /// Without the wait, a new holder would report a window from only the first hosts that it
+    /// observes.
     pub fn begin_term(&mut self, now: Time) {
         self.term_start = Some(now);
     }
 
-    /// Takes a host's totals. They only grow, so one that was overtaken changes nothing.
+    /// Records the totals of a host. Totals only grow, so a message that arrives out of order
+    /// changes nothing.
     pub fn record(&mut self, now: Time, note: UsageNote) {
         self.clock.record(now, note.host.clone(), note.unix_ms);
         let host = self.hosts.entry(note.host).or_default();
@@ -102,17 +103,17 @@
         }
     }
 
-    /// Unix time by most hosts, in milliseconds.
+    /// Unix time by the clocks of most hosts, in milliseconds.
     pub fn unix_ms(&self, now: Time) -> Option<u64> {
         self.clock.unix_ms(now)
     }
 
-    /// The last window that was frozen for a report.
+    /// Last window whose report is fixed.
     pub const fn reported_through(&self) -> Option<u64> {
         self.reported_through
     }
 
-    /// Goes on after a window that stands in the store.
+    /// Records that the report of a window is in the store. Later reports begin after this window.
     pub fn note_reported(&mut self, window: u64) {
         self.reported_through = self.reported_through.max(Some(window));
         let oldest = window.saturating_sub(RETAINED_WINDOWS);
@@ -121,8 +122,8 @@
         }
     }
 
-    /// The next report, once all hosts that were observed lately have announced their counts of its
-    /// window, or it cannot wait for them any longer.
+    /// Next report. It is made once all recently observed hosts have sent their counts of the
+    /// window, or when the deadline does not allow a longer wait.
     pub fn next_report(&mut self, now: Time) -> Option<UsageReport> {
         if self
             .term_start
@@ -135,7 +136,7 @@
         let window = match self.reported_through {
             Some(reported) => self.skip_expired(reported + 1, unix_ms),
             None => {
-                // The first holder of all begins with the window it finds.
+                // Without an earlier report, reporting begins with the current window.
                 self.reported_through = current.checked_sub(1);
                 current
             }
@@ -153,7 +154,8 @@
         Some(self.build_report(window))
     }
 
-    /// Hosts that have announced nothing since the end of a window that ended so long ago.
+    /// Number of hosts that have sent nothing since the end of a window, which ended the duration
+    /// `ended` ago.
     pub fn missing_hosts(&self, now: Time, ended: Duration) -> usize {
         let missing = self.hosts.values().filter(|host| {
             let silent = now.since(host.last_received);
@@ -166,7 +168,7 @@
         self.missing_hosts(now, ended) == 0
     }
 
-    /// The first window from this one on whose report can still come in time.
+    /// First window, from `window` on, whose report can still meet its deadline.
     fn skip_expired(&self, window: u64, unix_ms: u64) -> u64 {
         let deadline_ms = self.rules.report_deadline.as_millis() as u64;
         let first = self.rules.window_at(unix_ms.saturating_sub(deadline_ms));
--- a/crates/policy/src/duties/work_counts.rs
+++ b/crates/policy/src/duties/work_counts.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// Reading that this host put on engines since its start, by model, in milliseconds of an
-/// engine.
+/// Total prefill work that this host has sent to engines since its start, by model, in milliseconds
+/// of one engine.
 #[derive(Debug, Default)]
 pub(crate) struct WorkCounts {
     totals_ms: BTreeMap<ModelId, f64>,
 }
 
 impl WorkCounts {
-    /// Counts a prompt that an engine gets to read.
+    /// Adds a prompt that is sent to an engine and that takes `read_ms` of prefill.
     pub(crate) fn add_prompt(&mut self, model: &ModelId, read_ms: f64) {
         if let Some(total_ms) = self.totals_ms.get_mut(model) {
             *total_ms += read_ms;
@@ -17,7 +17,8 @@
         }
     }
 
-    /// What is to be told the holder of the duties: totals, so that a lost message does no harm.
+    /// Work to report to the host that holds the duties. It consists of totals, so that a lost
+    /// message does no harm.
     pub(crate) fn model_work(&self, pool: &Pool) -> Vec<ModelWork> {
         let totals_ms = self.totals_ms.iter().take(peer::MAX_MODELS);
         totals_ms
