--- a/crates/policy/src/duties/capacity_plan.rs
+++ b/crates/policy/src/duties/capacity_plan.rs
@@ -75,7 +75,7 @@
 
 /// Decides how many regular and reclaimable upstreams each failure domain should have.
 ///
-/// While demand is unknown, the plan keeps the number of upstreams present at the start (the
+/// Until demand is known, the plan keeps the number of upstreams present at the start (the
 /// baseline) in all failure domains together, even after one domain has lost all its reclaimable
 /// upstreams. Once demand is known, the number follows the demand.
 ///
@@ -96,7 +96,7 @@
     backoff_until: Time,
     /// Since when enough reclaimable upstreams have been ready.
     surplus_since: Option<Time>,
-    /// Upstreams of both kinds that the demand requires; `None` while demand is unknown.
+    /// Upstreams of both kinds that the demand requires; `None` until demand was first known.
     target: Option<u32>,
     /// Upstreams that were present at the start, which is the number that the operator wants.
     baseline: u32,
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Targets by service and failure domain, where demand is known, to be stored for the next
-    /// lease holder.
+    /// Targets by service and failure domain, where they are set, to be stored for the next lease
+    /// holder.
     pub fn targets(&self) -> Vec<(ServiceId, FailureDomainId, u32)> {
         let pools = self.pools.iter();
         pools
