--- a/crates/policy/src/duties/lease.rs
+++ b/crates/policy/src/duties/lease.rs
@@ -1,42 +1,44 @@
 use super::*;
 
-/// What the holder leaves of a term, for its last bytes to be under way …
+/// Time before the end of a term at which the holder stops acting, so that the last bytes it sends
+/// arrive within the term.
 const HOLDER_MARGIN: Duration = Duration::from_millis(500);
 
-/// … and what the next one waits beyond it.
-const TAKER_MARGIN: Duration = Duration::from_millis(300);
+/// Time that a candidate waits beyond the end of a term before it takes the lease.
+const CANDIDATE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Time between two renewals, as a part of a term: two may fail.
+/// Number of renewals per term. Two of them may fail without the loss of the lease.
 const RENEWALS_PER_TERM: u32 = 4;
 
-/// Holders that the lease remembers: more than can give it up within a term.
-const MAX_PREVIOUS: usize = 8;
+/// Number of previous holders stored in the lease, which is more than can release the lease within
+/// a term.
+const MAX_PREVIOUS_HOLDERS: usize = 8;
 
-/// Time between two looks of a host that waits for the lease.
-const LOOK_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Interval at which a candidate reads the lease.
+const READ_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What is to be done for the lease now.
+/// Next step for the lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeaseStep {
-    /// Read it from the store.
+    /// Read the lease from the store.
     Read,
-    /// Nothing for this time.
+    /// Do nothing for this time.
     Wait(Duration),
-    /// Write it, on condition that the store has this version of it; 0 for none at all.
+    /// Write the lease, on condition that the stored version equals `expected`.
     Write {
-        /// The version.
+        /// Expected version in the store; 0 if the store has no lease yet.
         expected: u64,
-        /// What to write.
+        /// Record to write.
         record: LeaseRecord,
     },
 }
 
-/// A lease in the store, as one host sees it.
+/// A lease in the store, as seen by one host.
 ///
-/// Only the store's conditional writes decide who holds it. A holder acts while the term that
-/// began when it *sent* its last confirmed write lasts, less a margin; a taker waits a whole
-/// term and a margin from when it first saw the holder's last write. Both count on their own
-/// clocks, which count suspended time.
+/// Only the conditional writes of the store decide which host holds the lease. A holder acts during
+/// the term that began when it *sent* its last confirmed write, less a margin. A candidate waits a
+/// whole term and a margin from when it first saw the holder's last write. Both use their own
+/// clocks, which include the time that the machine was suspended.
 #[derive(Debug)]
 pub struct Lease {
     host: HostId,
@@ -47,35 +49,36 @@
 
 #[derive(Debug)]
 enum State {
-    /// Another host holds it, or nobody does.
+    /// Another host holds the lease, or no host does.
     Candidate(Candidate),
-    /// This host was the last to write it.
+    /// This host was the last to write the lease.
     Holder(Holder),
 }
 
 #[derive(Debug, Default)]
 struct Candidate {
-    /// When the lease was read last.
-    looked: Option<Time>,
-    /// What was seen last, and when it was first seen so.
-    seen: Option<(StoredLease, Time)>,
-    /// A write whose answer is open: the lease is read before anything else is written.
-    written: Option<(LeaseRecord, Time)>,
+    /// When the lease was last read.
+    last_read: Option<Time>,
+    /// Lease that was last read, and when it was first read in this version.
+    observed: Option<(StoredLease, Time)>,
+    /// Write whose result is unknown, and when it was sent. The lease is read before anything else
+    /// is written.
+    pending_write: Option<(LeaseRecord, Time)>,
 }
 
 #[derive(Debug)]
 struct Holder {
     /// When the last confirmed write was sent.
-    confirmed: Time,
+    confirmed_at: Time,
     /// When the last write was sent, confirmed or not.
-    renewed: Time,
+    last_write_sent: Time,
     stored: StoredLease,
-    /// Whether the answer to the last write did not come.
-    unsure: bool,
+    /// Whether the result of the last write is unknown.
+    is_write_unconfirmed: bool,
 }
 
 impl Lease {
-    /// The lease as a host sees it that knows nothing of it yet.
+    /// Creates the lease for a host that has not read it yet.
     pub fn new(host: HostId, incarnation: Incarnation, term: Duration) -> Self {
         Self {
             host,
@@ -85,38 +88,41 @@
         }
     }
 
-    /// What to do now.
-    pub fn next(&mut self, now: Time, era: u32) -> LeaseStep {
+    /// Returns the next step. `era` is the era of the store.
+    pub fn next_step(&mut self, now: Time, era: u32) -> LeaseStep {
         let host = self.host.clone();
         let incarnation = self.incarnation;
         let term = self.term;
         match &mut self.state {
-            State::Holder(holder) if holder.unsure => LeaseStep::Read,
+            State::Holder(holder) if holder.is_write_unconfirmed => LeaseStep::Read,
             State::Holder(holder) => {
-                let due = holder.renewed + term / RENEWALS_PER_TERM;
+                let due = holder.last_write_sent + term / RENEWALS_PER_TERM;
                 if now < due {
                     return LeaseStep::Wait(due.since(now));
                 }
-                holder.renewed = now;
+                holder.last_write_sent = now;
                 LeaseStep::Write {
                     expected: holder.stored.version,
                     record: holder.stored.record.clone(),
                 }
             }
             State::Candidate(candidate) => {
-                let Some(looked) = candidate.looked.filter(|_| candidate.written.is_none()) else {
+                let Some(last_read) = candidate
+                    .last_read
+                    .filter(|_| candidate.pending_write.is_none())
+                else {
                     return LeaseStep::Read;
                 };
-                let Some(wait) = candidate.wait(now, &host, term) else {
-                    let record = candidate.taken(host, incarnation, era);
-                    candidate.written = Some((record.clone(), now));
-                    let seen = candidate.seen.as_ref();
+                let Some(wait) = candidate.time_until_free(now, &host, term) else {
+                    let record = candidate.next_record(host, incarnation, era);
+                    candidate.pending_write = Some((record.clone(), now));
+                    let seen = candidate.observed.as_ref();
                     return LeaseStep::Write {
                         expected: seen.map_or(0, |(stored, _)| stored.version),
                         record,
                     };
                 };
-                let due = looked + LOOK_INTERVAL;
+                let due = last_read + READ_INTERVAL;
                 if now >= due {
                     return LeaseStep::Read;
                 }
@@ -125,74 +131,73 @@
         }
     }
 
-    /// Takes what was read; `None` if there is no lease yet.
+    /// Handles the result of a read; `None` if the store has no lease yet.
     pub fn note_read(&mut self, now: Time, stored: Option<StoredLease>) {
         match &mut self.state {
             State::Holder(holder) => match stored {
                 Some(stored) if stored.record == holder.stored.record => {
                     if stored.version > holder.stored.version {
-                        // The write whose answer was lost was done.
-                        holder.confirmed = holder.renewed;
+                        // The write whose response was lost has taken effect.
+                        holder.confirmed_at = holder.last_write_sent;
                     }
                     holder.stored = stored;
-                    holder.unsure = false;
+                    holder.is_write_unconfirmed = false;
                 }
-                stored => self.lose(now, stored),
+                stored => self.become_candidate(now, stored),
             },
             State::Candidate(candidate) => {
-                candidate.looked = Some(now);
-                if let Some((record, sent)) = candidate.written.take()
+                candidate.last_read = Some(now);
+                if let Some((record, sent)) = candidate.pending_write.take()
                     && let Some(stored) = &stored
                     && stored.record == record
                 {
-                    return self.hold(stored.clone(), sent);
+                    return self.become_holder(stored.clone(), sent);
                 }
                 if let Some(stored) = stored.as_ref().filter(|stored| {
                     let record = &stored.record;
                     let own = record.host == self.host && record.incarnation == self.incarnation;
                     own && !record.released
                 }) {
-                    // Nobody took it since, but when it was written is not known: it is
-                    // renewed before anything is done under it.
-                    return self.hold(stored.clone(), Time::default());
+                    // No other host has taken the lease since, but the time of this host's write is
+                    // unknown. The lease is renewed before this host acts under it.
+                    return self.become_holder(stored.clone(), Time::default());
                 }
-                candidate.see(now, stored);
+                candidate.observe(now, stored);
             }
         }
     }
 
-    /// The store did a write that was sent at a moment, and gave it a version.
+    /// Handles a confirmed write that was sent at `sent` and that created `version`.
     pub fn note_written(&mut self, sent: Time, record: LeaseRecord, version: u64) {
-        self.hold(StoredLease { record, version }, sent);
+        self.become_holder(StoredLease { record, version }, sent);
     }
 
-    /// The store did not do the last write, as its condition did not hold.
+    /// Handles a write that the store rejected because its condition did not hold.
     pub fn note_conflict(&mut self, now: Time) {
-        self.lose(now, None);
+        self.become_candidate(now, None);
         if let State::Candidate(candidate) = &mut self.state {
-            candidate.looked = None;
+            candidate.last_read = None;
         }
     }
 
-    /// The store gave no answer to the last write: it may have been done, or will be.
-    pub fn note_unknown(&mut self) {
+    /// Handles a write without a response. The write may have taken effect, or may still do so.
+    pub fn note_write_unknown(&mut self) {
         if let State::Holder(holder) = &mut self.state {
-            holder.unsure = true;
+            holder.is_write_unconfirmed = true;
         }
     }
 
-    /// The token under which this host may act now, and until when.
+    /// Fencing token under which this host may act now, and the time until which it may.
     pub fn token(&self, now: Time) -> Option<(FencingToken, Time)> {
         let State::Holder(holder) = &self.state else {
             return None;
         };
-        let until = holder.confirmed + self.term.saturating_sub(HOLDER_MARGIN);
+        let until = holder.confirmed_at + self.term.saturating_sub(HOLDER_MARGIN);
         let is_held = now < until && !holder.stored.record.released;
         is_held.then_some((holder.stored.record.token, until))
     }
 
-    /// The lease as it lies in the store, where this host wrote it last: further writes are
-    /// made on the condition that it still does.
+    /// Stored lease, if this host wrote it last. Further writes are conditional on its version.
     pub fn stored(&self) -> Option<&StoredLease> {
         match &self.state {
             State::Holder(holder) => Some(&holder.stored),
@@ -200,14 +205,14 @@
         }
     }
 
-    /// Gives the lease up: from now on this host does nothing under it. Gives the write that
-    /// tells the others.
+    /// Releases the lease: from now on this host does nothing under it. Returns the record and the
+    /// expected version for the write that announces the release.
     pub fn release(&mut self, now: Time) -> Option<(LeaseRecord, u64)> {
         let State::Holder(holder) = &self.state else {
             return None;
         };
         let StoredLease { record, version } = holder.stored.clone();
-        self.lose(now, None);
+        self.become_candidate(now, None);
         let record = LeaseRecord {
             released: true,
             ..record
@@ -215,54 +220,54 @@
         Some((record, version))
     }
 
-    fn hold(&mut self, stored: StoredLease, sent: Time) {
+    fn become_holder(&mut self, stored: StoredLease, sent: Time) {
         self.state = State::Holder(Holder {
-            confirmed: sent,
-            renewed: sent,
+            confirmed_at: sent,
+            last_write_sent: sent,
             stored,
-            unsure: false,
+            is_write_unconfirmed: false,
         });
     }
 
-    fn lose(&mut self, now: Time, stored: Option<StoredLease>) {
+    fn become_candidate(&mut self, now: Time, stored: Option<StoredLease>) {
         let mut candidate = Candidate::default();
         if stored.is_some() {
-            candidate.looked = Some(now);
-            candidate.see(now, stored);
+            candidate.last_read = Some(now);
+            candidate.observe(now, stored);
         }
         self.state = State::Candidate(candidate);
     }
 }
 
 impl Candidate {
-    fn see(&mut self, now: Time, stored: Option<StoredLease>) {
-        self.seen = stored.map(|stored| {
-            let first = self.seen.take().filter(|(seen, _)| *seen == stored);
+    fn observe(&mut self, now: Time, stored: Option<StoredLease>) {
+        self.observed = stored.map(|stored| {
+            let first = self.observed.take().filter(|(seen, _)| *seen == stored);
             (stored, first.map_or(now, |(_, first)| first))
         });
     }
 
-    /// Time until the lease may be taken; `None` if it may be now.
+    /// Time until the lease may be taken; `None` if it may be taken now.
     ///
-    /// One that was released is free at once, except for hosts that held it before: two
-    /// holders must not act in turns within a term.
-    fn wait(&self, now: Time, own: &HostId, term: Duration) -> Option<Duration> {
-        let (stored, first) = self.seen.as_ref()?;
+    /// A released lease may be taken immediately, except by its previous holders: two holders must
+    /// not act alternately within one term.
+    fn time_until_free(&self, now: Time, own: &HostId, term: Duration) -> Option<Duration> {
+        let (stored, first) = self.observed.as_ref()?;
         let record = &stored.record;
         if record.released && !record.previous.contains(own) {
             return None;
         }
-        let free = *first + term + TAKER_MARGIN;
-        (now < free).then(|| free.since(now))
+        let free_at = *first + term + CANDIDATE_MARGIN;
+        (now < free_at).then(|| free_at.since(now))
     }
 
-    fn taken(&self, host: HostId, incarnation: Incarnation, era: u32) -> LeaseRecord {
-        let before = self.seen.as_ref().map(|(stored, _)| &stored.record);
+    fn next_record(&self, host: HostId, incarnation: Incarnation, era: u32) -> LeaseRecord {
+        let before = self.observed.as_ref().map(|(stored, _)| &stored.record);
         let holders = before.into_iter().flat_map(|before| {
             let holders = std::iter::once(&before.host).chain(&before.previous);
             holders.filter(|holder| **holder != host)
         });
-        let previous: Vec<HostId> = holders.take(MAX_PREVIOUS).cloned().collect();
+        let previous: Vec<HostId> = holders.take(MAX_PREVIOUS_HOLDERS).cloned().collect();
         LeaseRecord {
             host,
             incarnation,
