--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -117,7 +117,7 @@
     /// Log a change of what is believed of the own path to an upstream.
     NoteReach(PathChange),
     /// Log a change of what an engine is believed to do.
-    NoteSpeed(SpeedNoted),
+    NoteSpeed(SpeedChange),
     /// Ask an ejected upstream whether it is well.
     Probe {
         /// Where it listens.
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -464,7 +464,7 @@
 
     /// Upstreams that get no new work until a probe succeeds.
     pub fn ejected(&self) -> Vec<UpstreamId> {
-        self.pool.select(|state| !state.health.is_well())
+        self.pool.select(|state| !state.health.is_healthy())
     }
 
     /// A host that has a configuration and not yet the list does not know which
@@ -486,7 +486,7 @@
     }
 
     fn on_tick(&mut self, now: Time, actions: &mut Vec<Action>) {
-        self.pool.eject_silent(now);
+        self.pool.eject_silent_domains(now);
         for (upstream, address) in self.pool.take_probes(now) {
             let state = self.pool.get(&upstream);
             let path = state.map_or("/health", |state| state.definition.health_path());
--- a/crates/policy/src/crashes/witnesses.rs
+++ b/crates/policy/src/crashes/witnesses.rs
@@ -63,7 +63,7 @@
         let domain = state.definition.failure_domain();
         let witness = self.pool.states.iter().find(|state| {
             state.definition.failure_domain() == domain
-                && state.health.is_well()
+                && state.health.is_healthy()
                 && !state.is_leaving(now)
                 && !self.crashes.suspects.is_refusing(&state.id)
         });
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -39,7 +39,7 @@
 mod reach;
 mod relay_rules;
 mod requests;
-mod transfers;
+mod table_transfers;
 mod upstream_limits;
 mod upstream_notices;
 mod upstreams;
@@ -68,10 +68,10 @@
         RefusalReason, Repeatability, RoutedRequest, SendInputs, Settlement, StoredResponse,
         Target, WasteCause,
     },
-    transfers::{TransferSearch, TransferSlots},
+    table_transfers::{TableSourceSearch, TableTransferSlots},
     upstream_limits::LimitChange,
     upstream_notices::{LeavingDetected, NoticeSource},
-    upstreams::{SpeedCounts, SpeedNoted, UpstreamCensus, WorkingSet},
+    upstreams::{SpeedChange, SpeedCounts, UpstreamCensus, WorkingSet},
 };
 
 use {
--- a/crates/policy/src/prompt_transfers/mod.rs
+++ b/crates/policy/src/prompt_transfers/mod.rs
@@ -8,8 +8,8 @@
 
 mod prompt_copies;
 mod prompt_fetch;
+mod prompt_tracking;
 mod source_choice;
-mod starting;
 mod transfer_link;
 mod transfer_speed;
 
--- a/crates/policy/src/prompt_transfers/prompt_fetch.rs
+++ b/crates/policy/src/prompt_transfers/prompt_fetch.rs
@@ -6,11 +6,11 @@
     /// Where the source listens.
     pub(crate) address: SocketAddr,
     /// When the transfer is expected to end.
-    pub(crate) ends: Time,
+    pub(crate) expected_end: Time,
     /// Most tokens that the source may keep beyond what the engine keeps.
-    pub(crate) most: u64,
+    pub(crate) max_tokens: u64,
     /// The engine that keeps the parts, or may keep them.
     pub(crate) source: UpstreamId,
     /// Tokens that the source is known to have read beyond what the engine keeps.
-    pub(crate) tokens: Tokens,
+    pub(crate) known_tokens: Tokens,
 }
--- a/crates/policy/src/prompt_transfers/starting.rs
+++ b/crates/policy/src/prompt_transfers/prompt_tracking.rs
@@ -11,27 +11,29 @@
     pub(crate) fn start_prompt(&mut self, now: Time, request: &mut Request<Running>) {
         let facts = &request.facts;
         let upstream = &request.stage.upstream;
-        let wanted = facts.placement(
+        let placement_request = facts.placement(
             &request.failed_upstreams,
             None,
             facts.rank,
             self.stream_share(&facts.target),
             self.neighbors.candidate_limit(),
         );
-        let sources = self.pool.sources(wanted.target, wanted.avoid, now);
-        let engine = Pool::rendezvous_engine(sources, wanted.parts);
-        let is_rendezvous = engine.is_some_and(|engine| engine.id == *upstream);
-        let fetch = self.pool.fetch_for(upstream, &wanted, now);
+        let sources =
+            self.pool
+                .transfer_sources(placement_request.target, placement_request.avoid, now);
+        let rendezvous = Pool::rendezvous_engine(sources, placement_request.parts);
+        let is_rendezvous = rendezvous.is_some_and(|engine| engine.id == *upstream);
+        let fetch = self.pool.plan_fetch(upstream, &placement_request, now);
         // The rendezvous engine has most parts itself: what nobody told of is hardly fetched.
-        let is_likely = |fetch: &&PromptFetch| !is_rendezvous || fetch.tokens.get() > 0;
+        let is_likely = |fetch: &&PromptFetch| !is_rendezvous || fetch.known_tokens.get() > 0;
         if let Some(fetch) = fetch.as_ref().filter(is_likely) {
             self.note_transfer(now, upstream, fetch);
         }
         if let Some(state) = self.pool.get_mut(upstream) {
             request.stage.prefill = state.start_prefill(&facts.parts);
             if let Target::Model(model) = &facts.target {
-                let read_ms = state.prefill_ms(u64::from(request.stage.prefill.get()));
-                self.reporting.work.note_sent(model, read_ms);
+                let prefill_ms = state.prefill_ms(u64::from(request.stage.prefill.get()));
+                self.reporting.work.note_sent(model, prefill_ms);
             }
             let reads = state.note_prompt_sent(&facts.parts);
             if TransferSpeed::of(state).is_none() {
@@ -45,13 +47,13 @@
     fn note_transfer(&mut self, now: Time, destination: &UpstreamId, fetch: &PromptFetch) {
         for end in [&fetch.source, destination] {
             if let Some(state) = self.pool.get_mut(end) {
-                state.transfers.note(fetch.ends, now);
+                state.transfers.record(fetch.expected_end, now);
             }
         }
     }
 
     /// Notes that an engine has read a prompt, by its first token.
-    pub(crate) fn note_prompt_read(
+    pub(crate) fn note_prompt_prefilled(
         &mut self,
         upstream: &UpstreamId,
         parts: &[PromptPart],
@@ -68,7 +70,11 @@
         }
     }
     /// Forgets of a prompt that an engine gave no first token for what was not read before.
-    pub(crate) fn note_prompt_unread(&mut self, upstream: &UpstreamId, parts: &[PromptPart]) {
+    pub(crate) fn note_prompt_not_prefilled(
+        &mut self,
+        upstream: &UpstreamId,
+        parts: &[PromptPart],
+    ) {
         if let Some(state) = self.pool.get_mut(upstream)
             && TransferSpeed::of(state).is_some()
         {
--- a/crates/policy/src/prompt_transfers/transfer_link.rs
+++ b/crates/policy/src/prompt_transfers/transfer_link.rs
@@ -6,23 +6,23 @@
 /// ended, holds the link for no longer than one that did.
 #[derive(Debug, Default)]
 pub(crate) struct TransferLink {
-    ends: VecDeque<Time>,
+    expected_ends: VecDeque<Time>,
 }
 
 impl TransferLink {
     /// Notes a transfer that is expected to end at a moment.
-    pub(crate) fn note(&mut self, ends: Time, now: Time) {
-        self.ends.retain(|other| *other > now);
-        self.ends.push_back(ends);
+    pub(crate) fn record(&mut self, expected_end: Time, now: Time) {
+        self.expected_ends.retain(|other| *other > now);
+        self.expected_ends.push_back(expected_end);
     }
 
     /// When the last transfer ends.
     pub(crate) fn free_at(&self, now: Time) -> Time {
-        self.ends.back().map_or(now, |last| now.max(*last))
+        self.expected_ends.back().map_or(now, |last| now.max(*last))
     }
 
     /// Transfers under way.
-    pub(crate) fn under_way(&self, now: Time) -> usize {
-        self.ends.iter().filter(|ends| **ends > now).count()
+    pub(crate) fn active_count(&self, now: Time) -> usize {
+        self.expected_ends.iter().filter(|end| **end > now).count()
     }
 }
--- a/crates/policy/src/prompt_transfers/transfer_speed.rs
+++ b/crates/policy/src/prompt_transfers/transfer_speed.rs
@@ -6,7 +6,7 @@
 
 /// How much longer a transfer between failure domains is taken to last: its way is shared with
 /// other traffic.
-const FAR_FACTOR: f64 = 2.0;
+const CROSS_DOMAIN_FACTOR: f64 = 2.0;
 
 /// How fast parts of prompts come to an engine.
 #[derive(Clone, Copy, Debug)]
@@ -31,9 +31,14 @@
         let (from, to) = (Self::of(source)?, Self::of(destination)?);
         let slower = from.ms_per_token.max(to.ms_per_token);
         let source_domain = source.definition.failure_domain();
-        let is_near = source_domain == destination.definition.failure_domain();
+        let is_same_domain = source_domain == destination.definition.failure_domain();
         Some(Self {
-            ms_per_token: slower * if is_near { 1.0 } else { FAR_FACTOR },
+            ms_per_token: slower
+                * if is_same_domain {
+                    1.0
+                } else {
+                    CROSS_DOMAIN_FACTOR
+                },
         })
     }
 
--- a/crates/policy/src/queueing/admission.rs
+++ b/crates/policy/src/queueing/admission.rs
@@ -325,7 +325,7 @@
         if let Some(last_part) = parts.last() {
             let prompt_work = u64::from(last_part.tokens.get()) / PROMPT_TOKENS_PER_OUTPUT_TOKEN;
             let work = (u64::from(output.get()) + prompt_work) as f64;
-            queues.partition.note(now, pause_bound, work);
+            queues.partition.record_request(now, pause_bound, work);
         }
         let facts = RequestFacts {
             arrived: now,
--- a/crates/policy/src/queueing/dispatch.rs
+++ b/crates/policy/src/queueing/dispatch.rs
@@ -229,7 +229,7 @@
                     class: request.facts.class.clone(),
                     expected_wait: Duration::from_secs_f64(state.queued_prefill_ms() / 1_000.0),
                     fetch_source: fetch.map(|fetch| fetch.source.clone()),
-                    fetch_tokens: fetch.map(|fetch| fetch.tokens).unwrap_or_default(),
+                    fetch_tokens: fetch.map(|fetch| fetch.known_tokens).unwrap_or_default(),
                     fingerprint: request.facts.fingerprint,
                     in_flight: state.in_flight,
                     rate_limit: state.limit.rate(),
--- a/crates/policy/src/reach/path_checks.rs
+++ b/crates/policy/src/reach/path_checks.rs
@@ -107,7 +107,7 @@
             && self
                 .pool
                 .silent_domains
-                .is_all_silent(&self.pool.states, now)
+                .are_all_silent(&self.pool.states, now)
         {
             self.next_suspicion = now + SILENCE_CHECK_INTERVAL;
             self.check_silent_upstreams(now, actions);
--- a/crates/policy/src/requests/attempts.rs
+++ b/crates/policy/src/requests/attempts.rs
@@ -44,16 +44,19 @@
         let team = request.take_uncounted_team();
         self.note_begun(now, now, team);
         if let Some(parts) = read_parts {
-            self.note_prompt_read(&upstream, &parts, is_rendezvous);
+            self.note_prompt_prefilled(&upstream, &parts, is_rendezvous);
         }
         self.pool.note_responsive(&upstream, now);
         self.note_path_answered(now, &upstream, is_direct);
         if let Some(state) = self.pool.get_mut(&upstream) {
             state.end_prefill(prefill);
             if is_first_on_upstream && !is_fetched {
-                state
-                    .speed
-                    .note_lead(unshared_tokens, tokens_ahead, time_to_first_token, now);
+                state.speed.record_first_token(
+                    unshared_tokens,
+                    tokens_ahead,
+                    time_to_first_token,
+                    now,
+                );
             }
             state.streams += u32::from(is_first_on_upstream);
             state.backoff.note_accepted(sent);
@@ -125,7 +128,7 @@
         self.note_answered(now, &mut request);
         if !request.stage.is_streaming {
             let stage = &request.stage;
-            self.note_prompt_read(&stage.upstream, &request.facts.parts, stage.is_rendezvous);
+            self.note_prompt_prefilled(&stage.upstream, &request.facts.parts, stage.is_rendezvous);
         }
         self.note_answer_end(now, &request);
         self.release_slot(now, &request);
@@ -292,7 +295,7 @@
     /// expected to cache and to prefill.
     pub(crate) fn release_slot(&mut self, now: Time, request: &Request<Running>) {
         if !request.stage.is_streaming {
-            self.note_prompt_unread(&request.stage.upstream, &request.facts.parts);
+            self.note_prompt_not_prefilled(&request.stage.upstream, &request.facts.parts);
         }
         if let Some(state) = self.pool.get_mut(&request.stage.upstream) {
             state.end_prefill(request.stage.prefill);
--- a/crates/policy/src/transfers/mod.rs
+++ b/crates/policy/src/table_transfers/mod.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-mod transfer_search;
-mod transfer_slots;
+mod table_source_search;
+mod table_transfer_slots;
 
-pub use {transfer_search::TransferSearch, transfer_slots::TransferSlots};
+pub use {table_source_search::TableSourceSearch, table_transfer_slots::TableTransferSlots};
--- a/crates/policy/src/upstream_notices/unavailable.rs
+++ b/crates/policy/src/upstream_notices/unavailable.rs
@@ -51,7 +51,7 @@
                 next.get_or_insert(NextAvailability::Never);
                 continue;
             }
-            if !state.health.is_well() || state.backoff.is_over(now) {
+            if !state.health.is_healthy() || state.backoff.is_over(now) {
                 return None;
             }
             let until = state.backoff.asked_until()?;
--- a/crates/policy/src/upstreams/choice.rs
+++ b/crates/policy/src/upstreams/choice.rs
@@ -201,7 +201,7 @@
     now: Time,
     rng: &mut SmallRng,
 ) -> Option<&'a UpstreamState> {
-    let baseline = Usual::of(states.clone().map(|state| &state.track_record));
+    let baseline = BaselineRecord::of(states.clone().map(|state| &state.track_record));
     let mut best: Option<(&UpstreamState, f64)> = None;
     let mut ties = 0;
     for state in states {
--- a/crates/policy/src/upstreams/ejection.rs
+++ b/crates/policy/src/upstreams/ejection.rs
@@ -5,7 +5,7 @@
 
 /// At least one in so many upstreams of a target stays in use, however many
 /// have failed.
-const KEEP_ONE_IN: usize = 2;
+const UPSTREAMS_PER_EJECTION: usize = 2;
 
 impl Pool {
     /// Notes a failure, and ejects the upstream if it has failed often and
@@ -22,45 +22,51 @@
 
     /// Notes that an upstream was observed: its whole failure domain is in reach.
     pub(crate) fn note_responsive(&mut self, id: &UpstreamId, now: Time) {
-        if let Some(place) = self.index_by_id.get(id) {
-            let domain = self.states[*place].definition.failure_domain();
+        if let Some(index) = self.index_by_id.get(id) {
+            let domain = self.states[*index].definition.failure_domain();
             self.silent_domains.note_responsive(domain, now);
         }
     }
 
     /// Notes that no connection to an upstream could be made.
     pub(crate) fn note_unreachable(&mut self, id: &UpstreamId) {
-        if let Some(place) = self.index_by_id.get(id) {
-            let domain = self.states[*place].definition.failure_domain();
+        if let Some(index) = self.index_by_id.get(id) {
+            let domain = self.states[*index].definition.failure_domain();
             self.silent_domains.note_unreachable(domain, id);
         }
     }
 
     /// Ejects the upstreams of failure domains that have fallen silent, however many
     /// they are, if others that are observed serve the same.
-    pub(crate) fn eject_silent(&mut self, now: Time) {
+    pub(crate) fn eject_silent_domains(&mut self, now: Time) {
         let silent = self.silent_domains.take_silent(&self.states, now);
         if silent.is_empty() {
             return;
         }
         let is_silent = |state: &UpstreamState| silent.contains(state.definition.failure_domain());
-        let ejected = |state: &UpstreamState| {
-            is_silent(state) && state.health.is_well() && self.has_others(state, is_silent)
+        let is_to_eject = |state: &UpstreamState| {
+            is_silent(state) && state.health.is_healthy() && self.has_replacements(state, is_silent)
         };
-        let places = (0..self.states.len()).filter(|place| ejected(&self.states[*place]));
-        for place in places.collect::<Vec<_>>() {
-            self.states[place].health.eject(now);
+        let indexes = (0..self.states.len()).filter(|index| is_to_eject(&self.states[*index]));
+        for index in indexes.collect::<Vec<_>>() {
+            self.states[index].health.eject(now);
         }
     }
 
     /// Whether everything that an upstream serves is served by another one that is
     /// well and not given up.
-    fn has_others(&self, state: &UpstreamState, given_up: impl Fn(&UpstreamState) -> bool) -> bool {
-        let is_served = |target: &Target| {
+    fn has_replacements(
+        &self,
+        state: &UpstreamState,
+        excluded: impl Fn(&UpstreamState) -> bool,
+    ) -> bool {
+        let has_replacement = |target: &Target| {
             let mut others = self.upstreams_of(target);
-            others.any(|other| other.health.is_well() && !given_up(other))
+            others.any(|other| other.health.is_healthy() && !excluded(other))
         };
-        pool::targets_of(&state.definition).iter().all(is_served)
+        pool::targets_of(&state.definition)
+            .iter()
+            .all(has_replacement)
     }
 
     /// What goes wrong without the cap: a fault of the network or of this host
@@ -71,8 +77,8 @@
             return false;
         }
         let all = self.upstreams_of(target);
-        let ejected = all.clone().filter(|state| !state.health.is_well());
-        (ejected.count() + 1) * KEEP_ONE_IN <= all.count().max(KEEP_ONE_IN)
+        let ejected = all.clone().filter(|state| !state.health.is_healthy());
+        (ejected.count() + 1) * UPSTREAMS_PER_EJECTION <= all.count().max(UPSTREAMS_PER_EJECTION)
     }
 
     /// Upstreams to be probed now; each is named once for each probe.
--- a/crates/policy/src/upstreams/engine_speed.rs
+++ b/crates/policy/src/upstreams/engine_speed.rs
@@ -1,33 +1,33 @@
 use super::*;
 
 /// Prompt tokens that an engine reads in a millisecond, before any was seen to.
-const FIRST_READ_TOKENS_PER_MS: f64 = 100.0;
+const DEFAULT_PREFILL_TOKENS_PER_MS: f64 = 100.0;
 
 /// Fewest prompt tokens of which the time to the first token tells the speed of reading: with
 /// fewer the way there and back counts more.
-const MIN_READ_TOKENS: u32 = 1_000;
+const MIN_SAMPLE_TOKENS: u32 = 1_000;
 
 /// Most that may be known to wait before a prompt, as a part of it, where its time to the first
 /// token is to tell the speed of reading.
-const MAX_WAITING: f64 = 0.25;
+const MAX_QUEUED_SHARE: f64 = 0.25;
 
 /// Time after which a step that nobody speaks for any more fades by one.
-const FADE_INTERVAL: Duration = Duration::from_secs(10);
+const STEP_DECAY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// What one incarnation of an engine can do, as far as is known.
 #[derive(Debug)]
 pub(crate) struct EngineSpeed {
     /// When this host's vote was announced last.
-    announced: Option<Time>,
+    last_announced: Option<Time>,
     /// When the step was last confirmed, or faded.
-    decided: Time,
+    step_updated: Time,
     pub(crate) key: EngineKey,
     /// When this host last got a sample.
-    sampled: Option<Time>,
+    last_sampled: Option<Time>,
     /// Times in which prompt tokens were read.
-    pub(crate) reading: SpeedSamples,
+    pub(crate) prefill_samples: SpeedSamples,
     /// Prompt tokens that it reads in a millisecond.
-    pub(crate) read_tokens_per_ms: f64,
+    pub(crate) prefill_tokens_per_ms: f64,
     /// The step in force.
     pub(crate) step: SpeedStep,
     pub(crate) votes: SpeedVotes,
@@ -36,13 +36,13 @@
 impl EngineSpeed {
     pub(crate) fn new(id: &UpstreamId) -> Self {
         Self {
-            announced: None,
-            decided: Time::default(),
+            last_announced: None,
+            step_updated: Time::default(),
             key: EngineKey::of(id),
-            read_tokens_per_ms: FIRST_READ_TOKENS_PER_MS,
-            reading: SpeedSamples::default(),
-            sampled: None,
-            step: SpeedStep::USUAL,
+            prefill_tokens_per_ms: DEFAULT_PREFILL_TOKENS_PER_MS,
+            prefill_samples: SpeedSamples::default(),
+            last_sampled: None,
+            step: SpeedStep::BASELINE,
             votes: SpeedVotes::default(),
         }
     }
@@ -54,61 +54,70 @@
 
     /// Notes the time to the first token of a prompt of which so many tokens were surely read, and
     /// before which `waiting` tokens were known to wait.
-    pub(crate) fn note_lead(&mut self, unread: Tokens, waiting: u64, lead: Duration, now: Time) {
-        let tokens = unread.get();
-        if tokens < MIN_READ_TOKENS || waiting as f64 > MAX_WAITING * f64::from(tokens) {
+    pub(crate) fn record_first_token(
+        &mut self,
+        unshared: Tokens,
+        queued_tokens: u64,
+        time_to_first_token: Duration,
+        now: Time,
+    ) {
+        let tokens = unshared.get();
+        if tokens < MIN_SAMPLE_TOKENS || queued_tokens as f64 > MAX_QUEUED_SHARE * f64::from(tokens)
+        {
             return;
         }
-        if let Some(sample) = SpeedSample::new(u64::from(tokens), lead, now) {
-            self.reading.note(sample);
-            self.sampled = Some(now);
+        if let Some(sample) = SpeedSample::new(u64::from(tokens), time_to_first_token, now) {
+            self.prefill_samples.push(sample);
+            self.last_sampled = Some(now);
         }
     }
 
     pub(crate) fn expire(&mut self, now: Time) {
-        self.reading.expire(now);
+        self.prefill_samples.expire(now);
         self.votes.expire(now);
     }
 
-    pub(crate) fn samples(&self) -> usize {
-        self.reading.len()
+    pub(crate) fn sample_count(&self) -> usize {
+        self.prefill_samples.len()
     }
 
     /// Milliseconds in which it reads a token, by all that is known.
-    pub(crate) fn token_ms(&self) -> Option<f64> {
-        self.votes.token_ms(&self.reading)
+    pub(crate) fn prefill_ms_per_token(&self) -> Option<f64> {
+        self.votes.prefill_ms_per_token(&self.prefill_samples)
     }
 
     /// Follows what is known of its pool; true if the step in force changed.
-    pub(crate) fn follow(&mut self, usual: &UsualSpeed, now: Time) -> bool {
+    pub(crate) fn update_step(&mut self, baseline: &BaselineSpeed, now: Time) -> bool {
         let before = self.step;
-        let factor = self.token_ms().and_then(|ms| usual.factor_of(ms));
+        let factor = self
+            .prefill_ms_per_token()
+            .and_then(|ms| baseline.factor_of(ms));
         if let Some(factor) = factor {
-            self.step = self.step.follow(factor);
-            self.decided = now;
-        } else if now.since(self.decided) >= FADE_INTERVAL {
-            self.step = self.step.fade();
-            self.decided = now;
+            self.step = self.step.updated(factor);
+            self.step_updated = now;
+        } else if now.since(self.step_updated) >= STEP_DECAY_INTERVAL {
+            self.step = self.step.decayed();
+            self.step_updated = now;
         }
-        if let Some(rate) = usual.read_tokens_per_ms() {
-            self.read_tokens_per_ms = rate * self.factor();
+        if let Some(rate) = baseline.prefill_tokens_per_ms() {
+            self.prefill_tokens_per_ms = rate * self.factor();
         }
         self.step != before
     }
 
     /// When this host's vote was announced last, if it is news to the others.
-    pub(crate) fn news(&self) -> Option<Option<Time>> {
-        let is_new = self.sampled > self.announced && self.samples() > 0;
-        is_new.then_some(self.announced)
+    pub(crate) fn pending_vote(&self) -> Option<Option<Time>> {
+        let is_pending = self.last_sampled > self.last_announced && self.sample_count() > 0;
+        is_pending.then_some(self.last_announced)
     }
 
     /// Takes this host's vote for a note.
-    pub(crate) fn announce(&mut self, now: Time) -> Option<SpeedVote> {
-        let token_ms = self.reading.token_ms()?;
-        self.announced = Some(now);
+    pub(crate) fn take_vote(&mut self, now: Time) -> Option<SpeedVote> {
+        let ms_per_token = self.prefill_samples.ms_per_token()?;
+        self.last_announced = Some(now);
         Some(SpeedVote {
             engine: self.key,
-            pace: ReadPace::of(token_ms),
+            pace: ReadPace::of(ms_per_token),
         })
     }
 }
--- a/crates/policy/src/upstreams/engine_speeds.rs
+++ b/crates/policy/src/upstreams/engine_speeds.rs
@@ -6,7 +6,7 @@
 const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Most votes in one note.
-const ANNOUNCED: usize = 4;
+const MAX_VOTES_PER_NOTE: usize = 4;
 
 /// Numbers of engines by their speed in force.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -21,7 +21,7 @@
 
 impl Pool {
     /// Reviews what was learned of the engines, if it is time to; gives what changed.
-    pub(crate) fn review_speeds(&mut self, now: Time) -> Vec<SpeedNoted> {
+    pub(crate) fn review_speeds(&mut self, now: Time) -> Vec<SpeedChange> {
         if now < self.next_speed_review {
             return Vec::new();
         }
@@ -29,34 +29,37 @@
         for state in &mut self.states {
             state.speed.expire(now);
         }
-        let usuals = self.usual_speeds();
+        let baselines = self.baseline_speeds();
         let mut changed = Vec::new();
         for state in &mut self.states {
             let Upstream::Engine(engine) = &state.definition else {
                 continue;
             };
-            let Some(usual) = usuals.get(&engine.models) else {
+            let Some(baseline) = baselines.get(&engine.models) else {
                 continue;
             };
             let factor_before = state.speed.factor();
-            if state.speed.follow(usual, now) {
-                changed.push(state.speed_noted(factor_before));
+            if state.speed.update_step(baseline, now) {
+                changed.push(state.speed_change(factor_before));
             }
         }
         changed
     }
 
     /// What is usual in each pool, by the models that its engines serve.
-    fn usual_speeds(&self) -> BTreeMap<BTreeSet<ModelId>, UsualSpeed> {
-        let mut pools: BTreeMap<&BTreeSet<ModelId>, Vec<&EngineSpeed>> = BTreeMap::new();
+    fn baseline_speeds(&self) -> BTreeMap<BTreeSet<ModelId>, BaselineSpeed> {
+        let mut by_models: BTreeMap<&BTreeSet<ModelId>, Vec<&EngineSpeed>> = BTreeMap::new();
         for state in &self.states {
             if let Upstream::Engine(engine) = &state.definition {
-                pools.entry(&engine.models).or_default().push(&state.speed);
+                by_models
+                    .entry(&engine.models)
+                    .or_default()
+                    .push(&state.speed);
             }
         }
-        let usuals = pools.into_iter();
-        usuals
-            .map(|(models, speeds)| (models.clone(), UsualSpeed::of(&speeds)))
+        let baselines = by_models.into_iter();
+        baselines
+            .map(|(models, speeds)| (models.clone(), BaselineSpeed::of(&speeds)))
             .collect()
     }
 
@@ -64,9 +67,9 @@
     pub(crate) fn note_speed_votes(&mut self, host: &HostId, votes: &[SpeedVote], now: Time) {
         for vote in votes {
             let states = self.states.iter_mut();
-            let mut meant = states.filter(|state| state.speed.key == vote.engine);
-            if let (Some(state), None) = (meant.next(), meant.next()) {
-                state.speed.votes.note(host, vote.pace, now);
+            let mut matching = states.filter(|state| state.speed.key == vote.engine);
+            if let (Some(state), None) = (matching.next(), matching.next()) {
+                state.speed.votes.record(host, vote.pace, now);
             }
         }
     }
@@ -74,14 +77,14 @@
     /// Votes for the next note: those with new samples that were announced longest ago.
     pub(crate) fn take_speed_votes(&mut self, now: Time) -> Vec<SpeedVote> {
         let states = self.states.iter().enumerate();
-        let mut news: Vec<_> = states
-            .filter_map(|(place, state)| Some((state.speed.news()?, place)))
+        let mut pending: Vec<_> = states
+            .filter_map(|(index, state)| Some((state.speed.pending_vote()?, index)))
             .collect();
-        news.sort_unstable();
-        news.truncate(ANNOUNCED);
-        let places = news.into_iter().map(|(_, place)| place);
-        places
-            .filter_map(|place| self.states[place].speed.announce(now))
+        pending.sort_unstable();
+        pending.truncate(MAX_VOTES_PER_NOTE);
+        let indexes = pending.into_iter().map(|(_, index)| index);
+        indexes
+            .filter_map(|index| self.states[index].speed.take_vote(now))
             .collect()
     }
 
@@ -89,7 +92,7 @@
         let mut counts = SpeedCounts::default();
         for state in self.states.iter().filter(|state| !state.removed) {
             if matches!(state.definition, Upstream::Engine(_)) {
-                match state.speed.step.cmp(&SpeedStep::USUAL) {
+                match state.speed.step.cmp(&SpeedStep::BASELINE) {
                     Ordering::Greater => counts.faster += 1,
                     Ordering::Less => counts.slower += 1,
                     Ordering::Equal => counts.usual += 1,
@@ -101,13 +104,13 @@
 }
 
 impl UpstreamState {
-    fn speed_noted(&self, factor_before: f64) -> SpeedNoted {
-        SpeedNoted {
+    fn speed_change(&self, factor_before: f64) -> SpeedChange {
+        SpeedChange {
             factor: self.speed.factor(),
             factor_before,
             hosts: self.speed.votes.len(),
-            read_tokens_per_ms: self.speed.read_tokens_per_ms,
-            samples: self.speed.samples(),
+            read_tokens_per_ms: self.speed.prefill_tokens_per_ms,
+            samples: self.speed.sample_count(),
             upstream: self.id.clone(),
         }
     }
--- a/crates/policy/src/upstreams/health.rs
+++ b/crates/policy/src/upstreams/health.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 /// Failures in a row after which an upstream is ejected.
-const EJECT_AFTER: u32 = 3;
+const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 3;
 
 /// First pause of an ejected upstream; each further one doubles.
-const FIRST_PAUSE: Duration = Duration::from_secs(1);
+const INITIAL_PROBE_DELAY: Duration = Duration::from_secs(1);
 
 /// Longest pause.
-const MAX_PAUSE: Duration = Duration::from_secs(30);
+const MAX_PROBE_DELAY: Duration = Duration::from_secs(30);
 
 /// Time over which a returned upstream gets back to its full slots.
-const SLOW_START: Duration = Duration::from_secs(5);
+const SLOW_START_DURATION: Duration = Duration::from_secs(5);
 
 /// Part of its slots that a returned upstream gets at once.
-const SLOW_START_SHARE: f64 = 0.2;
+const INITIAL_SLOT_SHARE: f64 = 0.2;
 
 /// Health of an upstream, from this host's own results.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -21,38 +21,42 @@
     /// Takes no work until a probe succeeds.
     Ejected {
         /// Pause after the next failed probe.
-        next_pause: Duration,
+        next_delay: Duration,
         /// When to probe.
         probe_at: Time,
         /// Whether a probe is under way.
-        probing: bool,
+        is_probing: bool,
     },
     /// Takes work.
-    Well {
+    Healthy {
         /// Failures in a row.
-        failures: u32,
+        consecutive_failures: u32,
         /// When it came back, if it was ejected before.
-        returned: Option<Time>,
+        returned_at: Option<Time>,
     },
 }
 
 impl Default for Health {
     fn default() -> Self {
-        Self::Well {
-            failures: 0,
-            returned: None,
+        Self::Healthy {
+            consecutive_failures: 0,
+            returned_at: None,
         }
     }
 }
 
 impl Health {
-    pub(crate) const fn is_well(&self) -> bool {
-        matches!(self, Self::Well { .. })
+    pub(crate) const fn is_healthy(&self) -> bool {
+        matches!(self, Self::Healthy { .. })
     }
 
     pub(crate) fn note_success(&mut self) {
-        if let Self::Well { failures, .. } = self {
-            *failures = 0;
+        if let Self::Healthy {
+            consecutive_failures,
+            ..
+        } = self
+        {
+            *consecutive_failures = 0;
         }
     }
 
@@ -61,18 +65,21 @@
     pub(crate) fn note_failure(&mut self) -> bool {
         match self {
             Self::Ejected { .. } => false,
-            Self::Well { failures, .. } => {
-                *failures += 1;
-                *failures >= EJECT_AFTER
+            Self::Healthy {
+                consecutive_failures,
+                ..
+            } => {
+                *consecutive_failures += 1;
+                *consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT
             }
         }
     }
 
     pub(crate) fn eject(&mut self, now: Time) {
         *self = Self::Ejected {
-            next_pause: FIRST_PAUSE * 2,
-            probe_at: now + FIRST_PAUSE,
-            probing: false,
+            next_delay: INITIAL_PROBE_DELAY * 2,
+            probe_at: now + INITIAL_PROBE_DELAY,
+            is_probing: false,
         };
     }
 
@@ -80,9 +87,11 @@
     pub(crate) fn take_probe(&mut self, now: Time) -> bool {
         match self {
             Self::Ejected {
-                probe_at, probing, ..
-            } if !*probing && now >= *probe_at => {
-                *probing = true;
+                probe_at,
+                is_probing,
+                ..
+            } if !*is_probing && now >= *probe_at => {
+                *is_probing = true;
                 true
             }
             _ => false,
@@ -90,34 +99,37 @@
     }
 
     pub(crate) fn note_probe(&mut self, healthy: bool, now: Time) {
-        let Self::Ejected { next_pause, .. } = *self else {
+        let Self::Ejected { next_delay, .. } = *self else {
             return;
         };
         *self = if healthy {
-            Self::Well {
-                failures: 0,
-                returned: Some(now),
+            Self::Healthy {
+                consecutive_failures: 0,
+                returned_at: Some(now),
             }
         } else {
             Self::Ejected {
-                next_pause: (next_pause * 2).min(MAX_PAUSE),
-                probe_at: now + next_pause,
-                probing: false,
+                next_delay: (next_delay * 2).min(MAX_PROBE_DELAY),
+                probe_at: now + next_delay,
+                is_probing: false,
             }
         };
     }
 
     /// Part of its slots that the upstream may be given, 0 to 1.
-    pub(crate) fn share(&self, now: Time) -> f64 {
+    pub(crate) fn slot_share(&self, now: Time) -> f64 {
         match self {
             Self::Ejected { .. } => 0.0,
-            Self::Well { returned: None, .. } => 1.0,
-            Self::Well {
-                returned: Some(returned),
+            Self::Healthy {
+                returned_at: None, ..
+            } => 1.0,
+            Self::Healthy {
+                returned_at: Some(returned_at),
                 ..
             } => {
-                let passed = now.since(*returned).as_secs_f64() / SLOW_START.as_secs_f64();
-                (SLOW_START_SHARE + (1.0 - SLOW_START_SHARE) * passed).min(1.0)
+                let elapsed_share =
+                    now.since(*returned_at).as_secs_f64() / SLOW_START_DURATION.as_secs_f64();
+                (INITIAL_SLOT_SHARE + (1.0 - INITIAL_SLOT_SHARE) * elapsed_share).min(1.0)
             }
         }
     }
--- a/crates/policy/src/upstreams/mod.rs
+++ b/crates/policy/src/upstreams/mod.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 mod affinity;
+mod baseline_speed;
 mod choice;
 mod directory_view;
 mod ejection;
@@ -20,7 +21,7 @@
 pub(crate) mod prompt_cache;
 mod rendezvous;
 mod silent_domains;
-mod speed_noted;
+mod speed_change;
 mod speed_sample;
 mod speed_samples;
 mod speed_step;
@@ -29,16 +30,16 @@
 mod track_record;
 mod upstream_census;
 mod upstream_state;
-mod usual_speed;
 mod working_set;
 
 pub use {
-    engine_speeds::SpeedCounts, speed_noted::SpeedNoted, upstream_census::UpstreamCensus,
+    engine_speeds::SpeedCounts, speed_change::SpeedChange, upstream_census::UpstreamCensus,
     working_set::WorkingSet,
 };
 
 pub(crate) use {
     affinity::Affinity,
+    baseline_speed::BaselineSpeed,
     directory_view::DirectoryView,
     engine_partition::EnginePartition,
     engine_speed::EngineSpeed,
@@ -56,8 +57,7 @@
     speed_step::SpeedStep,
     speed_votes::SpeedVotes,
     target_census::TargetCensus,
-    track_record::{TrackRecord, Usual},
+    track_record::{BaselineRecord, TrackRecord},
     upstream_census::ServiceDomain,
     upstream_state::UpstreamState,
-    usual_speed::UsualSpeed,
 };
--- a/crates/policy/src/upstreams/placement.rs
+++ b/crates/policy/src/upstreams/placement.rs
@@ -198,7 +198,7 @@
     /// Tokens of the whole prompt.
     tokens: u64,
     /// Median of the track records.
-    baseline_record: Usual,
+    baseline_record: BaselineRecord,
     median_token_time_ms: f64,
 }
 
@@ -233,7 +233,7 @@
             is_pause_sensitive: request.is_pause_sensitive,
             reserved_up_to,
             tokens: prompt_cache::total_tokens(request.parts),
-            baseline_record: Usual::of(sample.clone().map(|state| &state.track_record)),
+            baseline_record: BaselineRecord::of(sample.clone().map(|state| &state.track_record)),
             median_token_time_ms: median_token_time_ms(sample),
         }
     }
@@ -273,7 +273,9 @@
         let unreliability =
             TRACK_RECORD_COST_TOKENS * state.track_record.cost(&self.baseline_record, self.now);
         let pause_cost = self.pause_cost(state);
-        let prefill = self.copies.to_read_equivalent(state, self.tokens, uncached);
+        let prefill = self
+            .copies
+            .equivalent_prefill_tokens(state, self.tokens, uncached);
         queued * slowness
             + UNCACHED_TOKEN_WEIGHT * prefill
             + lateness
@@ -323,7 +325,7 @@
         if self.is_uniform_speed {
             UNIFORM_PREFILL_TOKENS_PER_MS
         } else {
-            state.speed.read_tokens_per_ms
+            state.speed.prefill_tokens_per_ms
         }
     }
 
@@ -359,7 +361,7 @@
 
 /// Whether no engine is observed to differ in speed from the others.
 fn have_same_speed<'a>(mut states: impl Iterator<Item = &'a UpstreamState>) -> bool {
-    states.all(|state| state.speed.step == SpeedStep::USUAL)
+    states.all(|state| state.speed.step == SpeedStep::BASELINE)
 }
 
 /// The parts that a prompt shares with others: all but the last one, which belongs to a single
--- a/crates/policy/src/upstreams/prefill_time.rs
+++ b/crates/policy/src/upstreams/prefill_time.rs
@@ -4,7 +4,7 @@
 impl UpstreamState {
     /// Time in which the engine prefills `tokens` prompt tokens.
     pub(crate) fn prefill_ms(&self, tokens: u64) -> f64 {
-        tokens as f64 / self.speed.read_tokens_per_ms
+        tokens as f64 / self.speed.prefill_tokens_per_ms
     }
 
     /// Time in which the engine prefills the prompts that wait there: those of this host's
--- a/crates/policy/src/upstreams/speed_noted.rs
+++ b/crates/policy/src/upstreams/speed_change.rs
@@ -2,7 +2,7 @@
 
 /// A change of what an engine is believed to do, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SpeedNoted {
+pub struct SpeedChange {
     /// How much faster than usual in its pool it is believed to work now.
     pub factor: f64,
     /// Factor before.
--- a/crates/policy/src/upstreams/speed_samples.rs
+++ b/crates/policy/src/upstreams/speed_samples.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 /// Most samples that are kept.
-const KEPT: usize = 16;
+const MAX_SAMPLES: usize = 16;
 
 /// Time for which a sample counts: an engine that became slow is not taken for fast for longer.
-const VALID: Duration = Duration::from_secs(30);
+const SAMPLE_LIFETIME: Duration = Duration::from_secs(30);
 
 /// Part of the samples that may be faster than what is believed: waiting makes samples slower, and
 /// nothing makes them faster.
@@ -17,9 +17,9 @@
 }
 
 impl SpeedSamples {
-    pub(crate) fn note(&mut self, sample: SpeedSample) {
+    pub(crate) fn push(&mut self, sample: SpeedSample) {
         self.recent.push_back(sample);
-        if self.recent.len() > KEPT {
+        if self.recent.len() > MAX_SAMPLES {
             self.recent.pop_front();
         }
     }
@@ -29,7 +29,7 @@
         while self
             .recent
             .front()
-            .is_some_and(|sample| now.since(sample.at) > VALID)
+            .is_some_and(|sample| now.since(sample.at) > SAMPLE_LIFETIME)
         {
             self.recent.pop_front();
         }
@@ -40,10 +40,14 @@
     }
 
     /// Milliseconds that a token takes where nothing delays it.
-    pub(crate) fn token_ms(&self) -> Option<f64> {
-        let mut times: Vec<f64> = self.recent.iter().map(|sample| sample.token_ms).collect();
+    pub(crate) fn ms_per_token(&self) -> Option<f64> {
+        let mut times: Vec<f64> = self
+            .recent
+            .iter()
+            .map(|sample| sample.ms_per_token)
+            .collect();
         times.sort_by(f64::total_cmp);
-        let place = LOW_QUANTILE * times.len().checked_sub(1)? as f64;
-        times.get(place.round() as usize).copied()
+        let index = LOW_QUANTILE * times.len().checked_sub(1)? as f64;
+        times.get(index.round() as usize).copied()
     }
 }
--- a/crates/policy/src/upstreams/speed_votes.rs
+++ b/crates/policy/src/upstreams/speed_votes.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 /// Time for which the vote of another host counts.
-const VALID: Duration = Duration::from_secs(60);
+const VOTE_LIFETIME: Duration = Duration::from_secs(60);
 
 /// Fewest votes that tell an engine's speed.
 const MIN_VOTES: usize = 8;
 
 /// Samples of this host that tell it without the votes of others.
-const MIN_ALONE: usize = 8;
+const MIN_OWN_SAMPLES: usize = 8;
 
 /// Part of the votes that may be faster than what is believed: a vote may be too slow for waiting that
 /// nobody knew of, and hardly too fast.
@@ -20,14 +20,14 @@
 }
 
 impl SpeedVotes {
-    pub(crate) fn note(&mut self, host: &HostId, pace: ReadPace, now: Time) {
+    pub(crate) fn record(&mut self, host: &HostId, pace: ReadPace, now: Time) {
         self.by_host.insert(host.clone(), (now, pace));
     }
 
     /// Forgets votes that count no longer.
     pub(crate) fn expire(&mut self, now: Time) {
         self.by_host
-            .retain(|_, (noted, _)| now.since(*noted) <= VALID);
+            .retain(|_, (received, _)| now.since(*received) <= VOTE_LIFETIME);
     }
 
     /// Number of votes that count.
@@ -37,16 +37,18 @@
 
     /// Milliseconds in which the engine reads a token, by these votes and this host's own samples;
     /// `None` if they are too few.
-    pub(crate) fn token_ms(&self, own: &SpeedSamples) -> Option<f64> {
+    pub(crate) fn prefill_ms_per_token(&self, own_samples: &SpeedSamples) -> Option<f64> {
         let others = self.by_host.values().map(|(_, pace)| *pace);
-        let mut paces: Vec<ReadPace> = others.chain(own.token_ms().map(ReadPace::of)).collect();
-        if paces.len() < MIN_VOTES && own.len() < MIN_ALONE {
+        let mut paces: Vec<ReadPace> = others
+            .chain(own_samples.ms_per_token().map(ReadPace::of))
+            .collect();
+        if paces.len() < MIN_VOTES && own_samples.len() < MIN_OWN_SAMPLES {
             return None;
         }
         paces.sort_unstable();
-        let place = LOW_QUANTILE * paces.len().checked_sub(1)? as f64;
+        let index = LOW_QUANTILE * paces.len().checked_sub(1)? as f64;
         paces
-            .get(place.round() as usize)
+            .get(index.round() as usize)
             .map(|pace| pace.token_ms())
     }
 }
--- a/crates/policy/src/upstreams/track_record.rs
+++ b/crates/policy/src/upstreams/track_record.rs
@@ -4,7 +4,7 @@
 const FAILURE_WEIGHT: f64 = 0.1;
 
 /// Weight of the newest answer in the average answer time.
-const TIME_WEIGHT: f64 = 0.2;
+const ANSWER_TIME_WEIGHT: f64 = 0.2;
 
 /// Time in which what is remembered against an upstream loses half of its
 /// weight. An upstream that is avoided gives no answers that could clear it, so
@@ -33,9 +33,9 @@
 /// sick upstreams).
 #[derive(Debug, Default)]
 pub(crate) struct TrackRecord {
-    answer_ms: Option<f64>,
+    mean_answer_ms: Option<f64>,
     /// Share of requests that failed.
-    failures: f64,
+    failure_rate: f64,
     /// When the last result came.
     updated: Time,
 }
@@ -46,10 +46,10 @@
     }
 
     /// Notes how long a whole answer took.
-    pub(crate) fn note_time(&mut self, span: Duration) {
+    pub(crate) fn note_answer_time(&mut self, span: Duration) {
         let sample = span.as_secs_f64() * 1_000.0;
-        let average = self.answer_ms.get_or_insert(sample);
-        *average += TIME_WEIGHT * (sample - *average);
+        let average = self.mean_answer_ms.get_or_insert(sample);
+        *average += ANSWER_TIME_WEIGHT * (sample - *average);
     }
 
     pub(crate) fn note_failure(&mut self, now: Time) {
@@ -57,50 +57,53 @@
     }
 
     fn note_result(&mut self, failed: f64, now: Time) {
-        let failures = self.failures * self.weight(now);
-        self.failures = failures + FAILURE_WEIGHT * (failed - failures);
+        let failure_rate = self.failure_rate * self.remaining_weight(now);
+        self.failure_rate = failure_rate + FAILURE_WEIGHT * (failed - failure_rate);
         self.updated = now;
     }
 
     /// What is left of the weight of the last results.
-    fn weight(&self, now: Time) -> f64 {
+    fn remaining_weight(&self, now: Time) -> f64 {
         let half_lives = now.since(self.updated).as_secs_f64() / HALF_LIFE.as_secs_f64();
         0.5_f64.powf(half_lives)
     }
 
     /// What speaks against the upstream, as a part of its slots, compared with
     /// what is usual among those that serve the same.
-    pub(crate) fn cost(&self, usual: &Usual, now: Time) -> f64 {
-        let failures = (self.failures - usual.failures).max(0.0);
-        let slowness = match (self.answer_ms, usual.answer_ms) {
-            (Some(own), Some(usual)) if usual > 0.0 => (own / usual).clamp(1.0, MAX_SLOWNESS),
+    pub(crate) fn cost(&self, baseline: &BaselineRecord, now: Time) -> f64 {
+        let excess_failure_rate = (self.failure_rate - baseline.failure_rate).max(0.0);
+        let slowness = match (self.mean_answer_ms, baseline.mean_answer_ms) {
+            (Some(own), Some(baseline)) if baseline > 0.0 => {
+                (own / baseline).clamp(1.0, MAX_SLOWNESS)
+            }
             _ => 1.0,
         };
-        (FAILURE_COST * failures + SLOWNESS_COST * (slowness - 1.0)) * self.weight(now)
+        (FAILURE_COST * excess_failure_rate + SLOWNESS_COST * (slowness - 1.0))
+            * self.remaining_weight(now)
     }
 }
 
 /// What is usual among the upstreams that serve the same: their medians. Where
 /// all of them fail or are slow there is nothing to be gained by choosing.
 #[derive(Debug, Default)]
-pub(crate) struct Usual {
-    answer_ms: Option<f64>,
-    failures: f64,
+pub(crate) struct BaselineRecord {
+    mean_answer_ms: Option<f64>,
+    failure_rate: f64,
 }
 
-impl Usual {
+impl BaselineRecord {
     pub(crate) fn of<'a>(records: impl Iterator<Item = &'a TrackRecord> + Clone) -> Self {
-        let failures = records.clone().map(|record| record.failures);
+        let failure_rate = records.clone().map(|record| record.failure_rate);
         Self {
-            answer_ms: low_median(records.filter_map(|record| record.answer_ms)),
-            failures: low_median(failures).unwrap_or_default(),
+            mean_answer_ms: lower_median(records.filter_map(|record| record.mean_answer_ms)),
+            failure_rate: lower_median(failure_rate).unwrap_or_default(),
         }
     }
 }
 
 /// The median; of two in the middle the lower one, so that of two upstreams the
 /// better one is what is usual.
-fn low_median(values: impl Iterator<Item = f64>) -> Option<f64> {
+fn lower_median(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
     let middle = values.len().checked_sub(1)? / 2;
--- a/crates/policy/src/upstreams/upstream_state.rs
+++ b/crates/policy/src/upstreams/upstream_state.rs
@@ -171,7 +171,7 @@
         self.health.note_success();
         self.track_record.note_success(now);
         if matches!(self.definition, Upstream::Service(_)) {
-            self.track_record.note_time(span);
+            self.track_record.note_answer_time(span);
         }
     }
 
@@ -197,7 +197,7 @@
 
     /// Whether the upstream takes new requests, as far as its rate limit allows.
     pub(crate) fn is_available(&self, now: Time) -> bool {
-        !self.is_leaving(now) && self.health.is_well() && self.backoff.is_over(now)
+        !self.is_leaving(now) && self.health.is_healthy() && self.backoff.is_over(now)
     }
 
     /// Whether the upstream takes another request of this host now.
@@ -218,7 +218,7 @@
 
     /// Slots that may be used. The number rises slowly after the upstream was ejected.
     fn slow_start_slots(&self, now: Time) -> u32 {
-        (f64::from(self.definition.slots()) * self.health.share(now)).ceil() as u32
+        (f64::from(self.definition.slots()) * self.health.slot_share(now)).ceil() as u32
     }
 
     /// Whether one of this host's own slots is free. This needs no load report.
@@ -238,7 +238,7 @@
         let Upstream::Engine(engine) = &self.definition else {
             return false;
         };
-        let slow_start = self.health.share(now) < 1.0;
+        let slow_start = self.health.slot_share(now) < 1.0;
         let in_flight = self.in_flight + self.others_in_flight;
         self.accepts_request(now) && !slow_start && in_flight < engine.slots + engine.queue_bound
     }
--- a/crates/policy/tests/installation/speeds.rs
+++ b/crates/policy/tests/installation/speeds.rs
@@ -4,7 +4,7 @@
 use {
     crate::support::{Ask, Host, address, engines, exchange_notes, sent},
     peer::{EngineKey, LoadNote, ReadPace, SpeedVote},
-    policy::{Action, Event, SpeedNoted},
+    policy::{Action, Event, SpeedChange},
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -80,7 +80,7 @@
     rng: SmallRng,
     sends: usize,
     speeds: BTreeMap<UpstreamId, f64>,
-    noted: Vec<(usize, SpeedNoted)>,
+    noted: Vec<(usize, SpeedChange)>,
 }
 
 impl World {
--- a/crates/policy/tests/transfers.rs
+++ b/crates/policy/tests/transfers.rs
@@ -4,7 +4,7 @@
 #![allow(missing_docs, clippy::unwrap_used)]
 
 use {
-    policy::{TransferSearch, TransferSlots},
+    policy::{TableSourceSearch, TableTransferSlots},
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::{collections::BTreeMap, net::SocketAddr, time::Duration},
     types::Time,
@@ -29,7 +29,7 @@
     },
     /// Asks others than the first one.
     Searching {
-        search: TransferSearch,
+        search: TableSourceSearch,
         at_ms: u64,
     },
     Receiving {
@@ -46,7 +46,7 @@
     doing: Vec<Doing>,
     now_ms: u64,
     rng: SmallRng,
-    slots: Vec<TransferSlots>,
+    slots: Vec<TableTransferSlots>,
     table_bytes: f64,
 }
 
@@ -65,7 +65,7 @@
             doing: doing.collect(),
             now_ms: 0,
             rng: SmallRng::seed_from_u64(seed),
-            slots: (0..hosts).map(|_| TransferSlots::default()).collect(),
+            slots: (0..hosts).map(|_| TableTransferSlots::default()).collect(),
             table_bytes,
         }
     }
@@ -107,7 +107,7 @@
         match &mut self.doing[host] {
             Doing::Done { .. } => {}
             Doing::Paused { until_ms } if *until_ms > now_ms => {}
-            Doing::Paused { .. } => self.ask(host, 0, TransferSearch::default()),
+            Doing::Paused { .. } => self.ask(host, 0, TableSourceSearch::default()),
             Doing::Searching { at_ms, .. } if *at_ms > now_ms => {}
             Doing::Searching { search, .. } => {
                 let mut search = std::mem::take(search);
@@ -132,7 +132,7 @@
         }
     }
 
-    fn ask(&mut self, host: usize, from: usize, mut search: TransferSearch) {
+    fn ask(&mut self, host: usize, from: usize, mut search: TableSourceSearch) {
         let has_table = matches!(self.doing[from], Doing::Done { .. });
         let now = Time::from_ms(self.now_ms);
         let slot = has_table.then(|| self.slots[from].begin(now, Some(address(host))));
@@ -142,7 +142,7 @@
             return;
         }
         if has_table {
-            search.refer(self.slots[from].recipients());
+            search.follow_referral(self.slots[from].recipients());
         }
         let at_ms = self.now_ms + QUESTION_MS;
         self.doing[host] = Doing::Searching { search, at_ms };
@@ -165,7 +165,7 @@
 /// Guards against slots that stay taken where a receiver was lost on the way.
 #[test]
 fn a_lost_receiver_holds_a_slot_for_a_few_seconds_only() {
-    let mut slots = TransferSlots::default();
+    let mut slots = TableTransferSlots::default();
     let start = Time::from_ms(0);
     while slots.begin(start, Some(address(1))).is_some() {}
     assert_eq!(slots.begin(start + Duration::from_secs(1), None), None);
--- a/crates/router/src/decision_log.rs
+++ b/crates/router/src/decision_log.rs
@@ -241,7 +241,7 @@
     }
 
     /// What an engine is believed to do changed.
-    pub(crate) fn speed_noted(&mut self, now: Time, noted: &SpeedNoted) {
+    pub(crate) fn speed_noted(&mut self, now: Time, noted: &SpeedChange) {
         if self.budget.take(LineKind::Important, now) {
             info!(self.logger, "belief: engine speed";
                 "upstream" => %noted.upstream,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -40,7 +40,7 @@
         Controller, ControllerOptions, CrashNoted, CrashSource, Event, FetchEnd, HostPhase,
         LeavingDetected, LimitChange, Outcome, OutcomeEnd, PathChange, PrefixHash, Refusal,
         RefusalReason, RelayRules, Repeatability, RoutedRequest, SendOrder, Settlement, SlotRules,
-        SpeedNoted, StoredResponse, Target, TransferSlots, WasteCause, WorkingSet,
+        SpeedChange, StoredResponse, TableTransferSlots, Target, WasteCause, WorkingSet,
     },
     ports::{
         Clock, Directory, DirectoryChannels, DirectoryUpdate, DutyReport, HeadError, Judgement,
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -36,7 +36,7 @@
     pub(crate) lending: Lending,
     pub(crate) packed: Arc<Mutex<PackedNews>>,
     pub(crate) token: String,
-    pub(crate) transfers: Arc<Mutex<TransferSlots>>,
+    pub(crate) transfers: Arc<Mutex<TableTransferSlots>>,
     pub(crate) transit: TransitService,
 }
 
@@ -187,7 +187,7 @@
 /// A slot for a large answer; it is given back with this value.
 struct Sending {
     number: u64,
-    transfers: Arc<Mutex<TransferSlots>>,
+    transfers: Arc<Mutex<TableTransferSlots>>,
 }
 
 impl Drop for Sending {
