--- a/crates/policy/src/upstreams/baseline_speed.rs
+++ b/crates/policy/src/upstreams/baseline_speed.rs
@@ -1,23 +1,24 @@
 use super::*;
 
-/// Part of a pool's engines that must have been seen before any is compared, and the number of
-/// them that is enough in any pool.
+/// Share of the engines that must have a measured speed before they are compared with each other.
 const MIN_MEASURED_SHARE: f64 = 1.0 / 3.0;
+
+/// Number of measured engines that is enough, however many engines there are.
 const MAX_REQUIRED_MEASURED: usize = 16;
 
-/// Part of the engines that read faster than is believed of the pool: most others are delayed by
-/// what no host knows.
+/// Quantile of the normalized prefill times that gives the baseline rate. It is low because most
+/// engines are delayed by work that no host knows of.
 const BASELINE_QUANTILE: f64 = 0.25;
 
-/// Part of the engines that are faster than what is usual.
+/// Quantile of the prefill times with which the time of a single engine is compared.
 const MEDIAN: f64 = 0.5;
 
-/// What is usual among the engines of one pool.
+/// Baseline prefill speed of the engines that serve the same models.
 #[derive(Debug, Default)]
 pub(crate) struct BaselineSpeed {
-    /// Median of their times to read a token.
+    /// Median of the engines' prefill times per prompt token.
     median_ms_per_token: Option<f64>,
-    /// Time in which an engine of the usual speed reads a token.
+    /// Prefill time per prompt token of an engine at the baseline step.
     baseline_ms_per_token: Option<f64>,
 }
 
@@ -36,18 +37,18 @@
         }
     }
 
-    /// How much faster than usual an engine reads that takes so long for a token.
+    /// How many times faster than the median an engine prefills that takes `ms_per_token`.
     pub(crate) fn factor_of(&self, ms_per_token: f64) -> Option<f64> {
         Some(self.median_ms_per_token? / ms_per_token)
     }
 
-    /// Prompt tokens that an engine of the usual speed reads in a millisecond.
+    /// Prefill rate of an engine at the baseline step.
     pub(crate) fn prefill_tokens_per_ms(&self) -> Option<f64> {
         self.baseline_ms_per_token.map(f64::recip)
     }
 }
 
-/// A quantile of what was seen of so many engines, if that is enough.
+/// A quantile of the measured values; `None` if too few of the `engine_count` engines have one.
 fn quantile(values: impl Iterator<Item = f64>, fraction: f64, engine_count: usize) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     let needed = ((MIN_MEASURED_SHARE * engine_count as f64).ceil() as usize)
--- a/crates/policy/src/upstreams/ejection.rs
+++ b/crates/policy/src/upstreams/ejection.rs
@@ -1,15 +1,15 @@
-//! Which upstreams get no new work because they fail or cannot be reached, and how
-//! they come back.
+//! Ejection of upstreams that fail or cannot be reached, and the health probes that end an
+//! ejection.
 
 use super::*;
 
-/// At least one in so many upstreams of a target stays in use, however many
-/// have failed.
+/// Number of upstreams of a target per ejected one. At most half of a target's upstreams are
+/// ejected for their failures, except that the only upstream of a target may be ejected.
 const UPSTREAMS_PER_EJECTION: usize = 2;
 
 impl Pool {
-    /// Notes a failure, and ejects the upstream if it has failed often and
-    /// enough others are left.
+    /// Records a failure of an upstream. Ejects the upstream if it has failed often enough in a
+    /// row, unless too many upstreams of the target are ejected already.
     pub(crate) fn note_failure(&mut self, id: &UpstreamId, target: &Target, now: Time) {
         let may_eject = self.may_eject(target);
         if let Some(state) = self.get_mut(id)
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Notes that an upstream was observed: its whole failure domain is in reach.
+    /// Records that an upstream responded, which shows that its whole failure domain is reachable.
     pub(crate) fn note_responsive(&mut self, id: &UpstreamId, now: Time) {
         if let Some(index) = self.index_by_id.get(id) {
             let domain = self.states[*index].definition.failure_domain();
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Notes that no connection to an upstream could be made.
+    /// Records that no connection to an upstream could be established.
     pub(crate) fn note_unreachable(&mut self, id: &UpstreamId) {
         if let Some(index) = self.index_by_id.get(id) {
             let domain = self.states[*index].definition.failure_domain();
@@ -36,8 +36,9 @@
         }
     }
 
-    /// Ejects the upstreams of failure domains that have fallen silent, however many
-    /// they are, if others that are observed serve the same.
+    /// Ejects the upstreams of failure domains that have become silent, whatever their number. An
+    /// upstream is not ejected if it serves a target that has no healthy upstream in any other
+    /// domain.
     pub(crate) fn eject_silent_domains(&mut self, now: Time) {
         let silent = self.silent_domains.take_silent(&self.states, now);
         if silent.is_empty() {
@@ -53,8 +54,7 @@
         }
     }
 
-    /// Whether everything that an upstream serves is served by another one that is
-    /// well and not given up.
+    /// Whether each target of an upstream also has a healthy upstream that is not excluded.
     fn has_replacements(
         &self,
         state: &UpstreamState,
@@ -69,9 +69,9 @@
             .all(has_replacement)
     }
 
-    /// What goes wrong without the cap: a fault of the network or of this host
-    /// makes every upstream fail, all are ejected, and nothing is served even
-    /// where something still could be.
+    /// Whether another upstream of a target may be ejected. A fault of the network or of this host
+    /// makes all upstreams fail. Without the limit all of them would be ejected, and no request
+    /// would be served even if some upstreams still work.
     fn may_eject(&self, target: &Target) -> bool {
         if !self.serves(target) {
             return false;
@@ -81,7 +81,8 @@
         (ejected.count() + 1) * UPSTREAMS_PER_EJECTION <= all.count().max(UPSTREAMS_PER_EJECTION)
     }
 
-    /// Upstreams to be probed now; each is named once for each probe.
+    /// Upstreams to be probed now, with their addresses. Each due probe is returned once, and takes
+    /// a token of the upstream's rate limit.
     pub(crate) fn take_probes(&mut self, now: Time) -> Vec<(UpstreamId, SocketAddr)> {
         self.states
             .iter_mut()
--- a/crates/policy/src/upstreams/engine_partition.rs
+++ b/crates/policy/src/upstreams/engine_partition.rs
@@ -1,46 +1,49 @@
 use super::*;
 
-/// Time in which what was asked for counts half: long enough for some hundred requests of a
-/// host that gets four a second, so that all hosts come to about the same, and short enough
-/// to follow a burst.
+/// Half-life of the recorded work. It is long enough for some hundred requests of a host that
+/// receives four per second, so that all hosts compute about the same share, and short enough to
+/// follow a burst.
 const WORK_HALF_LIFE: Duration = Duration::from_secs(20);
 
-/// Part of the engines for streams, once one was seen, before the mix is known.
+/// Share of the engines that is reserved from the first pause-sensitive stream until the mix of
+/// requests is known.
 const INITIAL_SHARE: f64 = 1.0 / 3.0;
 
-/// Requests that must have been seen before they decide.
+/// Number of requests that must have been recorded before the share follows the recorded work.
 const MIN_REQUESTS: u32 = 16;
 
-/// Streams in a row after which all engines are for them, before the mix is known: where
-/// few engines serve streams alone, each of them is needed at once.
+/// Number of requests after which all engines are reserved before the mix is known, if all requests
+/// so far are pause-sensitive streams. Where a few engines serve streams only, each engine is
+/// needed at once.
 const MIN_INITIAL_STREAMS: u32 = 4;
 
-/// Least part of the engines for either side that is asked for at all: a burst of one finds
-/// room in its own part, and few engines lost take few of its requests with them. It also
-/// keeps the parts of all hosts alike where one side asks for little.
+/// Minimum share of the engines for each side that has any demand. A burst of requests then finds
+/// room on the engines of its own side, and if a few engines are lost, few of that side's requests
+/// are lost with them. The minimum also keeps the shares of all hosts alike if one side has little
+/// demand.
 const MIN_SHARE: f64 = 3.0 * SHARE_STEP;
 
-/// Part of the work below which a side is not asked for.
+/// Share of the work below which a side gets no engines.
 const NEGLIGIBLE_SHARE: f64 = SHARE_STEP / 4.0;
 
-/// The part is published in steps of this, so that prompts keep their homes while the mix hardly
-/// changes.
+/// Granularity of the published share. Prompts keep their preferred engines while the mix of
+/// requests hardly changes.
 const SHARE_STEP: f64 = 1.0 / 12.0;
 
-/// Part of a step from which on the next one is published; half of one would be left and taken
-/// again all the time.
+/// Distance of the wanted share from the published share, in steps, from which a new share is
+/// published. With half a step, the published share would switch back and forth all the time.
 const PUBLISH_THRESHOLD_STEPS: f64 = 0.75;
 
-/// Divides the engines between streams that long prompts can make late and all other
-/// requests, by the work that both ask for.
+/// Divides the engines between pause-sensitive streams, which long prompts on the same engine can
+/// make late, and all other requests. The shares follow the work of both sides.
 ///
-/// All hosts get about the same mix, so all come to about the same part without a word; as
-/// they keep the same order of the engines, those that come to different parts differ on a
-/// few engines only.
+/// All hosts receive about the same mix of requests, so they compute about the same share without
+/// any communication. All hosts also use the same order of engines, so hosts whose shares differ
+/// disagree on a few engines only.
 #[derive(Debug)]
 pub(crate) struct EnginePartition {
     other_work: f64,
-    /// Requests seen, as far as it matters.
+    /// Number of recorded requests, up to [`MIN_REQUESTS`].
     request_count: u32,
     updated: Time,
     stream_work: f64,
@@ -60,8 +63,8 @@
 }
 
 impl EnginePartition {
-    /// Notes a request and the tokens that it asks an engine to make, with those that it
-    /// has to read counted in them.
+    /// Records a request. `work` is the number of tokens that the engine is asked to generate, plus
+    /// the prompt tokens that it has to prefill, weighted as output tokens.
     pub(crate) fn record_request(&mut self, now: Time, is_pause_sensitive: bool, work: f64) {
         let half_lives = now.since(self.updated).as_secs_f64() / WORK_HALF_LIFE.as_secs_f64();
         self.updated = now;
@@ -86,12 +89,12 @@
         };
     }
 
-    /// Part of the engines that is for streams.
+    /// Share of the engines that is reserved for pause-sensitive streams.
     pub(crate) const fn stream_share(&self) -> f64 {
         self.published_share
     }
 
-    /// Moves the published part once the part asked for is most of a step away.
+    /// Publishes the wanted share if it differs enough from the published share.
     fn publish(&mut self) {
         let wanted_share = match self.stream_work / (self.stream_work + self.other_work) {
             share if share < NEGLIGIBLE_SHARE => 0.0,
--- a/crates/policy/src/upstreams/engine_speed.rs
+++ b/crates/policy/src/upstreams/engine_speed.rs
@@ -1,34 +1,34 @@
 use super::*;
 
-/// Prompt tokens that an engine reads in a millisecond, before any was seen to.
+/// Prefill rate that is assumed until a rate has been measured.
 const DEFAULT_PREFILL_TOKENS_PER_MS: f64 = 100.0;
 
-/// Fewest prompt tokens of which the time to the first token tells the speed of reading: with
-/// fewer the way there and back counts more.
+/// Minimum number of prefilled tokens for a sample. With fewer tokens, network latency has too much
+/// influence on the time to the first token.
 const MIN_SAMPLE_TOKENS: u32 = 1_000;
 
-/// Most that may be known to wait before a prompt, as a part of it, where its time to the first
-/// token is to tell the speed of reading.
+/// Maximum number of tokens known to be queued ahead of a prompt, as a fraction of the prompt's
+/// prefilled tokens, for the time to the first token to be used as a sample.
 const MAX_QUEUED_SHARE: f64 = 0.25;
 
-/// Time after which a step that nobody speaks for any more fades by one.
+/// Time without a measurement after which the step moves by one toward the baseline.
 const STEP_DECAY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What one incarnation of an engine can do, as far as is known.
+/// Estimated speed of one incarnation of an engine.
 #[derive(Debug)]
 pub(crate) struct EngineSpeed {
-    /// When this host's vote was announced last.
+    /// When this host last announced its vote.
     last_announced: Option<Time>,
-    /// When the step was last confirmed, or faded.
+    /// When the step was last confirmed by a measurement, or last decayed.
     step_updated: Time,
     pub(crate) key: EngineKey,
-    /// When this host last got a sample.
+    /// When this host last took a sample.
     last_sampled: Option<Time>,
-    /// Times in which prompt tokens were read.
+    /// Prefill times of this host's requests.
     pub(crate) prefill_samples: SpeedSamples,
-    /// Prompt tokens that it reads in a millisecond.
+    /// Estimated prefill rate.
     pub(crate) prefill_tokens_per_ms: f64,
-    /// The step in force.
+    /// Estimated speed relative to the baseline.
     pub(crate) step: SpeedStep,
     pub(crate) votes: SpeedVotes,
 }
@@ -47,13 +47,14 @@
         }
     }
 
-    /// How much faster than usual it works.
+    /// How many times faster than the baseline the engine works.
     pub(crate) fn factor(&self) -> f64 {
         self.step.factor()
     }
 
-    /// Notes the time to the first token of a prompt of which so many tokens were surely read, and
-    /// before which `waiting` tokens were known to wait.
+    /// Records the time to the first token of a prompt. `unshared` counts the tokens that no other
+    /// prompt contains, which the engine has certainly prefilled. `queued_tokens` counts the tokens
+    /// that were known to be queued ahead of the prompt.
     pub(crate) fn record_first_token(
         &mut self,
         unshared: Tokens,
@@ -81,12 +82,13 @@
         self.prefill_samples.len()
     }
 
-    /// Milliseconds in which it reads a token, by all that is known.
+    /// Prefill time per prompt token, from the samples of this host and the votes of other hosts.
     pub(crate) fn prefill_ms_per_token(&self) -> Option<f64> {
         self.votes.prefill_ms_per_token(&self.prefill_samples)
     }
 
-    /// Follows what is known of its pool; true if the step in force changed.
+    /// Updates the step and the prefill rate by the baseline of the engines that serve the same
+    /// models. Returns whether the step changed.
     pub(crate) fn update_step(&mut self, baseline: &BaselineSpeed, now: Time) -> bool {
         let before = self.step;
         let factor = self
@@ -105,13 +107,14 @@
         self.step != before
     }
 
-    /// When this host's vote was announced last, if it is news to the others.
+    /// When this host's vote was last announced, if ever. The outer option is `None` if the host
+    /// has no new samples to announce.
     pub(crate) fn pending_vote(&self) -> Option<Option<Time>> {
         let is_pending = self.last_sampled > self.last_announced && self.sample_count() > 0;
         is_pending.then_some(self.last_announced)
     }
 
-    /// Takes this host's vote for a note.
+    /// The vote of this host for a load note. Records the announcement.
     pub(crate) fn take_vote(&mut self, now: Time) -> Option<SpeedVote> {
         let ms_per_token = self.prefill_samples.ms_per_token()?;
         self.last_announced = Some(now);
--- a/crates/policy/src/upstreams/engine_speeds.rs
+++ b/crates/policy/src/upstreams/engine_speeds.rs
@@ -1,26 +1,26 @@
-//! What the engines can do: learned, announced, and put in force.
+//! Engine speeds: periodic update of the estimates, exchange of votes between hosts, and counts.
 
 use super::*;
 
-/// Time between two looks at what was learned.
+/// Time between two updates of the estimated speeds.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Most votes in one note.
+/// Maximum number of votes in one load note.
 const MAX_VOTES_PER_NOTE: usize = 4;
 
-/// Numbers of engines by their speed in force.
+/// Numbers of engines by estimated speed, relative to the engines that serve the same models.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct SpeedCounts {
-    /// Faster than usual in their pool.
+    /// Engines faster than the baseline.
     pub faster: usize,
-    /// Slower.
+    /// Engines slower than the baseline.
     pub slower: usize,
-    /// Neither.
+    /// Engines at the baseline speed.
     pub usual: usize,
 }
 
 impl Pool {
-    /// Reviews what was learned of the engines, if it is time to; gives what changed.
+    /// Updates the estimated speeds if an update is due. Returns the speeds that changed.
     pub(crate) fn review_speeds(&mut self, now: Time) -> Vec<SpeedChange> {
         if now < self.next_speed_review {
             return Vec::new();
@@ -46,7 +46,7 @@
         changed
     }
 
-    /// What is usual in each pool, by the models that its engines serve.
+    /// Baseline speed for each set of models that engines serve.
     fn baseline_speeds(&self) -> BTreeMap<BTreeSet<ModelId>, BaselineSpeed> {
         let mut by_models: BTreeMap<&BTreeSet<ModelId>, Vec<&EngineSpeed>> = BTreeMap::new();
         for state in &self.states {
@@ -63,7 +63,7 @@
             .collect()
     }
 
-    /// Takes the votes of another host. One for a key that several engines share is dropped.
+    /// Records the votes of another host. A vote is dropped if its key belongs to several engines.
     pub(crate) fn note_speed_votes(&mut self, host: &HostId, votes: &[SpeedVote], now: Time) {
         for vote in votes {
             let states = self.states.iter_mut();
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Votes for the next note: those with new samples that were announced longest ago.
+    /// Votes for the next load note: of the votes with new samples, those that were announced
+    /// longest ago.
     pub(crate) fn take_speed_votes(&mut self, now: Time) -> Vec<SpeedVote> {
         let states = self.states.iter().enumerate();
         let mut pending: Vec<_> = states
@@ -122,7 +123,7 @@
         actions.extend(changed.into_iter().map(Action::NoteSpeed));
     }
 
-    /// Numbers of engines by their speed, as this host believes it.
+    /// Numbers of engines by speed, as estimated by this host.
     pub fn speed_counts(&self) -> SpeedCounts {
         self.pool.speed_counts()
     }
--- a/crates/policy/src/upstreams/health.rs
+++ b/crates/policy/src/upstreams/health.rs
@@ -1,37 +1,36 @@
 use super::*;
 
-/// Failures in a row after which an upstream is ejected.
+/// Number of consecutive failures after which an upstream is ejected.
 const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 3;
 
-/// First pause of an ejected upstream; each further one doubles.
+/// Time from the ejection of an upstream to the first probe. Each further delay is twice as long.
 const INITIAL_PROBE_DELAY: Duration = Duration::from_secs(1);
 
-/// Longest pause.
+/// Maximum time between a failed probe and the next one.
 const MAX_PROBE_DELAY: Duration = Duration::from_secs(30);
 
-/// Time over which a returned upstream gets back to its full slots.
+/// Time in which an upstream regains all of its slots after an ejection.
 const SLOW_START_DURATION: Duration = Duration::from_secs(5);
 
-/// Part of its slots that a returned upstream gets at once.
+/// Share of its slots that an upstream may use immediately after an ejection.
 const INITIAL_SLOT_SHARE: f64 = 0.2;
 
-/// Health of an upstream, from this host's own results.
+/// Health of an upstream, from the results of this host alone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Health {
-    /// Takes no work until a probe succeeds.
+    /// The upstream gets no requests until a probe succeeds.
     Ejected {
-        /// Pause after the next failed probe.
+        /// Delay of the next probe after a failed one.
         next_delay: Duration,
-        /// When to probe.
+        /// When the next probe is due.
         probe_at: Time,
-        /// Whether a probe is under way.
+        /// Whether a probe is in flight.
         is_probing: bool,
     },
-    /// Takes work.
+    /// The upstream gets requests.
     Healthy {
-        /// Failures in a row.
         consecutive_failures: u32,
-        /// When it came back, if it was ejected before.
+        /// When the last ejection ended; `None` if the upstream was never ejected.
         returned_at: Option<Time>,
     },
 }
@@ -60,8 +59,7 @@
         }
     }
 
-    /// Notes a failure; true if the upstream has now failed often enough to be
-    /// ejected.
+    /// Records a failure. Returns whether the upstream has failed often enough to be ejected.
     pub(crate) fn note_failure(&mut self) -> bool {
         match self {
             Self::Ejected { .. } => false,
@@ -83,7 +81,7 @@
         };
     }
 
-    /// True once when a probe is to be sent.
+    /// Whether a probe is to be sent now. True only once for each probe.
     pub(crate) fn take_probe(&mut self, now: Time) -> bool {
         match self {
             Self::Ejected {
@@ -116,7 +114,7 @@
         };
     }
 
-    /// Part of its slots that the upstream may be given, 0 to 1.
+    /// Share of its slots that the upstream may use, from 0 to 1.
     pub(crate) fn slot_share(&self, now: Time) -> f64 {
         match self {
             Self::Ejected { .. } => 0.0,
--- a/crates/policy/src/upstreams/silent_domains.rs
+++ b/crates/policy/src/upstreams/silent_domains.rs
@@ -1,32 +1,34 @@
-//! Failure domains that this host cannot reach any more.
+//! Detection of failure domains that this host can no longer reach.
 
 use super::*;
 
-/// Silence after which a domain is taken to be out of reach. A running stream
-/// brings news each 250 ms at the latest while its tokens flow, and lost packets
-/// are sent again within some 200 ms.
+/// Time without a response after which a domain counts as silent. A stream reports progress at
+/// least every 250 ms while its tokens flow, and lost packets are retransmitted within about 200
+/// ms.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Upstreams of a domain whose streams wait for tokens, or that cannot be connected,
-/// that must speak for it together, or all of them where there are fewer. With two,
-/// two engines that had crashed took a sound third one with them that had nothing to
-/// do at the time.
+/// Minimum number of unresponsive upstreams in a silent domain for the domain to be reported. In a
+/// smaller domain, all upstreams must be unresponsive. An upstream is unresponsive if it has
+/// streams in progress, which should receive tokens, or if a connection to it has failed. With a
+/// minimum of two, two crashed engines would lead to the ejection of a healthy third engine that
+/// was idle at the time.
 const MIN_UNRESPONSIVE: usize = 3;
 
-/// Time between two ticks from which on this host itself stood still: then the
-/// silence is its own. Ticks come each 10 to 50 ms.
+/// Maximum time between two ticks, which normally come every 10 to 50 ms. After a longer gap, this
+/// host itself was stalled, which explains the silence.
 const MAX_TICK_GAP: Duration = Duration::from_millis(200);
 
-/// What is known of one domain's reach.
+/// Responses and failed connections of one failure domain.
 #[derive(Debug, Default)]
 struct DomainActivity {
-    /// When any upstream there was observed last.
+    /// When any upstream of the domain last responded.
     last_response: Time,
-    /// Upstreams there to which no connection could be made since then.
+    /// Upstreams to which a connection has failed since the last response.
     unreachable: BTreeSet<UpstreamId>,
 }
 
 impl DomainActivity {
+    /// Whether enough upstreams of the domain are unresponsive, if the domain is silent.
     fn has_enough_unresponsive(&self, domain: &FailureDomainId, states: &[UpstreamState]) -> bool {
         let upstreams = states
             .iter()
@@ -41,13 +43,13 @@
     }
 }
 
-/// When the upstreams of each failure domain were observed last.
+/// Detects failure domains that have been cut off, from the responses of all upstreams of a domain.
 ///
-/// What goes wrong without it: a failure domain is cut off, and each host finds
-/// out by itself for each of the upstreams there, by three requests that get
-/// lost; in the domain that is cut off that is most of its requests, for seconds.
-/// One would notice 502 and connect errors of many upstreams at the same time.
-/// Taken together, their streams and connections tell it within half a second.
+/// Without this detection, each host would eject each upstream of such a domain separately, after
+/// three lost requests. A host inside the domain that is cut off would lose most of its requests
+/// for several seconds, and callers would get status 502 for connection errors of many upstreams at
+/// the same time. The streams and connections of a domain together reveal the cut within half a
+/// second.
 #[derive(Debug, Default)]
 pub(crate) struct SilentDomains {
     last_tick: Option<Time>,
@@ -67,13 +69,13 @@
     }
 
     pub(crate) fn note_unreachable(&mut self, domain: &FailureDomainId, id: &UpstreamId) {
-        // One of which nothing was ever observed is not silent now.
+        // A domain that has never responded cannot have become silent.
         if let Some(activity) = self.domains.get_mut(domain) {
             activity.unreachable.insert(id.clone());
         }
     }
 
-    /// Whether no upstream is observed any more, though some should be.
+    /// Whether all domains are silent, and at least one of them has enough unresponsive upstreams.
     pub(crate) fn are_all_silent(&self, states: &[UpstreamState], now: Time) -> bool {
         let mut domains = self.domains.values();
         domains.all(|activity| now.since(activity.last_response) >= SILENCE_TIMEOUT)
@@ -83,8 +85,9 @@
                 .any(|(domain, activity)| activity.has_enough_unresponsive(domain, states))
     }
 
-    /// The domains that have fallen silent. None are named while this host may be
-    /// the one that is cut off, as it observes nobody.
+    /// Returns the domains that have become silent. They are tracked again after their next
+    /// response. If no domain responds, this host may be the one that is cut off, so none is
+    /// returned.
     pub(crate) fn take_silent(
         &mut self,
         states: &[UpstreamState],
--- a/crates/policy/src/upstreams/speed_change.rs
+++ b/crates/policy/src/upstreams/speed_change.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// A change of what an engine is believed to do, for the log.
+/// A change of the estimated speed of an engine; for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SpeedChange {
-    /// How much faster than usual in its pool it is believed to work now.
+    /// New speed as a multiple of the baseline speed.
     pub factor: f64,
-    /// Factor before.
+    /// Previous speed as a multiple of the baseline speed.
     pub factor_before: f64,
-    /// Hosts whose votes count.
+    /// Number of other hosts whose votes count.
     pub hosts: usize,
-    /// Prompt tokens that it is believed to read in a millisecond.
+    /// Estimated prefill rate, in prompt tokens per millisecond.
     pub read_tokens_per_ms: f64,
-    /// Samples of this host's own.
+    /// Number of samples of this host.
     pub samples: usize,
     /// The engine.
     pub upstream: UpstreamId,
--- a/crates/policy/src/upstreams/speed_sample.rs
+++ b/crates/policy/src/upstreams/speed_sample.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Milliseconds that a token can take an engine; what is beyond is a fault of measuring.
+/// Plausible times per token. A time outside this range is a measurement error.
 const PLAUSIBLE_MS_PER_TOKEN: std::ops::RangeInclusive<f64> = 0.000_1..=10_000.0;
 
-/// Time that one token took an engine.
+/// Time that an engine took per token.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct SpeedSample {
     pub(crate) at: Time,
@@ -11,7 +11,7 @@
 }
 
 impl SpeedSample {
-    /// A sample of so many tokens in a span; `None` for one that says nothing.
+    /// A sample for `tokens` tokens that took `span` in total; `None` if the time is not plausible.
     pub(crate) fn new(tokens: u64, span: Duration, at: Time) -> Option<Self> {
         let ms_per_token = span.as_secs_f64() * 1_000.0 / tokens as f64;
         PLAUSIBLE_MS_PER_TOKEN
--- a/crates/policy/src/upstreams/speed_samples.rs
+++ b/crates/policy/src/upstreams/speed_samples.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// Most samples that are kept.
 const MAX_SAMPLES: usize = 16;
 
-/// Time for which a sample counts: an engine that became slow is not taken for fast for longer.
+/// Time for which a sample counts. An engine that became slow is not taken for a fast one for
+/// longer than this.
 const SAMPLE_LIFETIME: Duration = Duration::from_secs(30);
 
-/// Part of the samples that may be faster than what is believed: waiting makes samples slower, and
-/// nothing makes them faster.
+/// Quantile of the samples that is taken as the true time. It is low because queueing makes samples
+/// slower, and nothing makes them faster.
 const LOW_QUANTILE: f64 = 0.2;
 
-/// The last samples of one kind from one engine.
+/// Recent samples of one engine, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct SpeedSamples {
     recent: VecDeque<SpeedSample>,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Forgets samples that count no longer.
+    /// Drops the samples that are too old to count.
     pub(crate) fn expire(&mut self, now: Time) {
         while self
             .recent
@@ -39,7 +39,7 @@
         self.recent.len()
     }
 
-    /// Milliseconds that a token takes where nothing delays it.
+    /// Estimated time per token of an engine that nothing delays; `None` without samples.
     pub(crate) fn ms_per_token(&self) -> Option<f64> {
         let mut times: Vec<f64> = self
             .recent
--- a/crates/policy/src/upstreams/speed_votes.rs
+++ b/crates/policy/src/upstreams/speed_votes.rs
@@ -3,17 +3,17 @@
 /// Time for which the vote of another host counts.
 const VOTE_LIFETIME: Duration = Duration::from_secs(60);
 
-/// Fewest votes that tell an engine's speed.
+/// Minimum number of votes for an estimate, including the vote of this host.
 const MIN_VOTES: usize = 8;
 
-/// Samples of this host that tell it without the votes of others.
+/// Minimum number of this host's own samples for an estimate from fewer votes.
 const MIN_OWN_SAMPLES: usize = 8;
 
-/// Part of the votes that may be faster than what is believed: a vote may be too slow for waiting that
-/// nobody knew of, and hardly too fast.
+/// Quantile of the votes that is taken as the true pace. It is low because a vote may be too slow,
+/// due to queued prompts that its host did not know of, but is hardly ever too fast.
 const LOW_QUANTILE: f64 = 0.2;
 
-/// What the other hosts say of one engine.
+/// Votes of other hosts on the prefill speed of one engine.
 #[derive(Debug, Default)]
 pub(crate) struct SpeedVotes {
     by_host: HashMap<HostId, (Time, ReadPace)>,
@@ -24,7 +24,7 @@
         self.by_host.insert(host.clone(), (now, pace));
     }
 
-    /// Forgets votes that count no longer.
+    /// Drops the votes that are too old to count.
     pub(crate) fn expire(&mut self, now: Time) {
         self.by_host
             .retain(|_, (received, _)| now.since(*received) <= VOTE_LIFETIME);
@@ -35,8 +35,8 @@
         self.by_host.len()
     }
 
-    /// Milliseconds in which the engine reads a token, by these votes and this host's own samples;
-    /// `None` if they are too few.
+    /// Estimated prefill time per prompt token, from the votes and this host's own samples; `None`
+    /// if there are too few of both.
     pub(crate) fn prefill_ms_per_token(&self, own_samples: &SpeedSamples) -> Option<f64> {
         let others = self.by_host.values().map(|(_, pace)| *pace);
         let mut paces: Vec<ReadPace> = others
--- a/crates/policy/src/upstreams/track_record.rs
+++ b/crates/policy/src/upstreams/track_record.rs
@@ -1,42 +1,38 @@
 use super::*;
 
-/// Weight of the newest result in the share of failures.
+/// Weight of the newest result in the moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.1;
 
-/// Weight of the newest answer in the average answer time.
+/// Weight of the newest answer in the moving average of answer times.
 const ANSWER_TIME_WEIGHT: f64 = 0.2;
 
-/// Time in which what is remembered against an upstream loses half of its
-/// weight. An upstream that is avoided gives no answers that could clear it, so
-/// it is asked again after a few such times.
+/// Time in which a record loses half of its weight. An upstream that is avoided gives no answers
+/// that could improve its record, so it has to be tried again after a few half-lives.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// What a share of failures counts, as a part of the upstream's slots: one that
-/// fails half of its requests is used when all slots of the others are taken.
+/// Cost of a failure rate of 1, as a multiple of the upstream's slots. An upstream that fails half
+/// of its requests is used only when all slots of the others are taken.
 const FAILURE_COST: f64 = 2.0;
 
-/// What each multiple of the usual answer time counts, as a part of the slots:
-/// one that takes five times as long is used when all slots of the others are
-/// taken.
+/// Cost of each multiple of the baseline answer time beyond the first, as a fraction of the slots.
+/// An upstream that takes five times as long is used only when all slots of the others are taken.
 const SLOWNESS_COST: f64 = 0.25;
 
-/// How much slower than usual an upstream is believed to be at the most.
+/// Upper bound on the answer time, as a multiple of the baseline.
 const MAX_SLOWNESS: f64 = 8.0;
 
-/// How the requests that a host sent to one upstream have ended lately.
+/// Results of this host's recent requests to one upstream.
 ///
-/// What goes wrong with failures in a row alone: an upstream that fails every
-/// second request hardly ever fails three in a row, and one that is only slow
-/// never fails; both go on getting their full part. One would notice that the
-/// errors or the late answers of a class come from one upstream. With this record
-/// it gets a tenth of the requests of its sound neighbors or less (the tests of
-/// sick upstreams).
+/// Counting consecutive failures is not enough. An upstream that fails every second request hardly
+/// ever fails three in a row, and a slow upstream never fails. Both would keep their full share of
+/// the requests, and cause most of the errors or late answers of a class. With this record, such an
+/// upstream gets at most a tenth of the requests of a healthy one.
 #[derive(Debug, Default)]
 pub(crate) struct TrackRecord {
     mean_answer_ms: Option<f64>,
-    /// Share of requests that failed.
+    /// Share of the requests that failed, as a moving average.
     failure_rate: f64,
-    /// When the last result came.
+    /// When the last result was recorded.
     updated: Time,
 }
 
@@ -45,7 +41,7 @@
         self.note_result(0.0, now);
     }
 
-    /// Notes how long a whole answer took.
+    /// Records how long a complete answer took.
     pub(crate) fn note_answer_time(&mut self, span: Duration) {
         let sample = span.as_secs_f64() * 1_000.0;
         let average = self.mean_answer_ms.get_or_insert(sample);
@@ -62,14 +58,14 @@
         self.updated = now;
     }
 
-    /// What is left of the weight of the last results.
+    /// Fraction of the record's weight that remains.
     fn remaining_weight(&self, now: Time) -> f64 {
         let half_lives = now.since(self.updated).as_secs_f64() / HALF_LIFE.as_secs_f64();
         0.5_f64.powf(half_lives)
     }
 
-    /// What speaks against the upstream, as a part of its slots, compared with
-    /// what is usual among those that serve the same.
+    /// Cost of using the upstream, as a fraction of its slots, relative to the upstreams that serve
+    /// the same target.
     pub(crate) fn cost(&self, baseline: &BaselineRecord, now: Time) -> f64 {
         let excess_failure_rate = (self.failure_rate - baseline.failure_rate).max(0.0);
         let slowness = match (self.mean_answer_ms, baseline.mean_answer_ms) {
@@ -83,8 +79,8 @@
     }
 }
 
-/// What is usual among the upstreams that serve the same: their medians. Where
-/// all of them fail or are slow there is nothing to be gained by choosing.
+/// Medians of the records of the upstreams that serve the same target. Only differences from the
+/// medians count: where all upstreams fail or are slow, choosing another one gains nothing.
 #[derive(Debug, Default)]
 pub(crate) struct BaselineRecord {
     mean_answer_ms: Option<f64>,
@@ -101,8 +97,8 @@
     }
 }
 
-/// The median; of two in the middle the lower one, so that of two upstreams the
-/// better one is what is usual.
+/// The median; the lower of the two middle values if their number is even. Of two upstreams, the
+/// better one is the baseline.
 fn lower_median(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
