--- a/crates/policy/src/prompt_transfers/mod.rs
+++ b/crates/policy/src/prompt_transfers/mod.rs
@@ -1,8 +1,9 @@
-//! Parts of prompts that an engine fetches from another one instead of reading them.
+//! Transfers of prompt parts between engines, in place of prefilling the parts again.
 //!
-//! In: the engine chosen for a prompt, and what engines are known to have read. Out: the engine
-//! from which it first fetches, if that is sooner than reading. Answers a document that more
-//! callers ask for than one engine can serve, and streams whose engine was lost.
+//! Input: the engine that was chosen for a prompt, and the parts that engines are known to have
+//! prefilled. Output: the engine from which the chosen engine first fetches parts, if that is
+//! faster than prefilling them. This helps with a document that more callers ask about than one
+//! engine can serve, and with streams whose engine was lost.
 
 use super::*;
 
--- a/crates/policy/src/prompt_transfers/prompt_copies.rs
+++ b/crates/policy/src/prompt_transfers/prompt_copies.rs
@@ -1,18 +1,19 @@
 use super::*;
 
-/// Least part of reading a token that fetching it counts as, in placement: a copy takes memory
-/// in which the engine keeps other documents, however fast the link.
+/// Minimum cost of fetching a token in placement, as a fraction of the cost of prefilling it.
+/// However fast the link is, a copy takes memory in which the engine caches other documents.
 const MIN_FETCH_COST_SHARE: f64 = 0.3;
 
-/// What engines have read of a prompt, for the cost of placing it.
+/// Copies of a prompt's parts on engines, for the cost of placing the prompt.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PromptCopies {
-    /// Most tokens of it that one engine has read.
+    /// Most tokens of the prompt that one engine has prefilled.
     max_tokens: u64,
 }
 
 impl PromptCopies {
-    /// Tokens whose reading costs as much as reading and fetching what an engine lacks.
+    /// Number of tokens whose prefill costs as much as fetching and prefilling the `uncached`
+    /// tokens of a prompt of `tokens` tokens that an engine lacks.
     pub(crate) fn equivalent_prefill_tokens(
         self,
         state: &UpstreamState,
@@ -34,7 +35,7 @@
 }
 
 impl Pool {
-    /// What engines have read of a prompt that is to be placed.
+    /// Copies of the prompt that is to be placed, on engines from which it can be fetched.
     pub(crate) fn copies_of(&self, request: &PlacementRequest<'_>, now: Time) -> PromptCopies {
         let sources = self.transfer_sources(request.target, request.avoid, now);
         let tokens = sources.map(|state| state.cache.fetchable_tokens(request.parts));
--- a/crates/policy/src/prompt_transfers/prompt_fetch.rs
+++ b/crates/policy/src/prompt_transfers/prompt_fetch.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// What an engine fetches of a prompt before it reads the rest.
+/// Parts of a prompt that an engine fetches from another engine before it prefills the rest.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PromptFetch {
-    /// Where the source listens.
+    /// Address of the source.
     pub(crate) address: SocketAddr,
     /// When the transfer is expected to end.
     pub(crate) expected_end: Time,
-    /// Most tokens that the source may keep beyond what the engine keeps.
+    /// Most tokens that the source may have cached beyond those that the destination has.
     pub(crate) max_tokens: u64,
-    /// The engine that keeps the parts, or may keep them.
+    /// The engine that has the parts cached, or may have.
     pub(crate) source: UpstreamId,
-    /// Tokens that the source is known to have read beyond what the engine keeps.
+    /// Tokens that the source is known to have prefilled beyond those that the destination has.
     pub(crate) known_tokens: Tokens,
 }
--- a/crates/policy/src/prompt_transfers/prompt_tracking.rs
+++ b/crates/policy/src/prompt_transfers/prompt_tracking.rs
@@ -1,13 +1,14 @@
-//! What a host notes of a prompt that is sent to an engine, and of its first token.
+//! Records which prompts are sent to engines, and which prompts the engines have prefilled.
 
 use super::*;
 
 impl Controller {
-    /// Chooses what the engine of an attempt fetches of its prompt, and notes the prompt there.
+    /// Chooses what the engine of an attempt fetches of its prompt, and records the prompt there.
     ///
-    /// The whole prompt counts as work, also what is fetched: the source may have lost it. Where
-    /// others might fetch a part they are told of it only once it was read, and not of those that
-    /// its rendezvous engine reads: they look for it there anyway.
+    /// The whole prompt counts as work, including the parts to be fetched, because the source may
+    /// no longer have them. If an engine can transfer parts, other hosts are told of a part only
+    /// after the engine has prefilled it. They are not told of parts on the rendezvous engine of
+    /// the prompt, where they expect the parts anyway.
     pub(crate) fn start_prompt(&mut self, now: Time, request: &mut Request<Running>) {
         let facts = &request.facts;
         let upstream = &request.stage.upstream;
@@ -24,7 +25,8 @@
         let rendezvous = Pool::rendezvous_engine(sources, placement_request.parts);
         let is_rendezvous = rendezvous.is_some_and(|engine| engine.id == *upstream);
         let fetch = self.pool.plan_fetch(upstream, &placement_request, now);
-        // The rendezvous engine has most parts itself: what nobody told of is hardly fetched.
+        // The rendezvous engine has most shared parts cached itself. Parts that no host has
+        // announced are therefore unlikely to be fetched, and their transfer is not recorded.
         let is_likely = |fetch: &&PromptFetch| !is_rendezvous || fetch.known_tokens.get() > 0;
         if let Some(fetch) = fetch.as_ref().filter(is_likely) {
             self.note_transfer(now, upstream, fetch);
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Notes that an engine has read a prompt, by its first token.
+    /// Records that an engine has prefilled a prompt, as its first token shows.
     pub(crate) fn note_prompt_prefilled(
         &mut self,
         upstream: &UpstreamId,
@@ -69,7 +71,9 @@
             }
         }
     }
-    /// Forgets of a prompt that an engine gave no first token for what was not read before.
+
+    /// Forgets a prompt for which an engine produced no first token, except for the parts that the
+    /// engine had prefilled before.
     pub(crate) fn note_prompt_not_prefilled(
         &mut self,
         upstream: &UpstreamId,
--- a/crates/policy/src/prompt_transfers/source_choice.rs
+++ b/crates/policy/src/prompt_transfers/source_choice.rs
@@ -1,13 +1,13 @@
-//! Which engine a prompt's parts are fetched from.
+//! Choice of the engine from which parts of a prompt are fetched.
 
 use super::*;
 
-/// Most transfers of this host that are under way from one source: the engine that keeps a
-/// document which many ask for has its own callers to serve.
+/// Maximum number of this host's transfers in progress from one source. An engine that caches a
+/// document that many requests share also has its own requests to serve.
 const MAX_TRANSFERS_PER_SOURCE: usize = 4;
 
 impl Pool {
-    /// Engines of a target from which parts of prompts can be fetched, but those to be avoided.
+    /// Engines of a target from which parts of prompts can be fetched, except those in `avoid`.
     pub(crate) fn transfer_sources<'a>(
         &'a self,
         target: &Target,
@@ -22,8 +22,9 @@
         })
     }
 
-    /// The engine at which hosts look for a prompt's shared parts that nobody told of: the first
-    /// in the order by which they place them, whatever the prompt's side.
+    /// The engine on which hosts expect a prompt's shared parts that no host has announced. It is
+    /// the first engine in the rendezvous order of the parts, by which hosts also place them,
+    /// whether or not the engine is reserved for pause-sensitive streams.
     pub(crate) fn rendezvous_engine<'a>(
         sources: impl Iterator<Item = &'a UpstreamState>,
         parts: &[PromptPart],
@@ -32,10 +33,12 @@
         sources.max_by_key(|state| placement::rendezvous_hash(&state.id, chain))
     }
 
-    /// What an engine should fetch of a prompt; `None` where reading is as soon.
+    /// The parts of a prompt that an engine should fetch; `None` if prefilling them takes no
+    /// longer.
     ///
-    /// The engine that is known to have read most is the source, or the one that all hosts look to
-    /// if that would keep more: it may not, and then the engine reads as it would have.
+    /// The source is the engine that is known to have prefilled most of the prompt, or the
+    /// rendezvous engine if it may have cached more. If the rendezvous engine lacks the parts, the
+    /// destination prefills them, as without the fetch.
     pub(crate) fn plan_fetch(
         &self,
         destination: &UpstreamId,
@@ -64,7 +67,8 @@
                 now,
             )
         });
-        // Of equal ones each prompt takes another: the first one would be the source of all.
+        // Equal candidates are ordered by a hash of the prompt. With a fixed order, the first one
+        // would be the source of all transfers.
         let prompt_hash = prompt_cache::chain_hashes(request.parts).last()?.0;
         let order = |fetch: &PromptFetch| {
             let weight = placement::rendezvous_hash(&fetch.source, prompt_hash);
@@ -79,8 +83,9 @@
     }
 }
 
-/// What an engine would fetch from one that is known to keep so many tokens of a prompt, and
-/// may keep more.
+/// The fetch from one source, which is known to have prefilled `known_tokens` of the prompt and may
+/// have `possible_tokens` of it. `None` if the fetch is not useful, or the source has too many
+/// transfers in progress.
 fn plan_fetch_from(
     source: &UpstreamState,
     destination: &UpstreamState,
--- a/crates/policy/src/prompt_transfers/transfer_link.rs
+++ b/crates/policy/src/prompt_transfers/transfer_link.rs
@@ -1,27 +1,28 @@
 use super::*;
 
-/// Transfers that this host knows to be under way over an engine's link, one after another.
+/// Transfers of prompt parts that this host knows to be in progress over an engine's network link.
+/// They run one after another.
 ///
-/// They are forgotten at their expected end, so a transfer that never began, or whose engine
-/// ended, holds the link for no longer than one that did.
+/// A transfer is forgotten at its expected end. A transfer that never started, or whose engine has
+/// ended, therefore occupies the link no longer than one that completed.
 #[derive(Debug, Default)]
 pub(crate) struct TransferLink {
     expected_ends: VecDeque<Time>,
 }
 
 impl TransferLink {
-    /// Notes a transfer that is expected to end at a moment.
+    /// Records a transfer and its expected end.
     pub(crate) fn record(&mut self, expected_end: Time, now: Time) {
         self.expected_ends.retain(|other| *other > now);
         self.expected_ends.push_back(expected_end);
     }
 
-    /// When the last transfer ends.
+    /// When the last transfer is expected to end; `now` if there is none.
     pub(crate) fn free_at(&self, now: Time) -> Time {
         self.expected_ends.back().map_or(now, |last| now.max(*last))
     }
 
-    /// Transfers under way.
+    /// Number of transfers in progress.
     pub(crate) fn active_count(&self, now: Time) -> usize {
         self.expected_ends.iter().filter(|end| **end > now).count()
     }
--- a/crates/policy/src/prompt_transfers/transfer_speed.rs
+++ b/crates/policy/src/prompt_transfers/transfer_speed.rs
@@ -1,21 +1,20 @@
 use super::*;
 
-/// Time that a transfer takes beside that of its bytes, in milliseconds: finding the parts at
-/// both ends.
+/// Fixed time of a transfer, in which both engines look up the parts.
 const SETUP_MS: f64 = 5.0;
 
-/// How much longer a transfer between failure domains is taken to last: its way is shared with
-/// other traffic.
+/// Factor on the time of a transfer between failure domains, whose network path carries other
+/// traffic as well.
 const CROSS_DOMAIN_FACTOR: f64 = 2.0;
 
-/// How fast parts of prompts come to an engine.
+/// Speed at which parts of prompts are transferred to an engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TransferSpeed {
     ms_per_token: f64,
 }
 
 impl TransferSpeed {
-    /// Over an engine's own link; `None` where it can't fetch.
+    /// Speed over the engine's own link; `None` if the engine cannot fetch.
     pub(crate) fn of(state: &UpstreamState) -> Option<Self> {
         let Upstream::Engine(engine) = &state.definition else {
             return None;
@@ -26,7 +25,7 @@
         })
     }
 
-    /// From one engine to another: the slower link counts.
+    /// Speed from one engine to another, as limited by the slower link.
     pub(crate) fn between(source: &UpstreamState, destination: &UpstreamState) -> Option<Self> {
         let (from, to) = (Self::of(source)?, Self::of(destination)?);
         let slower = from.ms_per_token.max(to.ms_per_token);
@@ -42,7 +41,7 @@
         })
     }
 
-    /// Time of a transfer, in milliseconds.
+    /// Duration of a transfer, in milliseconds.
     pub(crate) fn millis_for(self, tokens: u64) -> f64 {
         SETUP_MS + self.ms_per_token * tokens as f64
     }
--- a/crates/policy/src/table_transfers/mod.rs
+++ b/crates/policy/src/table_transfers/mod.rs
@@ -1,7 +1,8 @@
-//! Large answers between hosts of a failure domain: how many a host sends at a time, and
-//! which host is asked next while one is busy.
+//! Transfers of tables between the hosts of a failure domain: how many large answers a host sends
+//! at the same time, and which host is asked next while one is busy.
 //!
-//! In: who asks, which answers ended. Out: whether one more is sent, and whom to ask.
+//! Input: the hosts that ask, and the answers that were sent. Output: whether a host sends another
+//! answer, and which host to ask.
 
 use super::*;
 
--- a/crates/policy/src/table_transfers/table_source_search.rs
+++ b/crates/policy/src/table_transfers/table_source_search.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Hosts that are asked one after the other before the search starts anew.
+/// Maximum number of hosts that are asked before the search has to start again.
 const MAX_HOSTS_ASKED: usize = 4;
 
-/// Looks for a host that has a large answer and a free slot to send it.
+/// Search for a host that has a table and a free slot to send it.
 #[derive(Debug, Default)]
 pub struct TableSourceSearch {
     asked: Vec<SocketAddr>,
@@ -11,8 +11,8 @@
 }
 
 impl TableSourceSearch {
-    /// Takes the hosts that a busy host refers to, instead of those before: they got the
-    /// answer later, and are less asked.
+    /// Replaces the candidates by the hosts that a busy host refers to, without those that were
+    /// asked already. The new candidates received the table later, so fewer hosts ask them.
     pub fn follow_referral(&mut self, referred: Vec<SocketAddr>) {
         let unasked: Vec<SocketAddr> = referred
             .into_iter()
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The host to ask next; `None` if the search should start anew later.
+    /// The next host to ask; `None` if the search should start again later.
     pub fn next(&mut self, rng: &mut impl Rng) -> Option<SocketAddr> {
         if self.asked.len() >= MAX_HOSTS_ASKED || self.candidates.is_empty() {
             return None;
--- a/crates/policy/src/table_transfers/table_transfer_slots.rs
+++ b/crates/policy/src/table_transfers/table_transfer_slots.rs
@@ -1,30 +1,31 @@
 use super::*;
 
-/// Large answers that a host sends at the same time: more of them would all arrive later,
-/// and nobody could pass them on meanwhile.
+/// Maximum number of tables that a host sends at the same time. With more, all of them would arrive
+/// later, and no receiver could pass its table on in the meantime.
 const MAX_CONCURRENT_TRANSFERS: usize = 2;
 
-/// Time after which an answer counts as sent: its receiver may have lost power.
+/// Time after which a transfer no longer takes a slot, even if its end was not reported, because
+/// the receiver may have lost power.
 const SLOT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Recipients that other hosts are referred to.
+/// Maximum number of recipients to which other hosts are referred.
 const MAX_RECIPIENTS: usize = 8;
 
-/// Limits the large answers that a host sends at a time, and remembers who got one.
+/// Limits the tables that a host sends at the same time, and remembers which hosts received one.
 ///
-/// Guards against a start of all hosts at once: each of them would get its part of one
-/// thin link, and none of them the whole table in time.
+/// If all hosts start at once, each would otherwise receive its share of one slow link, and no host
+/// would have the whole table in time.
 #[derive(Debug, Default)]
 pub struct TableTransferSlots {
     active: BTreeMap<u64, (Time, Option<SocketAddr>)>,
     next_number: u64,
-    /// Latest recipients, the newest last.
+    /// Recent recipients, newest last.
     recipients: VecDeque<SocketAddr>,
 }
 
 impl TableTransferSlots {
-    /// Takes a slot for a receiver, which may have named where it listens; `None` if all are
-    /// taken.
+    /// Takes a slot for a receiver. `receiver` is the address at which it serves other hosts, if
+    /// the receiver sent it. Returns the slot's number, or `None` if all slots are taken.
     pub fn begin(&mut self, now: Time, receiver: Option<SocketAddr>) -> Option<u64> {
         self.active
             .retain(|_, (started, _)| now.since(*started) < SLOT_TIMEOUT);
@@ -37,7 +38,7 @@
         Some(number)
     }
 
-    /// Gives a slot back, as the answer was sent.
+    /// Releases a slot after its table was sent, and records the receiver.
     pub fn end(&mut self, number: u64) {
         let Some((_, Some(receiver))) = self.active.remove(&number) else {
             return;
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Hosts that got a large answer lately, and can pass it on.
+    /// Hosts that recently received a table and can pass it on.
     pub fn recipients(&self) -> Vec<SocketAddr> {
         self.recipients.iter().copied().collect()
     }
