--- a/crates/policy/src/prompt_transfers/source_choice.rs
+++ b/crates/policy/src/prompt_transfers/source_choice.rs
@@ -52,7 +52,7 @@
         let rendezvous = Self::rendezvous_engine(others.clone(), request.parts)?;
         let shared = prompt_cache::total_tokens(placement::shared_parts(request.parts));
         let fetches = others.filter_map(|source| {
-            let known_tokens = source.cache.fetchable_tokens(request.parts);
+            let confirmed_tokens = source.cache.fetchable_tokens(request.parts);
             let possible_tokens = if source.id == rendezvous.id {
                 shared
             } else {
@@ -61,7 +61,7 @@
             plan_fetch_from(
                 source,
                 destination,
-                known_tokens,
+                confirmed_tokens,
                 possible_tokens,
                 request.parts,
                 now,
@@ -83,19 +83,19 @@
     }
 }
 
-/// The fetch from one source, which is known to have prefilled `known_tokens` of the prompt and may
-/// have `possible_tokens` of it. `None` if the fetch is not useful, or the source has too many
+/// The fetch from one source, which is known to have prefilled `confirmed_tokens` of the prompt and
+/// may have `possible_tokens` of it. `None` if the fetch is not useful, or the source has too many
 /// transfers in progress.
 fn plan_fetch_from(
     source: &UpstreamState,
     destination: &UpstreamState,
-    known_tokens: u64,
+    confirmed_tokens: u64,
     possible_tokens: u64,
     parts: &[PromptPart],
     now: Time,
 ) -> Option<PromptFetch> {
     let cached = destination.cache.fetchable_tokens(parts);
-    let max_tokens = known_tokens.max(possible_tokens).checked_sub(cached)?;
+    let max_tokens = confirmed_tokens.max(possible_tokens).checked_sub(cached)?;
     if max_tokens == 0 || source.transfers.active_count(now) >= MAX_TRANSFERS_PER_SOURCE {
         return None;
     }
@@ -108,7 +108,9 @@
     if expected_end.since(now).as_secs_f64() * 1_000.0 >= destination.prefill_ms(max_tokens) {
         return None;
     }
-    let tokens = known_tokens.saturating_sub(cached).min(u64::from(u32::MAX));
+    let tokens = confirmed_tokens
+        .saturating_sub(cached)
+        .min(u64::from(u32::MAX));
     Some(PromptFetch {
         address: source.definition.address(),
         expected_end,
--- a/crates/policy/src/upstreams/engine_speed.rs
+++ b/crates/policy/src/upstreams/engine_speed.rs
@@ -52,9 +52,9 @@
         self.step.factor()
     }
 
-    /// Records the time to the first token of a prompt. `unshared` counts the tokens that no other
-    /// prompt contains, which the engine has certainly prefilled. `queued_tokens` counts the tokens
-    /// that were known to be queued ahead of the prompt.
+    /// Records the time to the first token of a prompt. `unshared` counts the tokens that belong to
+    /// this request or its session alone, which the engine has certainly prefilled. `queued_tokens`
+    /// counts the tokens that were known to be queued ahead of the prompt.
     pub(crate) fn record_first_token(
         &mut self,
         unshared: Tokens,
