--- a/crates/policy/benches/decision/main.rs
+++ b/crates/policy/benches/decision/main.rs
@@ -206,7 +206,7 @@
         for number in 0..hosts {
             now = now.plus_ms(100);
             let heartbeat = heartbeat(number, round);
-            let event = Event::HeartbeatAsked { call: 0, heartbeat };
+            let event = Event::HeartbeatReceived { call: 0, heartbeat };
             controller.handle(now, event, &mut actions);
         }
     }
--- a/crates/policy/benches/decision/setup.rs
+++ b/crates/policy/benches/decision/setup.rs
@@ -20,7 +20,7 @@
         incarnation: Incarnation::new(1),
         max_queued: usize::MAX,
         relay: None,
-        room: SlotRules::default(),
+        slot_rules: SlotRules::default(),
         seed: 1,
     });
     let numbered = Arc::new(Numbered {
--- a/crates/policy/benches/overload/controllers.rs
+++ b/crates/policy/benches/overload/controllers.rs
@@ -39,7 +39,7 @@
                 incarnation: Incarnation::new(number as u64),
                 max_queued: 100_000,
                 relay: None,
-                room: rules.clone(),
+                slot_rules: rules.clone(),
                 seed: seed * 1_000 + number as u64,
             });
             let mut actions = Vec::new();
@@ -84,7 +84,7 @@
                     let answer = self.ask(now, &coordinator, heartbeat);
                     let event = Event::HeartbeatAnswered {
                         answer,
-                        asked: now,
+                        sent: now,
                         host: coordinator,
                     };
                     starts.extend(self.handle(now, host, event));
@@ -111,7 +111,7 @@
             .parse()
             .unwrap();
         let mut actions = Vec::new();
-        let asked = Event::HeartbeatAsked { call: 0, heartbeat };
+        let asked = Event::HeartbeatReceived { call: 0, heartbeat };
         self.controllers[number].handle(now, asked, &mut actions);
         actions.into_iter().find_map(|action| match action {
             Action::AnswerHeartbeat { answer, .. } => Some(answer),
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -16,9 +16,9 @@
     /// Priority for the engine, 0 the most urgent.
     pub priority: u8,
     /// Last moment at which the answer is of use, for a relayed request.
-    pub due: Time,
+    pub deadline: Time,
     /// Resume the stream of this earlier attempt after its last event.
-    pub resume: Option<AttemptId>,
+    pub resume_from: Option<AttemptId>,
     /// Team of the caller; `None` for a request without a key.
     pub team: Option<TeamId>,
     /// The upstream.
@@ -47,17 +47,17 @@
         /// Number of the call.
         call: u64,
         /// Where the upstream listens; `None` if the other host must do without.
-        to: Option<SocketAddr>,
+        upstream_address: Option<SocketAddr>,
     },
     /// Ask the keeper of an upstream's limit for tokens.
-    AskTokens {
+    RequestTokens {
         /// What to ask.
         ask: TokenAsk,
         /// Where the keeper is reached.
         to: SocketAddr,
     },
     /// End a stream that was cut, with an error event that carries the verdict.
-    Break {
+    FailStream {
         /// Why, and the verdict.
         refusal: Refusal,
         /// The request.
@@ -103,19 +103,19 @@
         to: SocketAddr,
     },
     /// Keep crashes in the store, for hosts that start later.
-    KeepCrashes(Vec<Crash>),
+    StoreCrashes(Vec<Crash>),
     /// Log a change of what an upstream says of the rejections that it bears.
-    NoteBrittle(BrittleNoted),
+    NoteBrittleness(BrittlenessChange),
     /// Log and show a change of the part of a class that is taken.
     NoteAdmission(AdmissionChange),
     /// Log and count an upstream that ended under a request.
-    NoteCrash(CrashNoted),
+    NoteCrash(CrashDetected),
     /// Log and count an upstream that is newly known to leave.
     NoteLeaving(LeavingDetected),
     /// Log and count a change of the limit that an upstream names.
     NoteLimit(LimitChange),
     /// Log a change of what is believed of the own path to an upstream.
-    NoteReach(PathChange),
+    NotePathChange(PathChange),
     /// Log a change of what an engine is believed to do.
     NoteSpeed(SpeedNoted),
     /// Ask an ejected upstream whether it is well.
@@ -143,7 +143,7 @@
     /// Give a request the stored answer of an earlier one with the same key.
     Replay {
         /// The stored answer.
-        answer: StoredResponse,
+        response: StoredResponse,
         /// The request.
         request: RequestId,
     },
@@ -164,28 +164,28 @@
         host: HostId,
     },
     /// Tell other hosts this one's load.
-    SendNotes {
+    SendLoadNotes {
         /// Notes, and where to send them.
         notes: Vec<(SocketAddr, LoadNote)>,
     },
     /// Write in the table how a claimed request ended.
     Settle(Settlement),
     /// Tell other hosts which requests were on upstreams that ended.
-    TellCrashes {
+    SendCrashNote {
         /// What to say.
         note: CrashNote,
         /// To whom.
         to: Vec<SocketAddr>,
     },
     /// Tell other hosts that this one holds the duties that one host does for all.
-    TellDuty {
+    SendDutyNote {
         /// What to say.
         note: DutyNote,
         /// To whom.
         to: Vec<SocketAddr>,
     },
     /// Tell other hosts what upstreams say of themselves.
-    TellUpstreams {
+    SendUpstreamNote {
         /// What to say.
         note: UpstreamNote,
         /// To whom.
@@ -193,14 +193,14 @@
     },
     /// Tell the host that holds the duties what began here; the time of day is still to be
     /// filled in.
-    TellUsage {
+    SendUsageNote {
         /// What to say.
         note: UsageNote,
         /// To whom; `None` for this host itself.
         to: Option<SocketAddr>,
     },
     /// Tell other hosts that this one can hand a version of the configuration over.
-    TellVersion {
+    SendVersionNote {
         /// What to say.
         note: VersionNote,
         /// To whom.
--- a/crates/policy/src/brittleness/learning.rs
+++ b/crates/policy/src/brittleness/brittleness_updates.rs
@@ -3,7 +3,7 @@
 impl Controller {
     /// An upstream said in an answer whether it is brittle. Those of its service that have not
     /// answered are taken for the same.
-    pub(crate) fn on_brittle_answered(
+    pub(crate) fn on_brittleness_answered(
         &mut self,
         now: Time,
         upstream: &UpstreamId,
@@ -11,44 +11,44 @@
         sent: Time,
         actions: &mut Vec<Action>,
     ) {
-        let rate = match answered {
+        let rejection_limit = match answered {
             AnsweredLimit::Absent => None,
             AnsweredLimit::Invalid(_) => return,
-            AnsweredLimit::Named(rate) => Some(*rate),
+            AnsweredLimit::Named(rejection_limit) => Some(*rejection_limit),
         };
         let Some(state) = self.pool.get_mut(upstream) else {
             return;
         };
-        if !state.brittleness.note_named(rate, sent) {
+        if !state.brittleness.note_reported(rejection_limit, sent) {
             return;
         }
-        actions.push(Action::NoteBrittle(BrittleNoted {
-            rejections: rate,
+        actions.push(Action::NoteBrittleness(BrittlenessChange {
+            rejections: rejection_limit,
             upstream: upstream.clone(),
         }));
-        self.assume_alike(upstream, rate);
-        self.divide_brittle(now);
+        self.assume_for_same_service(upstream, rejection_limit);
+        self.divide_brittle_slots(now);
     }
 
     /// Takes upstreams that are newly listed for what others of their service say.
-    pub(crate) fn follow_brittle(&mut self, now: Time) {
+    pub(crate) fn update_assumed_brittleness(&mut self, now: Time) {
         let states = self.pool.states.iter();
         let brittle: Vec<(UpstreamId, Option<Rate>)> = states
-            .filter(|state| state.brittleness.rate().is_some())
-            .map(|state| (state.id.clone(), state.brittleness.rate()))
+            .filter(|state| state.brittleness.rejection_limit().is_some())
+            .map(|state| (state.id.clone(), state.brittleness.rejection_limit()))
             .collect();
-        for (upstream, rate) in brittle {
-            self.assume_alike(&upstream, rate);
+        for (upstream, rejection_limit) in brittle {
+            self.assume_for_same_service(&upstream, rejection_limit);
         }
-        self.divide_brittle(now);
+        self.divide_brittle_slots(now);
     }
 
-    fn assume_alike(&mut self, upstream: &UpstreamId, rate: Option<Rate>) {
+    fn assume_for_same_service(&mut self, upstream: &UpstreamId, rejection_limit: Option<Rate>) {
         let targets = self.pool.targets_of(upstream);
         for state in &mut self.pool.states {
-            let alike = pool::targets_of(&state.definition);
-            if alike.iter().any(|target| targets.contains(target)) {
-                state.brittleness.assume(rate);
+            let same_service = pool::targets_of(&state.definition);
+            if same_service.iter().any(|target| targets.contains(target)) {
+                state.brittleness.assume(rejection_limit);
             }
         }
     }
@@ -63,7 +63,7 @@
         let Some(state) = self.pool.get_mut(upstream) else {
             return;
         };
-        if state.brittleness.rate().is_none() {
+        if state.brittleness.rejection_limit().is_none() {
             return;
         }
         state.brittleness.note_rejected(now);
@@ -76,12 +76,12 @@
                 protocol: peer::PROTOCOL,
                 rejected: vec![upstream.clone()],
             };
-            actions.push(Action::TellUpstreams { note, to });
+            actions.push(Action::SendUpstreamNote { note, to });
         }
     }
 
     /// Another host's request was rejected for want of room.
-    pub(crate) fn learn_rejected(&mut self, now: Time, upstream: &UpstreamId) {
+    pub(crate) fn note_peer_rejection(&mut self, now: Time, upstream: &UpstreamId) {
         if let Some(state) = self.pool.get_mut(upstream) {
             state.brittleness.note_rejected(now);
         }
--- a/crates/policy/src/brittleness/mod.rs
+++ b/crates/policy/src/brittleness/mod.rs
@@ -8,15 +8,15 @@
 
 use super::*;
 
-mod brittle_noted;
 #[expect(clippy::module_inception)]
 mod brittleness;
-mod learning;
-mod parts;
-mod turn;
+mod brittleness_change;
+mod brittleness_updates;
+mod slot_division;
+mod time_slice;
 
-pub use brittle_noted::BrittleNoted;
+pub use brittleness_change::BrittlenessChange;
 
 pub(crate) use brittleness::Brittleness;
 
-use turn::Turn;
+use time_slice::TimeSlice;
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -14,19 +14,19 @@
     /// Figures of an installation, for a host that relays requests in one.
     pub relay: Option<RelayRules>,
     /// Rules by which slots are given to ranks.
-    pub room: SlotRules,
+    pub slot_rules: SlotRules,
     /// Seed of the controller's random numbers.
     pub seed: u64,
 }
 
 /// Longest wait of a starting host for the platform's list.
-const MAX_LIST_WAIT: Duration = Duration::from_secs(2);
+const MAX_LEAVING_LIST_WAIT: Duration = Duration::from_secs(2);
 
 /// The lanes that an event concerns.
-enum Affected {
+enum AffectedTargets {
     All,
-    Nothing,
-    Targets(Vec<Target>),
+    None,
+    Some(Vec<Target>),
 }
 
 /// The state machine that makes all of a host's decisions. It is given an
@@ -36,9 +36,9 @@
 pub struct Controller {
     pub(crate) configuration: Option<Arc<Numbered>>,
     /// When the configuration in force was last known to be the newest.
-    pub(crate) confirmed: Option<Time>,
+    pub(crate) confirmed_at: Option<Time>,
     /// When the first configuration was read.
-    configured: Option<Time>,
+    configured_at: Option<Time>,
     pub(crate) crashes: Crashes,
     /// Queued requests by the last moment at which they may start.
     pub(crate) deadlines: BTreeSet<(Time, RequestId)>,
@@ -46,22 +46,22 @@
     pub(crate) directory: Option<DirectoryView>,
     pub(crate) early_refusal: EarlyRefusal,
     /// Whether any upstream is brittle.
-    pub(crate) has_brittle: bool,
-    pub(crate) lanes: BTreeMap<Target, TargetQueues>,
-    pub(crate) length: LengthEstimate,
-    pub(crate) limits: TeamLimits,
+    pub(crate) has_brittle_upstreams: bool,
+    pub(crate) target_queues: BTreeMap<Target, TargetQueues>,
+    pub(crate) length_estimate: LengthEstimate,
+    pub(crate) team_limits: TeamLimits,
     /// Whether the platform's list was read.
-    listed: bool,
+    is_leaving_list_read: bool,
     pub(crate) neighbors: Neighbors,
-    pub(crate) newer: NewerConfiguration,
+    pub(crate) newer_configuration: NewerConfiguration,
     /// When it is looked again for attempts whose paths are lost.
-    pub(crate) next_abandon: Time,
+    pub(crate) next_stall_check: Time,
     pub(crate) next_attempt: u64,
     /// When the slots of brittle upstreams are divided again.
     pub(crate) next_division: Time,
     pub(crate) next_seq: u64,
     /// When it is looked again for lost paths, while no upstream is observed.
-    pub(crate) next_suspicion: Time,
+    pub(crate) next_silence_check: Time,
     pub(crate) options: ControllerOptions,
     pub(crate) own_paths: OwnPaths,
     /// Requests put aside while the store is down, by when they come back.
@@ -69,15 +69,15 @@
     phase: HostPhase,
     pub(crate) peering: Peering,
     pub(crate) pool: Pool,
-    pub(crate) queued: usize,
+    pub(crate) queued_count: usize,
     pub(crate) reporting: Reporting,
     pub(crate) requests: HashMap<RequestId, Stage>,
-    pub(crate) retries: RetryBudgets,
+    pub(crate) retry_budgets: RetryBudgets,
     pub(crate) rng: SmallRng,
     /// The shortest target for pauses of all classes.
     pub(crate) shortest_pause_ms: Option<u64>,
     pub(crate) teams_by_key: HashMap<KeyHash, TeamId>,
-    pub(crate) transit: TransitHosts,
+    pub(crate) transit_hosts: TransitHosts,
     pub(crate) upstream_limits: UpstreamLimits,
     pub(crate) urgency: Urgency,
 }
@@ -86,41 +86,41 @@
     /// A controller without a configuration; it refuses requests until it has
     /// one.
     pub fn new(options: ControllerOptions) -> Self {
-        let pool = Pool::new(options.room.clone(), options.relay.is_some());
+        let pool = Pool::new(options.slot_rules.clone(), options.relay.is_some());
         let peering = Peering::new(options.host.clone(), options.failure_domain.clone());
         Self {
             configuration: None,
-            confirmed: None,
-            configured: None,
+            confirmed_at: None,
+            configured_at: None,
             crashes: Crashes::default(),
             deadlines: BTreeSet::new(),
             directory: None,
             early_refusal: EarlyRefusal::default(),
-            has_brittle: false,
-            lanes: BTreeMap::new(),
-            length: LengthEstimate::default(),
-            limits: TeamLimits::default(),
-            listed: false,
+            has_brittle_upstreams: false,
+            target_queues: BTreeMap::new(),
+            length_estimate: LengthEstimate::default(),
+            team_limits: TeamLimits::default(),
+            is_leaving_list_read: false,
             neighbors: Neighbors::default(),
-            newer: NewerConfiguration::default(),
-            next_abandon: Time::default(),
+            newer_configuration: NewerConfiguration::default(),
+            next_stall_check: Time::default(),
             next_attempt: 0,
             next_division: Time::default(),
             next_seq: 0,
-            next_suspicion: Time::default(),
+            next_silence_check: Time::default(),
             own_paths: OwnPaths::default(),
             parked: BTreeSet::new(),
             peering,
             phase: HostPhase::Starting,
             pool,
-            queued: 0,
+            queued_count: 0,
             reporting: Reporting::default(),
             requests: HashMap::default(),
-            retries: RetryBudgets::new(options.relay.as_ref()),
+            retry_budgets: RetryBudgets::new(options.relay.as_ref()),
             rng: SmallRng::seed_from_u64(options.seed),
             shortest_pause_ms: None,
             teams_by_key: HashMap::default(),
-            transit: TransitHosts::default(),
+            transit_hosts: TransitHosts::default(),
             upstream_limits: UpstreamLimits::default(),
             urgency: Urgency::default(),
             options,
@@ -129,12 +129,12 @@
 
     /// Takes an event at a moment, and appends what is to be done.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        let affected = self.affected(&event);
-        self.take(now, event, actions);
+        let affected = self.affected_targets(&event);
+        self.apply_event(now, event, actions);
         match affected {
-            Affected::All => self.dispatch(now, None, actions),
-            Affected::Nothing => {}
-            Affected::Targets(targets) => self.dispatch(now, Some(&targets), actions),
+            AffectedTargets::All => self.dispatch(now, None, actions),
+            AffectedTargets::None => {}
+            AffectedTargets::Some(targets) => self.dispatch(now, Some(&targets), actions),
         }
         if self.request_tokens(now, actions) {
             self.dispatch(now, None, actions);
@@ -143,31 +143,31 @@
 
     /// The lanes for which an event may have made room, or brought work. Trying
     /// all of them after each event would cost as much as the lanes are many.
-    fn affected(&self, event: &Event) -> Affected {
+    fn affected_targets(&self, event: &Event) -> AffectedTargets {
         match event {
-            Event::Arrived(arrival) => Affected::Targets(vec![arrival.target.clone()]),
+            Event::Arrived(arrival) => AffectedTargets::Some(vec![arrival.target.clone()]),
             Event::AttemptEnded { request, .. } | Event::CallerGone { request } => {
                 match self.requests.get(request) {
                     Some(Stage::Running(request)) => {
-                        Affected::Targets(self.pool.targets_of(&request.stage.upstream))
+                        AffectedTargets::Some(self.pool.targets_of(&request.stage.upstream))
                     }
-                    _ => Affected::All,
+                    _ => AffectedTargets::All,
                 }
             }
             Event::DutyHeld(_)
             | Event::DutyAdvertised { .. }
-            | Event::HeartbeatAsked { .. }
+            | Event::HeartbeatReceived { .. }
             | Event::NoticeAnswered { .. }
             | Event::PathsTried { .. }
-            | Event::TokensAsked { .. }
+            | Event::TokensRequested { .. }
             | Event::Progressed { .. }
             | Event::TimeOfDay { .. }
-            | Event::TransitAsked { .. } => Affected::Nothing,
-            _ => Affected::All,
+            | Event::TransitRequested { .. } => AffectedTargets::None,
+            _ => AffectedTargets::All,
         }
     }
 
-    fn take(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+    fn apply_event(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Arrived(arrival) => self.on_arrived(now, arrival, actions),
             Event::AttemptEnded {
@@ -181,17 +181,17 @@
             }
             Event::ConfigurationAnnounced => self.on_configuration_announced(now, actions),
             Event::ConfigurationConfirmed { as_of } => {
-                self.confirmed = self.confirmed.max(Some(as_of));
-                self.newer.note_confirmed();
+                self.confirmed_at = self.confirmed_at.max(Some(as_of));
+                self.newer_configuration.note_confirmed();
             }
-            Event::ConfigurationElsewhere { from, version } => {
+            Event::NewerConfigurationAtPeer { from, version } => {
                 self.on_newer_at_peer(now, from, version, actions);
             }
             Event::ConfigurationFetchEnded { address, end } => {
                 self.on_fetch_ended(now, address, end, actions);
             }
             Event::ConfigurationPacked(version) => self.announce_version(version, actions),
-            Event::ConfigurationRead(numbered) => self.on_configuration(now, numbered),
+            Event::ConfigurationRead(numbered) => self.apply_configuration(now, numbered),
             Event::DirectoryReachableAgain => {
                 self.directory
                     .get_or_insert_default()
@@ -210,8 +210,8 @@
                 self.note_listed_leaving(now, &leaving);
                 let directory = self.directory.get_or_insert_default();
                 directory.update(leaving, upstreams, now);
-                self.follow_directory(now, actions);
-                self.listed = true;
+                self.apply_directory(now, actions);
+                self.is_leaving_list_read = true;
                 self.serve_if_ready(now);
             }
             Event::CrashesListed(crashes) => self.on_crashes_listed(now, &crashes, actions),
@@ -219,12 +219,10 @@
             Event::DrainStarted => self.phase = HostPhase::Draining,
             Event::DutyHeld(note) => self.on_duty_held(now, note, actions),
             Event::DutyAdvertised { from, note } => self.on_duty_advertised(now, from, &note),
-            Event::HeartbeatAnswered {
-                answer,
-                asked,
-                host,
-            } => self.on_heartbeat_answered(now, &host, asked, answer, actions),
-            Event::HeartbeatAsked { call, heartbeat } => {
+            Event::HeartbeatAnswered { answer, host, sent } => {
+                self.on_heartbeat_answered(now, &host, sent, answer, actions)
+            }
+            Event::HeartbeatReceived { call, heartbeat } => {
                 self.on_heartbeat(now, call, &heartbeat, actions);
             }
             Event::HostsListed { hosts } => self.on_hosts_listed(now, hosts),
@@ -234,7 +232,7 @@
                 upstream,
             } => self.on_listening_checked(now, &upstream, listening, actions),
             Event::LoadReported { report, upstream } => self.on_load_report(now, &upstream, report),
-            Event::NoteReceived { from, note } => self.on_load_note(now, from, note, actions),
+            Event::LoadNoteReceived { from, note } => self.on_load_note(now, from, note, actions),
             Event::NoticeAnswered {
                 notice,
                 sent,
@@ -242,15 +240,15 @@
             } => self.on_notice_answered(now, &upstream, &notice, sent, actions),
             Event::PathsTried {
                 request,
-                tries,
+                attempts,
                 upstream,
             } => {
-                self.note_request_path(request, &tries);
-                self.on_paths_tried(now, &upstream, tries, actions);
+                self.note_request_path(request, &attempts);
+                self.on_paths_tried(now, &upstream, attempts, actions);
             }
-            Event::PeersListed { in_all, peers } => {
-                if let Some(in_all) = in_all {
-                    self.retries.update_host_count(now, in_all);
+            Event::PeersListed { peers, total_hosts } => {
+                if let Some(total_hosts) = total_hosts {
+                    self.retry_budgets.update_host_count(now, total_hosts);
                 }
                 let ControllerOptions {
                     failure_domain,
@@ -258,7 +256,7 @@
                     ..
                 } = &self.options;
                 self.neighbors
-                    .note_listed(now, host, failure_domain, &peers, in_all);
+                    .note_listed(now, host, failure_domain, &peers, total_hosts);
             }
             Event::ProbeAnswered { healthy, upstream } => {
                 if healthy {
@@ -276,22 +274,22 @@
             } => self.on_progress(now, request, attempt, longest_pause, tokens),
             Event::QueueLimitChanged(max_queued) => self.options.max_queued = max_queued,
             Event::RulesChanged(rules) => {
-                self.retries.update_rules(&rules);
+                self.retry_budgets.update_rules(&rules);
                 self.options.relay = Some(rules);
             }
             Event::Ticked => self.on_tick(now, actions),
-            Event::TokensAsked { ask, from } => self.on_tokens_asked(now, from, &ask, actions),
+            Event::TokensRequested { ask, from } => self.on_tokens_asked(now, from, &ask, actions),
             Event::TokensGranted(grant) => self.on_tokens_granted(now, &grant),
             Event::TimeOfDay { unix_ms } => {
                 self.early_refusal.note_time_of_day(now, unix_ms);
                 self.on_time_of_day(now, unix_ms);
             }
-            Event::TransitAsked { call, upstream } => {
+            Event::TransitRequested { call, upstream } => {
                 self.on_transit_asked(now, call, &upstream, actions);
             }
             Event::UpstreamsListed { leaving } => {
                 self.pool.set_listed_leaving(leaving);
-                self.listed = true;
+                self.is_leaving_list_read = true;
                 self.serve_if_ready(now);
             }
             Event::VersionAdvertised { from, note } => {
@@ -312,7 +310,7 @@
 
     /// Whether this host knows that its configuration is the newest, so that it
     /// can tell which keys are valid.
-    pub fn is_current(&self, now: Time) -> bool {
+    pub fn is_configuration_current(&self, now: Time) -> bool {
         self.configuration.is_some() && self.is_configuration_fresh(now)
     }
 
@@ -323,7 +321,7 @@
 
     /// Requests queued now.
     pub const fn queued(&self) -> usize {
-        self.queued
+        self.queued_count
     }
 
     /// Slots that this host may fill now in the group of an upstream, those of
@@ -360,7 +358,7 @@
 
     /// A version that is not newer than the one in force is dropped: answers
     /// of the platform may overtake each other, and a host never goes back.
-    fn on_configuration(&mut self, now: Time, numbered: Arc<Numbered>) {
+    fn apply_configuration(&mut self, now: Time, numbered: Arc<Numbered>) {
         if self
             .version()
             .is_some_and(|version| version >= numbered.version)
@@ -383,17 +381,17 @@
                 .update_upstreams(&numbered.document.upstreams, domain);
             self.restore_lapsed_limits(now);
         }
-        self.limits.retain(&numbered.document);
+        self.team_limits.retain(&numbered.document);
         self.peering.apply_scheduling(&numbered.document.scheduling);
         self.configuration = Some(numbered);
         self.note_in_force();
         self.apply_shares(now);
-        self.configured.get_or_insert(now);
+        self.configured_at.get_or_insert(now);
         self.serve_if_ready(now);
     }
 
     /// Puts the upstreams of the directory in force.
-    fn follow_directory(&mut self, now: Time, actions: &mut Vec<Action>) {
+    fn apply_directory(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Some(directory) = &self.directory else {
             return;
         };
@@ -405,9 +403,9 @@
         self.pool.update_upstreams(listed, domain);
         self.pool.set_listed_leaving(directory.leaving());
         self.restore_lapsed_limits(now);
-        self.follow_brittle(now);
+        self.update_assumed_brittleness(now);
         self.apply_shares(now);
-        self.note_unlisted(now, &unlisted, actions);
+        self.note_upstreams_unlisted(now, &unlisted, actions);
     }
 
     /// Upstreams that get no new work, because some source says that they are
@@ -432,33 +430,33 @@
     }
 
     /// Upstreams on which this host has slots of its own.
-    pub fn home(&self) -> Vec<UpstreamId> {
+    pub fn upstreams_with_own_slots(&self) -> Vec<UpstreamId> {
         self.pool.select(|state| state.own_slots > 0)
     }
 
-    /// Counts the times that [`Self::home`] may have changed.
+    /// Counts the times that [`Self::upstreams_with_own_slots`] may have changed.
     pub const fn shares_version(&self) -> u64 {
         self.pool.shares_version
     }
 
     /// Other hosts that this one observes.
-    pub fn observed(&self, now: Time) -> Vec<HostId> {
+    pub fn observed_hosts(&self, now: Time) -> Vec<HostId> {
         self.neighbors.hosts_with_fresh_notes(now)
     }
 
     /// How long ago the configuration was known to be the newest.
     pub fn config_age(&self, now: Time) -> Option<Duration> {
-        self.confirmed.map(|confirmed| now.since(confirmed))
+        self.confirmed_at.map(|confirmed| now.since(confirmed))
     }
 
     /// Hosts of the installation among which extra retries are divided; 0 before they are known.
-    pub const fn hosts_listed(&self) -> u32 {
-        self.retries.host_count()
+    pub const fn listed_host_count(&self) -> u32 {
+        self.retry_budgets.host_count()
     }
 
     /// Retries that this host may make now, for each target that was asked for.
     pub fn retries_left(&self, now: Time) -> Vec<(Target, f64)> {
-        let left = self.retries.remaining(now);
+        let left = self.retry_budgets.remaining(now);
         left.map(|(target, left)| (target.clone(), left)).collect()
     }
 
@@ -471,8 +469,10 @@
     /// upstreams are leaving, and would send them new work. It waits for the
     /// list, but not for long: the list may be out of reach.
     fn serve_if_ready(&mut self, now: Time) {
-        let waited = |configured: Time| now.since(configured) >= MAX_LIST_WAIT;
-        let ready = self.configured.is_some_and(|at| self.listed || waited(at));
+        let waited = |configured: Time| now.since(configured) >= MAX_LEAVING_LIST_WAIT;
+        let ready = self
+            .configured_at
+            .is_some_and(|at| self.is_leaving_list_read || waited(at));
         if ready && self.phase == HostPhase::Starting {
             self.phase = HostPhase::Serving;
         }
@@ -503,7 +503,7 @@
             .as_mut()
             .is_some_and(|directory| directory.expire(now))
         {
-            self.follow_directory(now, actions);
+            self.apply_directory(now, actions);
         }
         while let Some((deadline, request)) = self.deadlines.first().copied() {
             if deadline > now {
--- a/crates/policy/src/crashes/telling.rs
+++ b/crates/policy/src/crashes/crash_announcements.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 /// Times that a crash is announced: a datagram may be lost.
-const TIMES: u32 = 3;
+const ANNOUNCEMENT_COUNT: u32 = 3;
 
 /// Time between the first two; it doubles. All are announced well before the three seconds in
 /// which other hosts must know.
-const INTERVAL: Duration = Duration::from_millis(300);
+const FIRST_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Bytes a second that telling may take of a host's link, a sixth of one of 10 Mbit/s.
-const BYTES_PER_S: f64 = 200_000.0;
+const MAX_BYTES_PER_S: f64 = 200_000.0;
 
 /// Bytes of a note without crashes, of its headers, and of one crash.
 const NOTE_BYTES: f64 = 90.0;
@@ -16,7 +16,7 @@
 
 /// What is announced of a request.
 #[derive(Debug)]
-enum News {
+enum Update {
     /// It ran to its end.
     Cleared(Fingerprint, Time),
     Crash(ObservedCrash),
@@ -26,8 +26,8 @@
 #[derive(Debug)]
 struct Announcement {
     due: Time,
-    left: u32,
-    news: News,
+    remaining: u32,
+    update: Update,
 }
 
 /// Crashes that this host saw and that others are to be notified of.
@@ -40,36 +40,36 @@
 /// `crashes_upstreams` by one host alone. So a host that announced a crash tells, too, when the
 /// like ran to its end.
 #[derive(Debug, Default)]
-pub(crate) struct Telling {
+pub(crate) struct CrashAnnouncements {
     next_note: Time,
     /// Requests of which crashes were announced, and when last.
     announced: HashMap<Fingerprint, Time>,
-    waiting: VecDeque<Announcement>,
+    pending: VecDeque<Announcement>,
 }
 
-impl Telling {
+impl CrashAnnouncements {
     pub(crate) fn add(&mut self, crash: ObservedCrash, now: Time) {
         self.announced.insert(crash.fingerprint, now);
-        self.push(News::Crash(crash), now);
+        self.push(Update::Crash(crash), now);
     }
 
     /// A request ran to its end.
-    pub(crate) fn note_finished(&mut self, fingerprint: &Fingerprint, now: Time) {
+    pub(crate) fn note_completion(&mut self, fingerprint: &Fingerprint, now: Time) {
         if self.announced.remove(fingerprint).is_some() {
-            self.push(News::Cleared(*fingerprint, now), now);
+            self.push(Update::Cleared(*fingerprint, now), now);
         }
     }
 
     pub(crate) fn forget(&mut self, now: Time) {
         self.announced
-            .retain(|_, at| now.since(*at) < crash_record::FORGET_AFTER);
+            .retain(|_, at| now.since(*at) < crash_record::RETENTION);
     }
 
-    fn push(&mut self, news: News, now: Time) {
-        self.waiting.push_back(Announcement {
+    fn push(&mut self, update: Update, now: Time) {
+        self.pending.push_back(Announcement {
             due: now,
-            left: TIMES,
-            news,
+            remaining: ANNOUNCEMENT_COUNT,
+            update,
         });
     }
 
@@ -84,33 +84,34 @@
             host: host.clone(),
             protocol: peer::PROTOCOL,
         };
-        for _ in 0..self.waiting.len() {
-            let Some(mut announcement) = self.waiting.pop_front() else {
+        for _ in 0..self.pending.len() {
+            let Some(mut announcement) = self.pending.pop_front() else {
                 break;
             };
             let is_full = note.crashes.len() + note.cleared.len() == peer::MAX_CRASHES;
             if now < announcement.due || is_full {
-                self.waiting.push_back(announcement);
+                self.pending.push_back(announcement);
                 continue;
             }
-            match &announcement.news {
-                News::Cleared(fingerprint, at) => note.cleared.push(Cleared {
+            match &announcement.update {
+                Update::Cleared(fingerprint, at) => note.cleared.push(Cleared {
                     age_ms: now.since(*at).as_millis() as u32,
                     fingerprint: *fingerprint,
                 }),
-                News::Crash(crash) => note.crashes.push(crash.to_advertised(now)),
+                Update::Crash(crash) => note.crashes.push(crash.to_advertised(now)),
             }
-            announcement.due = now + INTERVAL * 2_u32.pow(TIMES - announcement.left);
-            announcement.left -= 1;
-            if announcement.left > 0 {
-                self.waiting.push_back(announcement);
+            announcement.due =
+                now + FIRST_INTERVAL * 2_u32.pow(ANNOUNCEMENT_COUNT - announcement.remaining);
+            announcement.remaining -= 1;
+            if announcement.remaining > 0 {
+                self.pending.push_back(announcement);
             }
         }
         let total = note.crashes.len() + note.cleared.len();
         let bytes = NOTE_BYTES + CRASH_BYTES * total as f64;
-        let span = Duration::from_secs_f64(bytes * hosts as f64 / BYTES_PER_S);
+        let send_time = Duration::from_secs_f64(bytes * hosts as f64 / MAX_BYTES_PER_S);
         (total > 0).then(|| {
-            self.next_note = now + span;
+            self.next_note = now + send_time;
             note
         })
     }
--- a/crates/policy/src/crashes/barring.rs
+++ b/crates/policy/src/crashes/crash_handling.rs
@@ -3,16 +3,16 @@
 use super::*;
 
 /// Time between two looks at what can be forgotten.
-const FORGET_INTERVAL: Duration = Duration::from_secs(1);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time in which the entry of an upstream that ended has lapsed: three of its heartbeats
 /// of 1.2 s, and as much again for the news to get here.
-const LAPSED_WITHIN: Duration = Duration::from_secs(7);
+const ENTRY_EXPIRY: Duration = Duration::from_secs(7);
 
 impl Controller {
     /// A connection broke before the answer was whole. One to an upstream that is leaving
     /// breaks in the end, whatever runs there.
-    pub(crate) fn note_broken(
+    pub(crate) fn note_connection_broken(
         &mut self,
         now: Time,
         request: &Request<Running>,
@@ -31,28 +31,28 @@
             at: now,
             fingerprint,
             is_weak: request.stage.is_streaming
-                || self.crashes.finished.last(&fingerprint).is_some(),
+                || self.crashes.completions.last(&fingerprint).is_some(),
             upstream: upstream.clone(),
         };
-        match self.crashes.suspects.note_broken(broken) {
-            Some(crash) => self.note_own_crashes(now, vec![crash], actions),
+        match self.crashes.suspects.note_connection_broken(broken) {
+            Some(crash) => self.record_own_crashes(now, vec![crash], actions),
             None => self.check_listening(now, upstream, actions),
         }
     }
 
     /// An upstream has ended.
-    pub(crate) fn note_ended(
+    pub(crate) fn note_upstream_ended(
         &mut self,
         now: Time,
         upstream: &UpstreamId,
         actions: &mut Vec<Action>,
     ) {
-        let crashes = self.crashes.suspects.note_ended(upstream, now);
-        self.note_own_crashes(now, crashes, actions);
+        let crashes = self.crashes.suspects.note_upstream_ended(upstream, now);
+        self.record_own_crashes(now, crashes, actions);
     }
 
     /// Upstreams are no longer listed.
-    pub(crate) fn note_unlisted(
+    pub(crate) fn note_upstreams_unlisted(
         &mut self,
         now: Time,
         upstreams: &[UpstreamId],
@@ -60,7 +60,7 @@
     ) {
         for upstream in upstreams {
             let crashes = self.crashes.suspects.note_unlisted(upstream);
-            self.note_own_crashes(now, crashes, actions);
+            self.record_own_crashes(now, crashes, actions);
         }
     }
 
@@ -72,14 +72,15 @@
     ) {
         for cleared in &note.cleared {
             let age = Duration::from_millis(u64::from(cleared.age_ms));
-            self.crashes.note_ran(&cleared.fingerprint, now - age);
+            self.crashes
+                .clear_completed(&cleared.fingerprint, now - age);
         }
         for advertised in &note.crashes {
             // What broke here at the same upstream is explained, too.
-            self.note_ended(now, &advertised.upstream, actions);
+            self.note_upstream_ended(now, &advertised.upstream, actions);
             let crash = ObservedCrash::advertised(advertised, now);
             let source = CrashSource::Host(note.host.clone());
-            self.note_crash(now, &crash, source, actions);
+            self.record_crash(now, &crash, source, actions);
         }
     }
 
@@ -91,30 +92,30 @@
     ) {
         for listed in crashes {
             let crash = ObservedCrash::advertised(listed, now);
-            let lapsed = now.since(crash.at) >= LAPSED_WITHIN;
-            if lapsed && self.is_listed(&crash.upstream) {
+            let lapsed = now.since(crash.at) >= ENTRY_EXPIRY;
+            if lapsed && self.is_in_directory(&crash.upstream) {
                 continue;
             }
-            self.note_ended(now, &crash.upstream, actions);
-            self.note_crash(now, &crash, CrashSource::Store, actions);
+            self.note_upstream_ended(now, &crash.upstream, actions);
+            self.record_crash(now, &crash, CrashSource::Store, actions);
         }
     }
 
     pub(crate) fn tick_crashes(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if now >= self.crashes.next_forget {
-            self.crashes.next_forget = now + FORGET_INTERVAL;
-            self.withdraw_listed(now);
+        if now >= self.crashes.next_cleanup {
+            self.crashes.next_cleanup = now + CLEANUP_INTERVAL;
+            self.withdraw_crashes_of_listed(now);
             self.crashes.record.forget(now);
             self.crashes.suspects.forget(now);
-            self.crashes.telling.forget(now);
+            self.crashes.announcements.forget(now);
         }
-        self.tell_crashes(now, actions);
+        self.announce_crashes(now, actions);
     }
 
     /// An upstream that is listed long after its supposed end has not ended.
-    fn withdraw_listed(&mut self, now: Time) {
-        let ended = self.crashes.suspects.ended_before(now - LAPSED_WITHIN);
-        let listed = ended.filter(|upstream| self.is_listed(upstream));
+    fn withdraw_crashes_of_listed(&mut self, now: Time) {
+        let ended = self.crashes.suspects.ended_before(now - ENTRY_EXPIRY);
+        let listed = ended.filter(|upstream| self.is_in_directory(upstream));
         for upstream in listed.cloned().collect::<Vec<_>>() {
             self.crashes.suspects.forget_end(&upstream);
             self.crashes.record.withdraw(&upstream);
@@ -122,27 +123,27 @@
     }
 
     /// Whether the directory lists an upstream now.
-    fn is_listed(&self, upstream: &UpstreamId) -> bool {
+    fn is_in_directory(&self, upstream: &UpstreamId) -> bool {
         let directory = self.directory.as_ref();
         directory.is_some_and(|directory| directory.is_reachable() && directory.lists(upstream))
     }
 
-    fn note_own_crashes(
+    fn record_own_crashes(
         &mut self,
         now: Time,
         crashes: Vec<ObservedCrash>,
         actions: &mut Vec<Action>,
     ) {
         for crash in crashes {
-            if self.note_crash(now, &crash, CrashSource::Own, actions) {
-                self.crashes.telling.add(crash, now);
+            if self.record_crash(now, &crash, CrashSource::Own, actions) {
+                self.crashes.announcements.add(crash, now);
             }
         }
-        self.tell_crashes(now, actions);
+        self.announce_crashes(now, actions);
     }
 
     /// Takes a crash; true if it was not known.
-    fn note_crash(
+    fn record_crash(
         &mut self,
         now: Time,
         crash: &ObservedCrash,
@@ -152,9 +153,9 @@
         let Some(crashes) = self.crashes.note(crash, &source) else {
             return false;
         };
-        self.keep_crashes(now, &crash.fingerprint, actions);
+        self.store_crashes(now, &crash.fingerprint, actions);
         let barred_for = self.crashes.barred_for(&crash.fingerprint, now);
-        actions.push(Action::NoteCrash(CrashNoted {
+        actions.push(Action::NoteCrash(CrashDetected {
             barred_for,
             crashes,
             fingerprint: crash.fingerprint,
@@ -168,16 +169,16 @@
     }
 
     /// Has own crashes of a request kept, where there is a store for them.
-    fn keep_crashes(&mut self, now: Time, fingerprint: &Fingerprint, actions: &mut Vec<Action>) {
+    fn store_crashes(&mut self, now: Time, fingerprint: &Fingerprint, actions: &mut Vec<Action>) {
         if self.options.relay.is_none() {
             return;
         }
-        let keeps_first = self.neighbors.exchanges_with_subset();
+        let stores_first = self.neighbors.exchanges_with_subset();
         let record = &mut self.crashes.record;
-        let to_keep = record.take_to_keep(fingerprint, keeps_first);
-        if !to_keep.is_empty() {
-            let crashes = to_keep.iter().map(|crash| crash.to_advertised(now));
-            actions.push(Action::KeepCrashes(crashes.collect()));
+        let unstored = record.take_unstored(fingerprint, stores_first);
+        if !unstored.is_empty() {
+            let crashes = unstored.iter().map(|crash| crash.to_advertised(now));
+            actions.push(Action::StoreCrashes(crashes.collect()));
         }
     }
 
@@ -193,13 +194,16 @@
         }
     }
 
-    fn tell_crashes(&mut self, now: Time, actions: &mut Vec<Action>) {
+    fn announce_crashes(&mut self, now: Time, actions: &mut Vec<Action>) {
         let to: Vec<SocketAddr> = self.neighbors.addresses(&self.options.host).collect();
-        let note = self.crashes.telling.take(&self.options.host, to.len(), now);
+        let note = self
+            .crashes
+            .announcements
+            .take(&self.options.host, to.len(), now);
         let Some(note) = note.filter(|_| !to.is_empty()) else {
             return;
         };
-        actions.push(Action::TellCrashes { note, to });
+        actions.push(Action::SendCrashNote { note, to });
     }
 
     /// Whether no further upstream may get a request.
--- a/crates/policy/src/crashes/crash_record.rs
+++ b/crates/policy/src/crashes/crash_record.rs
@@ -12,14 +12,14 @@
 
 /// Crashes of one request from which they are kept in the store. One alone is what any
 /// crash leaves of all that ran there, and would be a call of each host.
-const KEEP_FROM: usize = 2;
+const MIN_CRASHES_TO_STORE: usize = 2;
 
 /// Time after the last crash for which the request is barred. After it one try shows
 /// whether the upstreams bear it now.
-const BAR_FOR: Duration = Duration::from_secs(600);
+const BAR_DURATION: Duration = Duration::from_secs(600);
 
 /// Time after which a crash is forgotten.
-pub(crate) const FORGET_AFTER: Duration = Duration::from_secs(3_600);
+pub(crate) const RETENTION: Duration = Duration::from_secs(3_600);
 
 /// Most requests that are kept: all that were on forty engines of a hundred slots. Some
 /// 300 bytes each.
@@ -30,24 +30,24 @@
 
 /// The end of an upstream under a request.
 #[derive(Clone, Copy, Debug)]
-struct End {
+struct RecordedCrash {
     at: Time,
     /// Whether this host saw it, and has not had it kept.
-    is_to_keep: bool,
+    needs_storing: bool,
     points: u32,
 }
 
 /// The ends under one request.
 #[derive(Debug, Default)]
-struct Ends(BTreeMap<UpstreamId, End>);
+struct RequestCrashes(BTreeMap<UpstreamId, RecordedCrash>);
 
-impl Ends {
+impl RequestCrashes {
     fn points(&self) -> u32 {
-        self.0.values().map(|end| end.points).sum()
+        self.0.values().map(|crash| crash.points).sum()
     }
 
     fn last(&self) -> Option<Time> {
-        self.0.values().map(|end| end.at).max()
+        self.0.values().map(|crash| crash.at).max()
     }
 
     /// Takes an end; true if it was not known. Where the request was there twice, the
@@ -63,17 +63,17 @@
             return false;
         }
         if self.0.len() >= MAX_CRASHES {
-            let oldest = self.0.iter().min_by_key(|(_, end)| end.at);
+            let oldest = self.0.iter().min_by_key(|(_, crash)| crash.at);
             let oldest = oldest.map(|(upstream, _)| upstream.clone());
             oldest.and_then(|upstream| self.0.remove(&upstream));
         }
-        let end = End {
+        let recorded = RecordedCrash {
             at: crash.at,
             // One that says little is not worth a call.
-            is_to_keep: is_own && !crash.is_weak,
+            needs_storing: is_own && !crash.is_weak,
             points,
         };
-        self.0.insert(crash.upstream.clone(), end);
+        self.0.insert(crash.upstream.clone(), recorded);
         true
     }
 }
@@ -96,107 +96,114 @@
 pub(crate) struct CrashRecord {
     /// The guilty ones, and when an upstream last ended under them.
     barred: HashMap<Fingerprint, Time>,
-    requests: HashMap<Fingerprint, Ends>,
+    requests: HashMap<Fingerprint, RequestCrashes>,
 }
 
 impl CrashRecord {
     /// Takes a crash; the number of this request's crashes, if it was not known.
     pub(crate) fn note(&mut self, crash: &ObservedCrash, is_own: bool) -> Option<usize> {
         if !self.requests.contains_key(&crash.fingerprint) && self.requests.len() >= MAX_REQUESTS {
-            self.drop_weakest();
+            self.evict_weakest();
         }
-        let ends = self.requests.entry(crash.fingerprint).or_default();
-        let is_new = ends.add(crash, is_own);
-        let crashes = ends.0.len();
-        self.judge();
-        is_new.then_some(crashes)
+        let crashes = self.requests.entry(crash.fingerprint).or_default();
+        let is_new = crashes.add(crash, is_own);
+        let crash_count = crashes.0.len();
+        self.update_barred();
+        is_new.then_some(crash_count)
     }
 
     /// Own crashes of a request that are to be kept in the store, each is given once; the
     /// first one, too, if other hosts learn of it by the store only.
-    pub(crate) fn take_to_keep(
+    pub(crate) fn take_unstored(
         &mut self,
         fingerprint: &Fingerprint,
-        keeps_first: bool,
+        stores_first: bool,
     ) -> Vec<ObservedCrash> {
-        let keep_from = if keeps_first { 1 } else { KEEP_FROM };
-        let ends = self.requests.get_mut(fingerprint);
-        let Some(ends) = ends.filter(|ends| ends.0.len() >= keep_from) else {
+        let min_crashes = if stores_first {
+            1
+        } else {
+            MIN_CRASHES_TO_STORE
+        };
+        let crashes = self.requests.get_mut(fingerprint);
+        let Some(crashes) = crashes.filter(|crashes| crashes.0.len() >= min_crashes) else {
             return Vec::new();
         };
-        let to_keep = ends.0.iter_mut().filter(|(_, end)| end.is_to_keep);
-        let to_keep = to_keep.map(|(upstream, end)| {
-            end.is_to_keep = false;
+        let unstored = crashes
+            .0
+            .iter_mut()
+            .filter(|(_, crash)| crash.needs_storing);
+        let unstored = unstored.map(|(upstream, crash)| {
+            crash.needs_storing = false;
             ObservedCrash {
-                at: end.at,
+                at: crash.at,
                 fingerprint: *fingerprint,
                 is_weak: false,
                 upstream: upstream.clone(),
             }
         });
-        to_keep.collect()
+        unstored.collect()
     }
 
     pub(crate) fn barred_for(&self, fingerprint: &Fingerprint, now: Time) -> Option<Duration> {
         let last = self.barred.get(fingerprint)?;
-        let left = BAR_FOR.saturating_sub(now.since(*last));
+        let left = BAR_DURATION.saturating_sub(now.since(*last));
         (!left.is_zero()).then_some(left)
     }
 
     /// The request ran to its end at a moment.
     pub(crate) fn clear(&mut self, fingerprint: &Fingerprint, at: Time) {
-        if let Some(ends) = self.requests.get_mut(fingerprint) {
-            ends.0.retain(|_, end| end.at > at);
+        if let Some(crashes) = self.requests.get_mut(fingerprint) {
+            crashes.0.retain(|_, crash| crash.at > at);
             self.drop_empty();
         }
     }
 
     /// The upstream has not ended after all.
     pub(crate) fn withdraw(&mut self, upstream: &UpstreamId) {
-        for ends in self.requests.values_mut() {
-            ends.0.remove(upstream);
+        for crashes in self.requests.values_mut() {
+            crashes.0.remove(upstream);
         }
         self.drop_empty();
     }
 
     pub(crate) fn forget(&mut self, now: Time) {
-        for ends in self.requests.values_mut() {
-            ends.0.retain(|_, end| now.since(end.at) < FORGET_AFTER);
+        for crashes in self.requests.values_mut() {
+            crashes.0.retain(|_, crash| now.since(crash.at) < RETENTION);
         }
         self.drop_empty();
     }
 
     fn drop_empty(&mut self) {
-        self.requests.retain(|_, ends| !ends.0.is_empty());
-        self.judge();
+        self.requests.retain(|_, crashes| !crashes.0.is_empty());
+        self.update_barred();
     }
 
     /// Drops the request with the fewest points, of those the one whose last crash is the
     /// longest ago: a flood of different requests cannot push a barred one out.
-    fn drop_weakest(&mut self) {
+    fn evict_weakest(&mut self) {
         let requests = self.requests.iter();
-        let weakest = requests.min_by_key(|(_, ends)| (ends.points(), ends.last()));
+        let weakest = requests.min_by_key(|(_, crashes)| (crashes.points(), crashes.last()));
         if let Some(fingerprint) = weakest.map(|(fingerprint, _)| *fingerprint) {
             self.requests.remove(&fingerprint);
         }
     }
 
     /// Works out who is guilty, the same on all hosts that know the same crashes.
-    fn judge(&mut self) {
+    fn update_barred(&mut self) {
         self.barred.clear();
         let requests = self.requests.iter();
-        let mut suspects: Vec<(&Fingerprint, &Ends)> = requests
-            .filter(|(_, ends)| ends.points() >= BAR_POINTS)
+        let mut candidates: Vec<(&Fingerprint, &RequestCrashes)> = requests
+            .filter(|(_, crashes)| crashes.points() >= BAR_POINTS)
             .collect();
-        suspects.sort_by_key(|(fingerprint, ends)| (Reverse(ends.points()), **fingerprint));
+        candidates.sort_by_key(|(fingerprint, crashes)| (Reverse(crashes.points()), **fingerprint));
         let mut explained: BTreeSet<&UpstreamId> = BTreeSet::new();
-        for (fingerprint, ends) in suspects {
-            let open = ends.0.iter();
-            let open = open.filter(|(upstream, _)| !explained.contains(upstream));
-            let points: u32 = open.map(|(_, end)| end.points).sum();
-            if let (BAR_POINTS.., Some(last)) = (points, ends.last()) {
+        for (fingerprint, crashes) in candidates {
+            let unexplained = crashes.0.iter();
+            let unexplained = unexplained.filter(|(upstream, _)| !explained.contains(upstream));
+            let points: u32 = unexplained.map(|(_, crash)| crash.points).sum();
+            if let (BAR_POINTS.., Some(last)) = (points, crashes.last()) {
                 self.barred.insert(*fingerprint, last);
-                explained.extend(ends.0.keys());
+                explained.extend(crashes.0.keys());
             }
         }
     }
--- a/crates/policy/src/crashes/witnesses.rs
+++ b/crates/policy/src/crashes/listening_checks.rs
@@ -15,12 +15,12 @@
         upstream: &UpstreamId,
         actions: &mut Vec<Action>,
     ) {
-        if self.crashes.suspects.is_refusing(upstream) {
-            self.ask_witness(now, upstream, actions);
+        if self.crashes.suspects.is_not_listening(upstream) {
+            self.check_another_in_domain(now, upstream, actions);
             return;
         }
         if let Some(state) = self.pool.get(upstream)
-            && self.crashes.suspects.take_look(upstream, now)
+            && self.crashes.suspects.take_check_due(upstream, now)
         {
             actions.push(Action::CheckListening {
                 address: state.definition.address(),
@@ -43,12 +43,12 @@
         match listening {
             Listening::Unknown => {}
             Listening::No => {
-                self.crashes.suspects.note_refusing(upstream, &domain);
-                self.ask_witness(now, upstream, actions);
+                self.crashes.suspects.note_not_listening(upstream, &domain);
+                self.check_another_in_domain(now, upstream, actions);
             }
             Listening::Yes => {
-                for ended in self.crashes.suspects.take_refusing(&domain) {
-                    self.note_ended(now, &ended, actions);
+                for ended in self.crashes.suspects.take_not_listening(&domain) {
+                    self.note_upstream_ended(now, &ended, actions);
                 }
             }
         }
@@ -56,21 +56,21 @@
 
     /// Looks whether another upstream of the same domain listens. Where there is none, the
     /// entry that lapses is the only sign.
-    fn ask_witness(&self, now: Time, upstream: &UpstreamId, actions: &mut Vec<Action>) {
+    fn check_another_in_domain(&self, now: Time, upstream: &UpstreamId, actions: &mut Vec<Action>) {
         let Some(state) = self.pool.get(upstream) else {
             return;
         };
         let domain = state.definition.failure_domain();
-        let witness = self.pool.states.iter().find(|state| {
+        let other = self.pool.states.iter().find(|state| {
             state.definition.failure_domain() == domain
                 && state.health.is_well()
                 && !state.is_leaving(now)
-                && !self.crashes.suspects.is_refusing(&state.id)
+                && !self.crashes.suspects.is_not_listening(&state.id)
         });
-        if let Some(witness) = witness {
+        if let Some(other) = other {
             actions.push(Action::CheckListening {
-                address: witness.definition.address(),
-                upstream: witness.id.clone(),
+                address: other.definition.address(),
+                upstream: other.id.clone(),
             });
         }
     }
--- a/crates/policy/src/crashes/mod.rs
+++ b/crates/policy/src/crashes/mod.rs
@@ -6,29 +6,30 @@
 
 use super::*;
 
-mod barring;
+mod crash_announcements;
+mod crash_handling;
 mod crash_record;
-mod finished;
+mod listening_checks;
 mod observed_crash;
-mod suspects;
-mod telling;
-mod witnesses;
+mod recent_completions;
+mod suspected_crashes;
 
-pub use observed_crash::{CrashNoted, CrashSource};
+pub use observed_crash::{CrashDetected, CrashSource};
 
 use {
-    crash_record::CrashRecord, finished::Finished, observed_crash::ObservedCrash,
-    suspects::Suspects, telling::Telling,
+    crash_announcements::CrashAnnouncements, crash_record::CrashRecord,
+    observed_crash::ObservedCrash, recent_completions::RecentCompletions,
+    suspected_crashes::SuspectedCrashes,
 };
 
 /// What a host knows of such requests.
 #[derive(Debug, Default)]
 pub(crate) struct Crashes {
-    finished: Finished,
-    next_forget: Time,
+    completions: RecentCompletions,
+    next_cleanup: Time,
     record: CrashRecord,
-    suspects: Suspects,
-    telling: Telling,
+    suspects: SuspectedCrashes,
+    announcements: CrashAnnouncements,
 }
 
 impl Crashes {
@@ -47,26 +48,26 @@
     /// Takes a crash; the number of this request's crashes, if that is news. One after which
     /// the like ran to its end is none.
     fn note(&mut self, crash: &ObservedCrash, source: &CrashSource) -> Option<usize> {
-        let finished = self.finished.last(&crash.fingerprint);
-        if finished.is_some_and(|at| at > crash.at) {
+        let completions = self.completions.last(&crash.fingerprint);
+        if completions.is_some_and(|at| at > crash.at) {
             return None;
         }
         let crash = ObservedCrash {
-            is_weak: crash.is_weak || finished.is_some(),
+            is_weak: crash.is_weak || completions.is_some(),
             ..crash.clone()
         };
         self.record.note(&crash, *source == CrashSource::Own)
     }
 
     /// A request ran to its end.
-    pub(crate) fn note_finished(&mut self, fingerprint: &Fingerprint, now: Time) {
-        self.telling.note_finished(fingerprint, now);
-        self.note_ran(fingerprint, now);
+    pub(crate) fn note_completion(&mut self, fingerprint: &Fingerprint, now: Time) {
+        self.announcements.note_completion(fingerprint, now);
+        self.clear_completed(fingerprint, now);
     }
 
     /// A request ran to its end, here or at another host.
-    fn note_ran(&mut self, fingerprint: &Fingerprint, at: Time) {
-        self.finished.note(*fingerprint, at);
+    fn clear_completed(&mut self, fingerprint: &Fingerprint, at: Time) {
+        self.completions.note(*fingerprint, at);
         self.record.clear(fingerprint, at);
     }
 }
--- a/crates/policy/src/crashes/observed_crash.rs
+++ b/crates/policy/src/crashes/observed_crash.rs
@@ -46,7 +46,7 @@
 
 /// A crash that was not known before, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CrashNoted {
+pub struct CrashDetected {
     /// For how long no upstream gets the request; `None` if it is not barred.
     pub barred_for: Option<Duration>,
     /// Upstreams that are known to have ended under this request.
--- a/crates/policy/src/crashes/finished.rs
+++ b/crates/policy/src/crashes/recent_completions.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Requests that are remembered: what a host serves in some minutes.
-const MAX_FINISHED: usize = 2_048;
+const MAX_COMPLETIONS: usize = 2_048;
 
 /// Requests that ran to their end lately, and when.
 ///
@@ -10,29 +10,29 @@
 /// hosts tell again, or keep in the store, is held against it anew. One would notice the
 /// harmless one barred for minutes after a storm of crashes.
 #[derive(Debug, Default)]
-pub(crate) struct Finished {
-    known: HashMap<Fingerprint, Time>,
+pub(crate) struct RecentCompletions {
+    completed_at: HashMap<Fingerprint, Time>,
     /// The same, the oldest first.
     order: VecDeque<Fingerprint>,
 }
 
-impl Finished {
+impl RecentCompletions {
     pub(crate) fn note(&mut self, fingerprint: Fingerprint, now: Time) {
-        if let Some(last) = self.known.get_mut(&fingerprint) {
+        if let Some(last) = self.completed_at.get_mut(&fingerprint) {
             *last = now.max(*last);
             return;
         }
-        self.known.insert(fingerprint, now);
+        self.completed_at.insert(fingerprint, now);
         self.order.push_back(fingerprint);
-        if self.order.len() > MAX_FINISHED
+        if self.order.len() > MAX_COMPLETIONS
             && let Some(oldest) = self.order.pop_front()
         {
-            self.known.remove(&oldest);
+            self.completed_at.remove(&oldest);
         }
     }
 
     /// When the like of a request ran to its end last.
     pub(crate) fn last(&self, fingerprint: &Fingerprint) -> Option<Time> {
-        self.known.get(fingerprint).copied()
+        self.completed_at.get(fingerprint).copied()
     }
 }
--- a/crates/policy/src/crashes/suspects.rs
+++ b/crates/policy/src/crashes/suspected_crashes.rs
@@ -2,10 +2,10 @@
 
 /// Time between a broken connection and a sign that the upstream has ended for the two to
 /// be one event: entries of upstreams that ended lapse within some four seconds.
-const CONFIRM_WITHIN: Duration = Duration::from_secs(10);
+const CONFIRMATION_WINDOW: Duration = Duration::from_secs(10);
 
 /// Time between two looks at whether an upstream listens.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+const LISTENING_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Requests whose connections broke, until it is known whether the upstream ended.
 ///
@@ -13,21 +13,24 @@
 /// or loses answers, and lives on, bars requests that do no harm. One would notice refusals
 /// with `crashes_upstreams` while no upstream starts again.
 #[derive(Debug, Default)]
-pub(crate) struct Suspects {
+pub(crate) struct SuspectedCrashes {
     broken: HashMap<UpstreamId, Vec<ObservedCrash>>,
     /// Upstreams that ended, and when that was noticed.
     ended: HashMap<UpstreamId, Time>,
     /// When it was last looked whether an upstream listens.
-    looked_at: HashMap<UpstreamId, Time>,
+    checked_at: HashMap<UpstreamId, Time>,
     /// Upstreams at whose address nobody listens, by failure domain: until another one of
     /// the domain is seen to listen, the whole domain may be out of reach.
-    refusing: BTreeMap<FailureDomainId, BTreeSet<UpstreamId>>,
+    not_listening: BTreeMap<FailureDomainId, BTreeSet<UpstreamId>>,
 }
 
-impl Suspects {
+impl SuspectedCrashes {
     /// Notes a broken connection; gives it back if the upstream is known to have ended, so
     /// that it is a crash.
-    pub(crate) fn note_broken(&mut self, broken: ObservedCrash) -> Option<ObservedCrash> {
+    pub(crate) fn note_connection_broken(
+        &mut self,
+        broken: ObservedCrash,
+    ) -> Option<ObservedCrash> {
         if self.ended.contains_key(&broken.upstream) {
             return Some(broken);
         }
@@ -37,30 +40,30 @@
     }
 
     /// Whether to look now if an upstream listens: many connections to it break at once.
-    pub(crate) fn take_look(&mut self, upstream: &UpstreamId, now: Time) -> bool {
-        let looked_at = self.looked_at.get(upstream);
-        if looked_at.is_some_and(|at| now.since(*at) < LOOK_INTERVAL) {
+    pub(crate) fn take_check_due(&mut self, upstream: &UpstreamId, now: Time) -> bool {
+        let checked_at = self.checked_at.get(upstream);
+        if checked_at.is_some_and(|at| now.since(*at) < LISTENING_CHECK_INTERVAL) {
             return false;
         }
-        self.looked_at.insert(upstream.clone(), now);
+        self.checked_at.insert(upstream.clone(), now);
         true
     }
 
     /// Nobody listens at an upstream's address.
-    pub(crate) fn note_refusing(&mut self, upstream: &UpstreamId, domain: &FailureDomainId) {
-        let refusing = self.refusing.entry(domain.clone()).or_default();
-        refusing.insert(upstream.clone());
+    pub(crate) fn note_not_listening(&mut self, upstream: &UpstreamId, domain: &FailureDomainId) {
+        let not_listening = self.not_listening.entry(domain.clone()).or_default();
+        not_listening.insert(upstream.clone());
     }
 
     /// Whether somebody was seen not to listen.
-    pub(crate) fn is_refusing(&self, upstream: &UpstreamId) -> bool {
-        let mut domains = self.refusing.values();
-        domains.any(|refusing| refusing.contains(upstream))
+    pub(crate) fn is_not_listening(&self, upstream: &UpstreamId) -> bool {
+        let mut domains = self.not_listening.values();
+        domains.any(|not_listening| not_listening.contains(upstream))
     }
 
     /// A domain is in reach: gives the upstreams there at whose addresses nobody listens.
-    pub(crate) fn take_refusing(&mut self, domain: &FailureDomainId) -> BTreeSet<UpstreamId> {
-        self.refusing.remove(domain).unwrap_or_default()
+    pub(crate) fn take_not_listening(&mut self, domain: &FailureDomainId) -> BTreeSet<UpstreamId> {
+        self.not_listening.remove(domain).unwrap_or_default()
     }
 
     /// Upstreams whose end was noticed before a moment.
@@ -75,7 +78,11 @@
     }
 
     /// An upstream has ended; gives the requests that were there.
-    pub(crate) fn note_ended(&mut self, upstream: &UpstreamId, now: Time) -> Vec<ObservedCrash> {
+    pub(crate) fn note_upstream_ended(
+        &mut self,
+        upstream: &UpstreamId,
+        now: Time,
+    ) -> Vec<ObservedCrash> {
         self.ended.insert(upstream.clone(), now);
         self.confirm(upstream)
     }
@@ -103,18 +110,19 @@
     }
 
     pub(crate) fn forget(&mut self, now: Time) {
-        let recent = |at: Time| now.since(at) < CONFIRM_WITHIN;
+        let recent = |at: Time| now.since(at) < CONFIRMATION_WINDOW;
         self.ended.retain(|_, at| recent(*at));
-        self.looked_at.retain(|_, at| recent(*at));
+        self.checked_at.retain(|_, at| recent(*at));
         for broken in self.broken.values_mut() {
             broken.retain(|broken| recent(broken.at));
         }
         self.broken.retain(|_, broken| !broken.is_empty());
         let broken = &self.broken;
-        for refusing in self.refusing.values_mut() {
-            refusing.retain(|upstream| broken.contains_key(upstream));
+        for not_listening in self.not_listening.values_mut() {
+            not_listening.retain(|upstream| broken.contains_key(upstream));
         }
-        self.refusing.retain(|_, refusing| !refusing.is_empty());
+        self.not_listening
+            .retain(|_, not_listening| !not_listening.is_empty());
     }
 
     fn confirm(&mut self, upstream: &UpstreamId) -> Vec<ObservedCrash> {
--- a/crates/policy/src/duties/reporting.rs
+++ b/crates/policy/src/duties/reporting.rs
@@ -80,7 +80,7 @@
         } else {
             self.neighbors.addresses(&self.options.host).collect()
         };
-        actions.push(Action::TellDuty { note, to });
+        actions.push(Action::SendDutyNote { note, to });
     }
 
     pub(crate) fn on_time_of_day(&mut self, now: Time, unix_ms: u64) {
@@ -108,7 +108,7 @@
             work: self.reporting.work.works(&self.pool),
         };
         let to = holder.address;
-        actions.push(Action::TellUsage { note, to });
+        actions.push(Action::SendUsageNote { note, to });
     }
 
     /// Counts a request of a team that began to run at a moment.
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -29,7 +29,7 @@
     /// A newer configuration begins to arrive from the store, and will take long.
     ConfigurationAnnounced,
     /// Another host, which this one asks in place of the store, has a newer configuration.
-    ConfigurationElsewhere {
+    NewerConfigurationAtPeer {
         /// Where it is reached.
         from: SocketAddr,
         /// Its version.
@@ -89,12 +89,12 @@
         /// The answer; `None` if none came that can be used.
         answer: Option<HeartbeatAnswer>,
         /// When the heartbeat was sent.
-        asked: Time,
+        sent: Time,
         /// The host that was asked.
         host: HostId,
     },
     /// A host sent a heartbeat.
-    HeartbeatAsked {
+    HeartbeatReceived {
         /// Number of the call, to be named with the answer.
         call: u64,
         /// What it said.
@@ -122,7 +122,7 @@
         upstream: UpstreamId,
     },
     /// Another host announced its load.
-    NoteReceived {
+    LoadNoteReceived {
         /// Where it came from.
         from: SocketAddr,
         /// What it said.
@@ -142,14 +142,14 @@
         /// The request for which it was wanted, if it was for one.
         request: Option<RequestId>,
         /// How each attempt ended.
-        tries: Vec<PathTry>,
+        attempts: Vec<PathTry>,
         /// The upstream.
         upstream: UpstreamId,
     },
     /// The other hosts were listed.
     PeersListed {
         /// Hosts of the whole installation; `None` if that is not known yet.
-        in_all: Option<usize>,
+        total_hosts: Option<usize>,
         /// Hosts, this one perhaps among them; where there are many, those of its own failure
         /// domain.
         peers: Vec<PeerHost>,
@@ -184,7 +184,7 @@
         unix_ms: u64,
     },
     /// Another host asks this one, as the keeper of an upstream's limit, for tokens.
-    TokensAsked {
+    TokensRequested {
         /// What it asks.
         ask: TokenAsk,
         /// Where it came from.
@@ -193,7 +193,7 @@
     /// The keeper of an upstream's limit answered.
     TokensGranted(TokenGrant),
     /// Another host wants to reach an upstream through this one.
-    TransitAsked {
+    TransitRequested {
         /// Number of the call, to be named with the answer.
         call: u64,
         /// The upstream.
--- a/crates/policy/src/fetch_end.rs
+++ b/crates/policy/src/fetch_end.rs
@@ -6,7 +6,7 @@
     /// No answer, or none that can be used.
     Failed,
     /// It was handed over.
-    HandedOver,
+    Received,
     /// The host has none that is newer.
     NoneNewer,
 }
--- a/crates/policy/src/hosts/load_notes.rs
+++ b/crates/policy/src/hosts/load_notes.rs
@@ -51,7 +51,7 @@
         };
         let age = Duration::from_millis(u64::from(age_ms));
         let as_of = Time::from_us(echo.sent_us) - age;
-        self.confirmed = self.confirmed.max(Some(as_of));
+        self.confirmed_at = self.confirmed_at.max(Some(as_of));
     }
 
     /// Makes the next note due immediately if the sender's configuration was confirmed much longer
--- a/crates/policy/src/hosts/neighbors.rs
+++ b/crates/policy/src/hosts/neighbors.rs
@@ -404,12 +404,16 @@
         self.neighbors.next_note = now + interval;
         self.neighbors.last_loads.clone_from(&loads);
         let notes = self.build_notes(now, &loads, &reads, &speeds, is_idle_note_due);
-        actions.push(Action::SendNotes { notes });
+        actions.push(Action::SendLoadNotes { notes });
     }
 
     /// Time between two notes while nothing changes.
     fn idle_interval(&self, now: Time) -> Duration {
-        let limit = self.options.relay.as_ref().map(|relay| relay.key_knowledge);
+        let limit = self
+            .options
+            .relay
+            .as_ref()
+            .map(|relay| relay.key_knowledge_limit);
         let needs_confirmation = match (limit, self.config_age(now)) {
             (Some(limit), Some(age)) => age + CONFIRMATION_MARGIN >= limit,
             (Some(_), None) => true,
@@ -447,7 +451,7 @@
     ) -> Vec<(SocketAddr, LoadNote)> {
         let leaving = self.pool.select(UpstreamState::is_leaving_first_hand);
         let reach = self.reach_note();
-        let confirmed_age = self.confirmed.map(|at| now.since(at).as_millis() as u32);
+        let confirmed_age = self.confirmed_at.map(|at| now.since(at).as_millis() as u32);
         let hosts = self.neighbors.hosts.iter();
         hosts
             .filter(|(host, _)| **host != self.options.host)
--- a/crates/policy/src/hosts/newer_configuration.rs
+++ b/crates/policy/src/hosts/newer_configuration.rs
@@ -94,7 +94,7 @@
 
     fn note_fetch_ended(&mut self, now: Time, address: SocketAddr, end: FetchEnd) {
         self.is_fetching = false;
-        if end == FetchEnd::HandedOver {
+        if end == FetchEnd::Received {
             self.applying_until = now + APPLY_TIMEOUT;
         }
         let Some(source) = self.sources.get_mut(&address) else {
@@ -102,9 +102,7 @@
         };
         source.not_before = match end {
             FetchEnd::Busy => now + BUSY_RETRY_DELAY,
-            FetchEnd::Failed | FetchEnd::HandedOver | FetchEnd::NoneNewer => {
-                now + FAILED_RETRY_DELAY
-            }
+            FetchEnd::Failed | FetchEnd::Received | FetchEnd::NoneNewer => now + FAILED_RETRY_DELAY,
         };
     }
 
@@ -126,7 +124,7 @@
     /// Handles the start of a large answer from the store. Other hosts may be able to send the same
     /// configuration in a tenth of the bytes.
     pub(crate) fn on_configuration_announced(&mut self, now: Time, actions: &mut Vec<Action>) {
-        self.newer.fetch_immediately = true;
+        self.newer_configuration.fetch_immediately = true;
         self.fetch_newer(now, actions);
     }
 
@@ -139,7 +137,7 @@
         version: ConfigVersion,
         actions: &mut Vec<Action>,
     ) {
-        self.newer.fetch_immediately |= Some(version) > self.version();
+        self.newer_configuration.fetch_immediately |= Some(version) > self.version();
         self.on_version_advertised(now, from, version, actions);
     }
 
@@ -153,7 +151,7 @@
         if Some(version) <= self.version() {
             return;
         }
-        self.newer.note_source(now, from, version);
+        self.newer_configuration.note_source(now, from, version);
         self.fetch_newer(now, actions);
     }
 
@@ -164,7 +162,7 @@
         end: FetchEnd,
         actions: &mut Vec<Action>,
     ) {
-        self.newer.note_fetch_ended(now, address, end);
+        self.newer_configuration.note_fetch_ended(now, address, end);
         self.fetch_newer(now, actions);
     }
 
@@ -177,26 +175,27 @@
             protocol: peer::PROTOCOL,
             version,
         };
-        actions.push(Action::TellVersion { note, to });
+        actions.push(Action::SendVersionNote { note, to });
     }
 
     pub(crate) fn note_in_force(&mut self) {
         let version = self.version();
-        self.newer.note_in_force(version);
+        self.newer_configuration.note_in_force(version);
     }
 
     /// Fetches a newer configuration from another host, if the store does not send it or is slow to
     /// send it.
     pub(crate) fn fetch_newer(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let busy = self.newer.is_fetching || now < self.newer.applying_until;
-        if busy || self.newer.sources.is_empty() {
+        let busy =
+            self.newer_configuration.is_fetching || now < self.newer_configuration.applying_until;
+        if busy || self.newer_configuration.sources.is_empty() {
             return;
         }
         let is_stale = self.config_age(now).is_none_or(|age| age >= MIN_FETCH_AGE);
-        if !is_stale && !self.newer.fetch_immediately {
+        if !is_stale && !self.newer_configuration.fetch_immediately {
             return;
         }
-        if let Some(address) = self.newer.choose_source(now, &mut self.rng) {
+        if let Some(address) = self.newer_configuration.choose_source(now, &mut self.rng) {
             actions.push(Action::FetchConfiguration {
                 address,
                 newer_than: self.version(),
@@ -212,7 +211,7 @@
     /// older version seconds after the operator's change was acknowledged.
     pub(crate) fn is_outdated(&self, now: Time) -> bool {
         let limit = self.options.relay.as_ref().map(|relay| relay.apply_limit);
-        let (Some(limit), Some(since)) = (limit, self.newer.behind_since()) else {
+        let (Some(limit), Some(since)) = (limit, self.newer_configuration.behind_since()) else {
             return false;
         };
         now.since(since) >= limit
@@ -220,6 +219,6 @@
 
     /// Whether a newer configuration is known to exist.
     pub fn is_behind(&self) -> bool {
-        self.newer.behind_since().is_some()
+        self.newer_configuration.behind_since().is_some()
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -46,9 +46,9 @@
 
 pub use {
     action::{Action, SendOrder},
-    brittleness::BrittleNoted,
+    brittleness::BrittlenessChange,
     controller::{Controller, ControllerOptions},
-    crashes::{CrashNoted, CrashSource},
+    crashes::{CrashDetected, CrashSource},
     duties::{
         CapacityNeed, CapacityOrder, CapacityPlan, CapacityTarget, DemandForecast, DemandLedger,
         DemandView, DomainPrices, FencingToken, Lease, LeaseRecord, LeaseStep, ObservedDemand,
--- a/crates/policy/src/overload/shedding.rs
+++ b/crates/policy/src/overload/shedding.rs
@@ -18,13 +18,13 @@
         if self.options.relay.is_none() {
             return Ok(());
         }
-        let queues = self.lanes.entry(target.clone()).or_default();
+        let queues = self.target_queues.entry(target.clone()).or_default();
         queues.congestion.note_request(now, class, priority);
         if !queues.congestion.is_limited(class) {
             return Ok(());
         }
         let in_flight = self.count_running(target, class);
-        let queues = self.lanes.get(target);
+        let queues = self.target_queues.get(target);
         if queues.is_none_or(|queues| queues.congestion.has_room(in_flight)) {
             return Ok(());
         }
@@ -37,27 +37,27 @@
     /// Whether a class is limited now. Its refused attempts aren't retried then, which leaves the
     /// slots to more urgent classes.
     pub(crate) fn is_congestion_limited(&self, target: &Target, class: &ClassId) -> bool {
-        let queues = self.lanes.get(target);
+        let queues = self.target_queues.get(target);
         queues.is_some_and(|queues| queues.congestion.is_limited(class))
     }
 
     /// Notes that an upstream refused an attempt or began to answer it.
     pub(crate) fn note_congestion(&mut self, target: &Target, is_refused: bool) {
-        if let Some(queues) = self.lanes.get_mut(target) {
+        if let Some(queues) = self.target_queues.get_mut(target) {
             queues.congestion.note_attempt(is_refused);
         }
     }
 
     /// Updates the congestion limits.
     pub(crate) fn tick_congestion(&mut self, now: Time) {
-        let due = self.lanes.iter().filter_map(|(target, queues)| {
+        let due = self.target_queues.iter().filter_map(|(target, queues)| {
             let class = queues.congestion.least_urgent_class()?;
             let is_due = queues.congestion.is_update_due(now);
             is_due.then(|| (target.clone(), class.clone()))
         });
         for (target, class) in due.collect::<Vec<_>>() {
             let in_flight = self.count_running(&target, &class);
-            if let Some(queues) = self.lanes.get_mut(&target) {
+            if let Some(queues) = self.target_queues.get_mut(&target) {
                 queues.congestion.update_limit(now, in_flight);
             }
         }
--- a/crates/policy/src/queueing/admission.rs
+++ b/crates/policy/src/queueing/admission.rs
@@ -65,7 +65,7 @@
             })
             .and_then(|()| self.check_queue_wait(&arrival.target, rank, &resolved.class));
         if let Err(refusal) = admitted {
-            self.limits.release(&resolved.team_id);
+            self.team_limits.release(&resolved.team_id);
             actions.push(Action::Refuse {
                 refusal,
                 request: arrival.request,
@@ -81,7 +81,7 @@
         match admitted {
             Ok(()) => self.enqueue(now, request),
             Err(refusal) => {
-                self.limits.release(&request.facts.team);
+                self.team_limits.release(&request.facts.team);
                 self.finish_refused(now, &request, refusal, actions);
             }
         }
@@ -127,7 +127,7 @@
             tier,
             weight: team.weight,
         };
-        self.limits.admit(&resolved.team_id, team, now)?;
+        self.team_limits.admit(&resolved.team_id, team, now)?;
         Ok(resolved)
     }
 
@@ -166,7 +166,7 @@
             .and_then(|key_hash| self.teams_by_key.get(&key_hash))
             .ok_or_else(|| self.unknown_key_refusal())?;
         let team = &document.teams[team_id];
-        self.limits.admit(team_id, team, now)?;
+        self.team_limits.admit(team_id, team, now)?;
         Ok(ResolvedArrival {
             engine_priority: self.urgency.engine_priority(team.tier, class.tier),
             plan: team.plan,
@@ -206,8 +206,12 @@
         if self.is_outdated(now) {
             return false;
         }
-        let limit = self.options.relay.as_ref().map(|relay| relay.key_knowledge);
-        match (limit, self.confirmed) {
+        let limit = self
+            .options
+            .relay
+            .as_ref()
+            .map(|relay| relay.key_knowledge_limit);
+        match (limit, self.confirmed_at) {
             (None, _) => true,
             (Some(limit), Some(confirmed)) => now.since(confirmed) < limit,
             (Some(_), None) => false,
@@ -236,7 +240,7 @@
         rank: Rank,
         class: &Class,
     ) -> Result<(), Refusal> {
-        let Some(queues) = self.lanes.get(target) else {
+        let Some(queues) = self.target_queues.get(target) else {
             return Ok(());
         };
         let cost_ahead = queues.cost_ahead(rank) as f64;
@@ -266,11 +270,11 @@
         rank: Rank,
         actions: &mut Vec<Action>,
     ) -> Result<(), Refusal> {
-        if self.queued < self.options.max_queued {
+        if self.queued_count < self.options.max_queued {
             return Ok(());
         }
         let victim = self
-            .lanes
+            .target_queues
             .values()
             .filter_map(|queues| queues.eviction_candidate_below(rank))
             .max_by_key(|(rank, item)| (*rank, item.due, item.seq));
@@ -293,9 +297,11 @@
         resolved: ResolvedArrival,
         rank: Rank,
     ) -> Request<Queued> {
-        let output =
-            self.length
-                .estimate(&resolved.class_id, &resolved.team_id, arrival.max_output);
+        let output = self.length_estimate.estimate(
+            &resolved.class_id,
+            &resolved.team_id,
+            arrival.max_output,
+        );
         let prompt_cost = u64::from(arrival.prompt_tokens.get()) / PROMPT_TOKENS_PER_OUTPUT_TOKEN;
         let due = now.plus_ms(resolved.class.first_token_target_ms);
         let item = QueuedItem {
@@ -316,7 +322,10 @@
             None => (Vec::new(), false, None),
         };
         let max_duration = Duration::from_millis(resolved.class.deadline_ms);
-        let queues = self.lanes.entry(arrival.target.clone()).or_default();
+        let queues = self
+            .target_queues
+            .entry(arrival.target.clone())
+            .or_default();
         let is_long = queues
             .long_prompts
             .observe(prompt_cache::total_tokens(&parts));
@@ -356,9 +365,9 @@
     pub(crate) fn enqueue(&mut self, now: Time, request: Request<Queued>) {
         let facts = &request.facts;
         self.deadlines.insert((facts.deadline, request.id));
-        let queues = self.lanes.entry(facts.target.clone()).or_default();
+        let queues = self.target_queues.entry(facts.target.clone()).or_default();
         queues.push(facts.rank, request.item.clone(), now);
-        self.queued += 1;
+        self.queued_count += 1;
         self.requests.insert(request.id, Stage::Queued(request));
     }
 
@@ -368,10 +377,10 @@
             Stage::Queued(request) => {
                 let facts = &request.facts;
                 self.deadlines.remove(&(facts.deadline, id));
-                if let Some(queues) = self.lanes.get_mut(&facts.target) {
+                if let Some(queues) = self.target_queues.get_mut(&facts.target) {
                     queues.remove(facts.rank, &request.item, now);
                 }
-                self.queued -= 1;
+                self.queued_count -= 1;
                 Some(request)
             }
             other => {
--- a/crates/policy/src/queueing/dispatch.rs
+++ b/crates/policy/src/queueing/dispatch.rs
@@ -15,14 +15,14 @@
         only_targets: Option<&[Target]>,
         actions: &mut Vec<Action>,
     ) {
-        if self.queued == 0 {
+        if self.queued_count == 0 {
             return;
         }
         self.dispatch_minimum_shares(now, only_targets, actions);
         let mut full_targets: BTreeSet<Target> = BTreeSet::new();
         for rank in Rank::all() {
             let targets: Vec<Target> = self
-                .lanes
+                .target_queues
                 .iter()
                 .filter(|(target, _)| {
                     only_targets.is_none_or(|only_targets| only_targets.contains(target))
@@ -72,7 +72,7 @@
     ) {
         let hosts = self.peering.members.domain_size();
         let targets: Vec<(Target, Rank)> = self
-            .lanes
+            .target_queues
             .iter()
             .filter(|(target, _)| {
                 only_targets.is_none_or(|only_targets| only_targets.contains(target))
@@ -95,7 +95,7 @@
     }
 
     fn peek(&mut self, now: Time, target: &Target, rank: Rank) -> Option<QueuedItem> {
-        self.lanes.get_mut(target)?.peek(rank, now)
+        self.target_queues.get_mut(target)?.peek(rank, now)
     }
 
     /// Longest time between tokens that meets the request's targets. `None` if the request will
@@ -103,7 +103,7 @@
     /// fast upstreams to other requests.
     fn required_pace_ms(&self, now: Time, request: &Request<Queued>) -> Option<u64> {
         let facts = &request.facts;
-        let queues = self.lanes.get(&facts.target)?;
+        let queues = self.target_queues.get(&facts.target)?;
         let pause_ms = facts.pause_target.map(|pause| pause.as_millis() as u64);
         let pace_ms = facts.between_token_target_ms;
         queues
@@ -135,7 +135,7 @@
     /// Fraction of the target's engines that is reserved for streams whose pause targets long
     /// prompts on the same engine could violate.
     pub(crate) fn stream_share(&self, target: &Target) -> f64 {
-        let queues = self.lanes.get(target);
+        let queues = self.target_queues.get(target);
         queues.map_or(0.0, |queues| queues.partition.stream_share())
     }
 
@@ -157,8 +157,8 @@
         };
         let facts = &request.facts;
         self.deadlines.remove(&(facts.deadline, request.id));
-        self.queued -= 1;
-        if let Some(queues) = self.lanes.get_mut(&facts.target) {
+        self.queued_count -= 1;
+        if let Some(queues) = self.target_queues.get_mut(&facts.target) {
             queues.serve(facts.rank, item, now);
         }
         self.pool.start_request(&upstream, facts, now);
@@ -166,7 +166,7 @@
         if request.attempts == 1 {
             let facts = &request.facts;
             let priority = facts.engine_priority;
-            self.retries
+            self.retry_budgets
                 .record_first_attempt(&facts.target, priority, now);
         }
         let attempt = self.new_attempt();
@@ -220,12 +220,12 @@
             order: SendOrder {
                 address: state.definition.address(),
                 attempt: running.attempt,
-                due: request.facts.deadline,
+                deadline: request.facts.deadline,
                 fetch_from: fetch.map(|fetch| fetch.address),
                 inputs: Box::new(SendInputs {
                     attempt: request.attempts,
                     backlog: state.backlog_tokens,
-                    rejection_limit: state.brittleness.rate(),
+                    rejection_limit: state.brittleness.rejection_limit(),
                     class: request.facts.class.clone(),
                     expected_wait: Duration::from_secs_f64(state.queued_prefill_ms() / 1_000.0),
                     fetch_source: fetch.map(|fetch| fetch.source.clone()),
@@ -242,7 +242,7 @@
                 }),
                 paths,
                 priority: running.priority,
-                resume,
+                resume_from: resume,
                 team: (!request.facts.public).then(|| request.facts.team.clone()),
                 upstream: running.upstream.clone(),
             },
--- a/crates/policy/src/reach/path_checks.rs
+++ b/crates/policy/src/reach/path_checks.rs
@@ -18,7 +18,7 @@
         tries: Vec<PathTry>,
         actions: &mut Vec<Action>,
     ) {
-        self.transit.note_tries(&tries, now);
+        self.transit_hosts.note_tries(&tries, now);
         let Some(state) = self.pool.get(upstream) else {
             return;
         };
@@ -41,7 +41,7 @@
         }
         let is_open = self.own_paths.is_open(upstream, &targets);
         if is_open != was_open {
-            actions.push(Action::NoteReach(PathChange {
+            actions.push(Action::NotePathChange(PathChange {
                 cut_off: self.own_paths.cut_off().iter().cloned().collect(),
                 is_open,
                 lost: self.own_paths.lost().count(),
@@ -86,7 +86,7 @@
     /// Checks whether lost paths are restored, and abandons attempts that are stalled on lost
     /// paths. If no upstream responds, also checks for further lost paths.
     pub(crate) fn tick_paths(&mut self, now: Time, actions: &mut Vec<Action>) {
-        self.transit.expire(now);
+        self.transit_hosts.expire(now);
         if !self.own_paths.all_open() {
             let pool = &self.pool;
             self.own_paths
@@ -103,13 +103,13 @@
         }
         self.abandon_stalled(now, actions);
         if self.options.relay.is_some()
-            && now >= self.next_suspicion
+            && now >= self.next_silence_check
             && self
                 .pool
                 .silent_domains
                 .is_all_silent(&self.pool.states, now)
         {
-            self.next_suspicion = now + SILENCE_CHECK_INTERVAL;
+            self.next_silence_check = now + SILENCE_CHECK_INTERVAL;
             self.check_silent_upstreams(now, actions);
         }
     }
--- a/crates/policy/src/reach/stalled_attempts.rs
+++ b/crates/policy/src/reach/stalled_attempts.rs
@@ -14,10 +14,10 @@
     /// Abandons stalled attempts of requests that can safely be retried on another upstream.
     /// Otherwise these attempts would last until the kernel considers the connection dead.
     pub(crate) fn abandon_stalled(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if self.own_paths.all_open() || now < self.next_abandon {
+        if self.own_paths.all_open() || now < self.next_stall_check {
             return;
         }
-        self.next_abandon = now + SCAN_INTERVAL;
+        self.next_stall_check = now + SCAN_INTERVAL;
         let (pool, own_paths) = (&self.pool, &self.own_paths);
         for stage in self.requests.values_mut() {
             let Stage::Running(request) = stage else {
--- a/crates/policy/src/reach/transit.rs
+++ b/crates/policy/src/reach/transit.rs
@@ -33,7 +33,7 @@
             .transit_candidates(&self.options.host, targets, now);
         let mut hosts: Vec<(bool, bool, u64, SocketAddr)> = hosts
             .map(|(pair_weight, is_same_domain, address)| {
-                let avoided = self.transit.is_avoided(address, now);
+                let avoided = self.transit_hosts.is_avoided(address, now);
                 let weight = placement::rendezvous_hash(upstream, pair_weight);
                 (avoided, !is_same_domain, weight, address)
             })
@@ -68,7 +68,7 @@
         });
         actions.push(Action::AnswerTransit {
             call,
-            to: to.map(|state| state.definition.address()),
+            upstream_address: to.map(|state| state.definition.address()),
         });
     }
 
--- a/crates/policy/src/relay_rules.rs
+++ b/crates/policy/src/relay_rules.rs
@@ -9,7 +9,7 @@
     pub first_start: bool,
     /// Age of its knowledge of the configuration from which it takes no key for
     /// valid any more.
-    pub key_knowledge: Duration,
+    pub key_knowledge_limit: Duration,
     /// Requests that all hosts together may send again in one window beyond the
     /// ratio.
     pub retry_extra: u32,
--- a/crates/policy/src/requests/attempts.rs
+++ b/crates/policy/src/requests/attempts.rs
@@ -67,8 +67,8 @@
         self.crashes.note_alive(&upstream, sent);
         self.note_congestion(&target, false);
         self.note_first_token(now, &target, &class, time_to_first_token);
-        if let Some(lane) = self.lanes.get_mut(&target) {
-            lane.note_time_to_first_token(time_to_first_token);
+        if let Some(queues) = self.target_queues.get_mut(&target) {
+            queues.note_time_to_first_token(time_to_first_token);
         }
     }
 
@@ -138,13 +138,14 @@
         let facts = &request.facts;
         self.crashes
             .note_alive(&request.stage.upstream, request.stage.sent);
-        self.crashes.note_finished(&facts.fingerprint, now);
-        if let Some(lane) = self.lanes.get_mut(&facts.target) {
+        self.crashes.note_completion(&facts.fingerprint, now);
+        if let Some(queues) = self.target_queues.get_mut(&facts.target) {
             let span = now.since(request.stage.sent);
-            lane.service_rate.note_answer(request.item.cost, span);
+            queues.service_rate.note_answer(request.item.cost, span);
         }
-        self.limits.release(&facts.team);
-        self.length.note(&facts.class, &facts.team, request.tokens);
+        self.team_limits.release(&facts.team);
+        self.length_estimate
+            .note(&facts.class, &facts.team, request.tokens);
         if let Some(attempt) = request.claimed_by {
             push_settlement(&request, attempt, Verdict::Ran, response, actions);
         }
@@ -178,12 +179,12 @@
         }
         match failure.cause {
             FailureCause::WrongInstance => {
-                self.note_ended(now, &request.stage.upstream, actions);
+                self.note_upstream_ended(now, &request.stage.upstream, actions);
             }
             FailureCause::Reset | FailureCause::Silent | FailureCause::Truncated
                 if !is_path_failure =>
             {
-                self.note_broken(now, &request, actions);
+                self.note_connection_broken(now, &request, actions);
             }
             FailureCause::Busy
             | FailureCause::Connect
@@ -208,7 +209,7 @@
         }
         let tokens = request.stage.tokens;
         request.add_wasted_tokens(WasteCause::CutOff, tokens);
-        self.limits.release(&request.facts.team);
+        self.team_limits.release(&request.facts.team);
         self.refuse_failed(now, request, actions);
     }
 
@@ -268,12 +269,13 @@
             // A request that was never sent adds no load, so it takes nothing from the budget.
             let is_unsent = failure.cause == FailureCause::Connect;
             let has_tries_left = request.tried.len() < MAX_NOT_RUN_ATTEMPTS;
-            return has_tries_left && (is_unsent || self.retries.take_retry(target, priority, now));
+            return has_tries_left
+                && (is_unsent || self.retry_budgets.take_retry(target, priority, now));
         }
         if failure.cause == FailureCause::Busy {
             return true;
         }
-        self.has_attempts_left(request) && self.retries.take_retry(target, priority, now)
+        self.has_attempts_left(request) && self.retry_budgets.take_retry(target, priority, now)
     }
 
     /// Whether the class allows another attempt after the one that has just failed. If relay rules
--- a/crates/policy/src/requests/claims.rs
+++ b/crates/policy/src/requests/claims.rs
@@ -39,7 +39,7 @@
             ClaimResult::Ran(Some(answer)) => {
                 self.release_slot_and_limit(now, &request);
                 actions.push(Action::Replay {
-                    answer,
+                    response: answer,
                     request: id,
                 });
                 let end = OutcomeEnd::Replayed;
@@ -127,7 +127,7 @@
         let request = request.park();
         self.deadlines.insert((request.facts.deadline, request.id));
         self.parked.insert((now + PARK_DURATION, request.id));
-        self.queued += 1;
+        self.queued_count += 1;
         self.requests.insert(request.id, Stage::Queued(request));
     }
 
@@ -148,7 +148,7 @@
     fn release_slot_and_limit(&mut self, now: Time, request: &Request<Claiming>) {
         self.pool
             .end_request(&request.stage.upstream, &request.facts, now);
-        self.limits.release(&request.facts.team);
+        self.team_limits.release(&request.facts.team);
     }
 }
 
--- a/crates/policy/src/requests/refusing.rs
+++ b/crates/policy/src/requests/refusing.rs
@@ -51,7 +51,7 @@
         retry_after: Duration,
         actions: &mut Vec<Action>,
     ) {
-        self.limits.release(&request.facts.team);
+        self.team_limits.release(&request.facts.team);
         if let Some(attempt) = request.claimed_by {
             push_settlement(request, attempt, request.verdict, None, actions);
         }
@@ -102,7 +102,7 @@
     }
 
     fn drop_queued(&mut self, now: Time, request: &Request<Queued>, actions: &mut Vec<Action>) {
-        self.limits.release(&request.facts.team);
+        self.team_limits.release(&request.facts.team);
         if let Some(attempt) = request.claimed_by {
             push_settlement(request, attempt, request.verdict, None, actions);
         }
@@ -120,7 +120,7 @@
         self.note_call_begun(now, &mut request);
         self.note_unfinished(now, &request);
         self.release_slot(now, &request);
-        self.limits.release(&request.facts.team);
+        self.team_limits.release(&request.facts.team);
         let tokens = request.stage.tokens;
         request.add_wasted_tokens(WasteCause::Discarded, tokens);
         let verdict = request.verdict.join(Verdict::MayHaveRun);
--- a/crates/policy/src/requests/resuming.rs
+++ b/crates/policy/src/requests/resuming.rs
@@ -34,13 +34,13 @@
             return;
         }
         self.release_slot(now, &request);
-        self.limits.release(&request.facts.team);
+        self.team_limits.release(&request.facts.team);
         let tokens = request.stage.tokens;
         request.add_wasted_tokens(WasteCause::CutOff, tokens);
         if let Some(attempt) = request.claimed_by {
             push_settlement(&request, attempt, request.verdict, None, actions);
         }
-        actions.push(Action::Break {
+        actions.push(Action::FailStream {
             refusal: Refusal {
                 reason: RefusalReason::UpstreamFailed,
                 retry_after: None,
@@ -87,7 +87,7 @@
             return Some(request);
         };
         if !self
-            .retries
+            .retry_budgets
             .take_retry(&facts.target, facts.engine_priority, now)
         {
             return Some(request);
--- a/crates/policy/src/upstream_limits/token_limited.rs
+++ b/crates/policy/src/upstream_limits/token_limited.rs
@@ -6,7 +6,10 @@
     /// Targets that have queued requests, have an upstream that lacks only a token, and have no
     /// upstream that accepts a request now.
     pub(crate) fn token_limited_targets(&self, now: Time) -> Vec<Target> {
-        let waiting = self.lanes.iter().filter(|(_, lane)| !lane.is_empty());
+        let waiting = self
+            .target_queues
+            .iter()
+            .filter(|(_, queues)| !queues.is_empty());
         let token_limited = waiting.filter(|(target, _)| self.is_token_limited(target, now));
         token_limited.map(|(target, _)| target.clone()).collect()
     }
@@ -58,7 +61,7 @@
     /// Refuses requests that will get no token before their deadline, so that their callers can
     /// retry when a token is likely instead of waiting for a token that comes too late.
     pub(crate) fn refuse_token_limited(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if self.queued == 0 {
+        if self.queued_count == 0 {
             return;
         }
         for target in self.token_limited_targets(now) {
--- a/crates/policy/src/upstream_limits/token_requests.rs
+++ b/crates/policy/src/upstream_limits/token_requests.rs
@@ -46,11 +46,11 @@
         }
         let mut granted = self.request_tokens_for_queued(now, actions);
         granted |= self.prefetch_tokens(now, actions);
-        granted && self.queued > 0
+        granted && self.queued_count > 0
     }
 
     fn request_tokens_for_queued(&mut self, now: Time, actions: &mut Vec<Action>) -> bool {
-        if self.queued == 0 {
+        if self.queued_count == 0 {
             return false;
         }
         let mut granted = false;
@@ -203,8 +203,10 @@
     /// Whether requests that an upstream could serve arrived within a time.
     fn has_recent_demand(&self, upstream: &UpstreamId, now: Time, within: Duration) -> bool {
         let targets = self.pool.targets_of(upstream);
-        let mut lanes = targets.iter().filter_map(|target| self.lanes.get(target));
-        lanes.any(|lane| now.since(lane.last_arrival()) <= within)
+        let mut queues = targets
+            .iter()
+            .filter_map(|target| self.target_queues.get(target));
+        queues.any(|queues| now.since(queues.last_arrival()) <= within)
     }
 
     fn open_token_request(&self, upstream: &UpstreamId) -> Option<&OpenTokenRequest> {
@@ -246,7 +248,7 @@
         };
         match address {
             Some(to) => {
-                actions.push(Action::AskTokens { ask: request, to });
+                actions.push(Action::RequestTokens { ask: request, to });
                 false
             }
             None => {
--- a/crates/policy/src/upstream_notices/mod.rs
+++ b/crates/policy/src/upstream_notices/mod.rs
@@ -34,7 +34,7 @@
         actions: &mut Vec<Action>,
     ) {
         self.on_limit_answered(now, upstream, &notice.limit, sent, actions);
-        self.on_brittle_answered(now, upstream, &notice.brittle, sent, actions);
+        self.on_brittleness_answered(now, upstream, &notice.brittle, sent, actions);
         if notice.leaving {
             self.note_leaving(now, upstream, NoticeSource::Own, actions);
         }
@@ -52,7 +52,7 @@
             self.record_announced_limit(now, &note.host, limit, actions);
         }
         for upstream in &note.rejected {
-            self.learn_rejected(now, upstream);
+            self.note_peer_rejection(now, upstream);
         }
         for upstream in &note.leaving {
             let source = NoticeSource::Host(note.host.clone());
@@ -84,7 +84,7 @@
                 rejected: Vec::new(),
             };
             let to = to.to_vec();
-            actions.push(Action::TellUpstreams { note, to });
+            actions.push(Action::SendUpstreamNote { note, to });
         }
     }
 }
--- a/crates/policy/src/upstream_notices/unavailable.rs
+++ b/crates/policy/src/upstream_notices/unavailable.rs
@@ -19,10 +19,13 @@
     /// requests are refused only when their first token is due, because other upstreams may be
     /// listed in the meantime.
     pub(crate) fn refuse_unavailable(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if self.queued == 0 || !self.pool.has_notices() {
+        if self.queued_count == 0 || !self.pool.has_notices() {
             return;
         }
-        let waiting = self.lanes.iter().filter(|(_, lane)| !lane.is_empty());
+        let waiting = self
+            .target_queues
+            .iter()
+            .filter(|(_, queues)| !queues.is_empty());
         let unavailable = waiting.filter_map(|(target, _)| {
             let next = self.next_availability(target, now)?;
             Some((target.clone(), next))
--- a/crates/policy/src/upstreams/pool.rs
+++ b/crates/policy/src/upstreams/pool.rs
@@ -219,7 +219,7 @@
         let remote = upstreams.remote.iter();
         let remote: u32 = remote.map(|index| self.states[*index].remote_share).sum();
         let slots = if grouped > 0 { grouped } else { remote };
-        slots.min(self.brittle_slots(target).unwrap_or(u32::MAX))
+        slots.min(self.guaranteed_target_slots(target).unwrap_or(u32::MAX))
     }
 
     /// All upstreams of a target.
--- a/crates/policy/tests/installation/attempts.rs
+++ b/crates/policy/tests/installation/attempts.rs
@@ -207,7 +207,7 @@
     let actions = host.fail(&first, id, FailureCause::Reset, Verdict::MayHaveRun, true);
     let second = sent(&actions).unwrap();
     assert_ne!(second.upstream, first.upstream);
-    assert_eq!(second.resume, Some(first.attempt));
+    assert_eq!(second.resume_from, Some(first.attempt));
     let actions = host.fail(&second, id, FailureCause::Reset, Verdict::MayHaveRun, true);
     assert_eq!(sent(&actions), None);
     assert!(refused(&actions).is_some());
--- a/crates/policy/tests/installation/costs.rs
+++ b/crates/policy/tests/installation/costs.rs
@@ -124,7 +124,7 @@
     host.read_directory(known(10 * hosts), &[]);
     let peers = peers(hosts);
     host.handle(Event::PeersListed {
-        in_all: Some(peers.len()),
+        total_hosts: Some(peers.len()),
         peers,
     });
     host.actions.clear();
@@ -135,7 +135,7 @@
 fn exchange(host: &mut Host, costs: &mut Costs, bytes: &mut usize) {
     let mut sent: Vec<(SocketAddr, LoadNote)> = Vec::new();
     for action in std::mem::take(&mut host.actions) {
-        if let Action::SendNotes { notes } = action {
+        if let Action::SendLoadNotes { notes } = action {
             sent.extend(notes);
         }
     }
@@ -151,7 +151,7 @@
             sent_us: host.now.as_us(),
             ..note
         };
-        host.handle(Event::NoteReceived { from, note });
+        host.handle(Event::LoadNoteReceived { from, note });
     }
 }
 
@@ -204,7 +204,7 @@
         upstream,
     });
     datagrams(host, |action| match action {
-        Action::TellUpstreams { to, .. } => to.len(),
+        Action::SendUpstreamNote { to, .. } => to.len(),
         _ => 0,
     })
 }
@@ -231,7 +231,7 @@
         }
     }
     datagrams(host, |action| match action {
-        Action::TellCrashes { to, .. } => to.len(),
+        Action::SendCrashNote { to, .. } => to.len(),
         _ => 0,
     })
 }
@@ -239,7 +239,7 @@
 fn tell_version(host: &mut Host) -> usize {
     host.handle(Event::ConfigurationPacked(ConfigVersion::new(2)));
     datagrams(host, |action| match action {
-        Action::TellVersion { to, .. } => to.len(),
+        Action::SendVersionNote { to, .. } => to.len(),
         _ => 0,
     })
 }
--- a/crates/policy/tests/installation/crashes.rs
+++ b/crates/policy/tests/installation/crashes.rs
@@ -103,7 +103,7 @@
 
 fn advertised(actions: &[Action]) -> Vec<(CrashNote, Vec<SocketAddr>)> {
     let advertised = actions.iter().filter_map(|action| match action {
-        Action::TellCrashes { note, to } => Some((note.clone(), to.clone())),
+        Action::SendCrashNote { note, to } => Some((note.clone(), to.clone())),
         _ => None,
     });
     advertised.collect()
@@ -534,7 +534,7 @@
 
 fn kept(actions: &[Action]) -> Vec<Vec<peer::Crash>> {
     let kept = actions.iter().filter_map(|action| match action {
-        Action::KeepCrashes(crashes) => Some(crashes.clone()),
+        Action::StoreCrashes(crashes) => Some(crashes.clone()),
         _ => None,
     });
     kept.collect()
--- a/crates/policy/tests/installation/engine_world.rs
+++ b/crates/policy/tests/installation/engine_world.rs
@@ -268,14 +268,14 @@
             match action {
                 Action::Send { order, request } => self.place(host, request, &order),
                 Action::Refuse { refusal, request } => self.refused(host, request, refusal),
-                Action::SendNotes { notes } => {
+                Action::SendLoadNotes { notes } => {
                     for (to, note) in notes {
                         let to = (0..self.hosts.len()).find(|number| address(*number) == to);
                         let to =
                             to.filter(|to| !self.cut.contains(to) && !self.cut.contains(&host));
                         if let Some(to) = to {
                             let from = address(host);
-                            self.hosts[to].handle(Event::NoteReceived { from, note });
+                            self.hosts[to].handle(Event::LoadNoteReceived { from, note });
                         }
                     }
                 }
--- a/crates/policy/tests/installation/fleet.rs
+++ b/crates/policy/tests/installation/fleet.rs
@@ -358,25 +358,25 @@
             match action {
                 Action::Send { order, request } => self.send(from, order, request),
                 Action::Refuse { refusal, request } => self.refuse(from, refusal, request),
-                Action::SendNotes { notes } => {
+                Action::SendLoadNotes { notes } => {
                     for (to, note) in notes {
                         let from_address = address(HOSTS_AT + from);
-                        let event = Event::NoteReceived {
+                        let event = Event::LoadNoteReceived {
                             from: from_address,
                             note,
                         };
                         self.datagram(from, to, event);
                     }
                 }
-                Action::TellUpstreams { note, to } => {
+                Action::SendUpstreamNote { note, to } => {
                     for to in to {
                         self.datagram(from, to, Event::UpstreamNoticesReceived(note.clone()));
                     }
                 }
-                Action::AskTokens { ask, to } => {
+                Action::RequestTokens { ask, to } => {
                     self.token_bytes += HEADERS + ask.to_datagram("").len();
                     let from_address = address(HOSTS_AT + from);
-                    let event = Event::TokensAsked {
+                    let event = Event::TokensRequested {
                         ask,
                         from: from_address,
                     };
--- a/crates/policy/tests/installation/incarnations.rs
+++ b/crates/policy/tests/installation/incarnations.rs
@@ -110,7 +110,7 @@
         upstream: home.clone(),
     }];
     let from = address(0);
-    hosts[1].handle(Event::NoteReceived { from, note });
+    hosts[1].handle(Event::LoadNoteReceived { from, note });
     let again = home.started_at(Some(5_000));
     let now = hosts[1].now;
     assert!(!hosts[1].controller.leaving(now).contains(&again));
--- a/crates/policy/tests/installation/knowledge.rs
+++ b/crates/policy/tests/installation/knowledge.rs
@@ -16,14 +16,14 @@
     let mut host = Host::new(0);
     host.pass(KEY_KNOWLEDGE.as_millis() as u64 - 100);
     assert!(sent(&host.ask(lookup()).1).is_some());
-    assert!(host.controller.is_current(host.now));
+    assert!(host.controller.is_configuration_current(host.now));
 
     host.pass(200);
     let refusal = refused(&host.ask(lookup()).1).unwrap();
     assert_eq!(refusal.reason, RefusalReason::ConfigurationStale);
     assert_eq!(refusal.verdict, Verdict::NotRun);
     assert!(refusal.retry_after.is_some());
-    assert!(!host.controller.is_current(host.now));
+    assert!(!host.controller.is_configuration_current(host.now));
 }
 
 /// Symptom: as above, after a machine was suspended. Events: the host is
@@ -38,7 +38,7 @@
 }
 
 fn note(host: &Host, echo: Option<Echo>, version: u64) -> Event {
-    Event::NoteReceived {
+    Event::LoadNoteReceived {
         from: support::address(200),
         note: LoadNote {
             confirmed_age_ms: Some(50),
@@ -62,14 +62,14 @@
 fn learns_from_another_host_that_its_configuration_is_the_newest() {
     let mut host = Host::new(0);
     host.pass(KEY_KNOWLEDGE.as_millis() as u64 + 100);
-    assert!(!host.controller.is_current(host.now));
+    assert!(!host.controller.is_configuration_current(host.now));
     let echo = Some(Echo {
         incarnation: Incarnation::new(0),
         sent_us: host.now.as_us() - 10_000,
     });
     let event = note(&host, echo, 1);
     host.handle(event);
-    assert!(host.controller.is_current(host.now));
+    assert!(host.controller.is_configuration_current(host.now));
     assert!(sent(&host.ask(lookup()).1).is_some());
 }
 
@@ -97,7 +97,7 @@
     ];
     for event in events {
         host.handle(event);
-        assert!(!host.controller.is_current(host.now));
+        assert!(!host.controller.is_configuration_current(host.now));
     }
 }
 
@@ -127,7 +127,7 @@
     assert_eq!(fetches(&host.actions), 1, "one at a time");
 
     host.pass(2_600);
-    assert!(!host.controller.is_current(host.now));
+    assert!(!host.controller.is_configuration_current(host.now));
     host.read_version(2);
     let echo = Some(Echo {
         incarnation: Incarnation::new(0),
@@ -135,19 +135,19 @@
     });
     let event = note(&host, echo, 2);
     host.handle(event);
-    assert!(host.controller.is_current(host.now));
+    assert!(host.controller.is_configuration_current(host.now));
 }
 
 /// An upstream that another host knows to be leaving gets nothing new.
 #[test]
 fn believes_another_host_that_an_upstream_is_leaving() {
     let mut host = Host::new(0);
-    let Event::NoteReceived { from, note } = note(&host, None, 1) else {
+    let Event::LoadNoteReceived { from, note } = note(&host, None, 1) else {
         unreachable!("a note is a note");
     };
     let leaving = vec!["shop-0".parse().unwrap(), "shop-2".parse().unwrap()];
     let note = LoadNote { leaving, ..note };
-    host.handle(Event::NoteReceived { from, note });
+    host.handle(Event::LoadNoteReceived { from, note });
     for _ in 0..6 {
         let order = sent(&host.ask(lookup()).1).unwrap();
         assert_eq!(order.upstream.name(), "shop-1");
@@ -195,7 +195,7 @@
         ..loaded
     };
     let from = support::address(200);
-    host.handle(Event::NoteReceived { from, note });
+    host.handle(Event::LoadNoteReceived { from, note });
     assert_ne!(home(&mut host), before);
     host.pass(Duration::from_secs(4).as_millis() as u64);
     let as_of = host.now;
@@ -220,7 +220,7 @@
         host.pass(10);
         let actions = std::mem::take(&mut host.actions);
         for action in actions {
-            if let Action::SendNotes { notes } = action {
+            if let Action::SendLoadNotes { notes } = action {
                 let sizes = notes
                     .iter()
                     .map(|(_, note)| note.to_datagram("secret").len());
@@ -261,6 +261,9 @@
             host.handle(Event::Ticked);
         }
         exchange_notes(&mut hosts);
-        assert!(hosts[1].controller.is_current(now), "after {ms} ms");
+        assert!(
+            hosts[1].controller.is_configuration_current(now),
+            "after {ms} ms"
+        );
     }
 }
--- a/crates/policy/tests/installation/newer_configuration.rs
+++ b/crates/policy/tests/installation/newer_configuration.rs
@@ -75,7 +75,7 @@
 /// host does not ask.
 #[test]
 fn fetches_at_once_what_the_host_has_that_it_asks_in_place_of_the_store() {
-    let elsewhere = |version| Event::ConfigurationElsewhere {
+    let elsewhere = |version| Event::NewerConfigurationAtPeer {
         from: address(3),
         version: ConfigVersion::new(version),
     };
@@ -127,7 +127,7 @@
     host.handle(advertised(3, 2));
     let one = fetched(&host.handle(Event::ConfigurationAnnounced)).unwrap();
     host.actions.clear();
-    host.handle(ended(one, FetchEnd::HandedOver));
+    host.handle(ended(one, FetchEnd::Received));
     host.pass(500);
     assert_eq!(fetched(&host.actions), None);
     host.read_version(2);
@@ -156,7 +156,7 @@
     host.pass(APPLY_LIMIT.as_millis() as u64 - 100);
     confirm(&mut host);
     assert!(sent(&host.ask(Ask::open("lookup")).1).is_some());
-    assert!(host.controller.is_current(host.now));
+    assert!(host.controller.is_configuration_current(host.now));
 
     host.pass(100);
     confirm(&mut host);
@@ -167,7 +167,7 @@
         assert!(refusal.retry_after.is_some());
     }
     assert!(
-        !host.controller.is_current(host.now),
+        !host.controller.is_configuration_current(host.now),
         "others take its callers"
     );
 
@@ -198,7 +198,7 @@
     let mut host = Host::new(0);
     host.list_hosts(380);
     let actions = host.handle(Event::ConfigurationPacked(ConfigVersion::new(1)));
-    let Some(Action::TellVersion { note, to }) = actions.first() else {
+    let Some(Action::SendVersionNote { note, to }) = actions.first() else {
         panic!("nobody is notified: {actions:?}");
     };
     assert_eq!(note.version, ConfigVersion::new(1));
@@ -251,7 +251,7 @@
             for action in std::mem::take(&mut self.hosts[number].actions) {
                 match action {
                     Action::FetchConfiguration { address: asked, .. } => self.ask(number, asked),
-                    Action::TellVersion { note, to } => {
+                    Action::SendVersionNote { note, to } => {
                         for to in to {
                             let from = address(number);
                             let note = note.clone();
@@ -284,7 +284,7 @@
         {
             self.handing.remove(&asking);
             let from = address(asked);
-            self.hosts[asking].handle(ended(from, FetchEnd::HandedOver));
+            self.hosts[asking].handle(ended(from, FetchEnd::Received));
             self.take(asking);
         }
     }
--- a/crates/policy/tests/installation/notices.rs
+++ b/crates/policy/tests/installation/notices.rs
@@ -34,7 +34,7 @@
 /// How often some actions announce to others that upstreams leave.
 fn announced_leaving(actions: &[Action]) -> usize {
     let announced = actions.iter().filter(
-        |action| matches!(action, Action::TellUpstreams { note, .. } if !note.leaving.is_empty()),
+        |action| matches!(action, Action::SendUpstreamNote { note, .. } if !note.leaving.is_empty()),
     );
     announced.count()
 }
--- a/crates/policy/tests/installation/placement.rs
+++ b/crates/policy/tests/installation/placement.rs
@@ -180,7 +180,7 @@
         host.list_hosts(66);
         let note = note_of_all_but("engine-7", seed + 1_000);
         let from = address(1);
-        host.handle(Event::NoteReceived { from, note });
+        host.handle(Event::LoadNoteReceived { from, note });
         for number in 0..8 {
             let document = 100 * seed + number;
             let parts = [(document, 6_000), (1_000_000 + document, 3_000)];
--- a/crates/policy/tests/installation/prompt_transfers.rs
+++ b/crates/policy/tests/installation/prompt_transfers.rs
@@ -133,7 +133,7 @@
             for (to, note) in self.hosts[from].take_notes() {
                 let to = (0..HOSTS).find(|number| address(*number) == to).unwrap();
                 let from = address(from);
-                self.hosts[to].handle(Event::NoteReceived { from, note });
+                self.hosts[to].handle(Event::LoadNoteReceived { from, note });
             }
         }
     }
@@ -294,7 +294,7 @@
             version: None,
         };
         let from = address(5);
-        self.host.handle(Event::NoteReceived { from, note });
+        self.host.handle(Event::LoadNoteReceived { from, note });
     }
 
     /// Sends a prompt; the engine that read the document must not be its source, and no other
@@ -496,7 +496,7 @@
     few.crowd(&[&home]);
     let actions = few.host.fail(&copy, request, cause, verdict, true);
     let moved = sent(&actions).unwrap();
-    assert_eq!(moved.resume, Some(copy.attempt));
+    assert_eq!(moved.resume_from, Some(copy.attempt));
     assert_ne!(moved.upstream, copy.upstream);
     assert_eq!(moved.fetch_from, Some(few.home.address));
     assert_eq!(
--- a/crates/policy/tests/installation/reach.rs
+++ b/crates/policy/tests/installation/reach.rs
@@ -213,7 +213,7 @@
     let tried = |path, end| PathTry { end, path };
     host.handle(Event::PathsTried {
         request: None,
-        tries: vec![
+        attempts: vec![
             tried(Path::Direct, PathEnd::NoAnswer),
             tried(Path::Through(address(1)), PathEnd::Connected),
         ],
@@ -258,7 +258,7 @@
     let upstream = sent(&actions).unwrap().upstream;
     host.handle(Event::PathsTried {
         request: Some(request),
-        tries: vec![PathTry {
+        attempts: vec![PathTry {
             end: PathEnd::Connected,
             path: Path::Through(address(1)),
         }],
--- a/crates/policy/tests/installation/retries_of_many.rs
+++ b/crates/policy/tests/installation/retries_of_many.rs
@@ -17,7 +17,7 @@
     host.handle(Event::RulesChanged(RelayRules {
         apply_limit: APPLY_LIMIT,
         first_start: false,
-        key_knowledge: KEY_KNOWLEDGE,
+        key_knowledge_limit: KEY_KNOWLEDGE,
         retry_extra,
         retry_ratio: RATIO,
         retry_window: WINDOW,
--- a/crates/policy/tests/installation/service_world.rs
+++ b/crates/policy/tests/installation/service_world.rs
@@ -122,7 +122,7 @@
             let mut host = Host::new_in(domain_of(number), number as u64);
             host.read_directory(replicas(slots), &[]);
             host.handle(Event::PeersListed {
-                in_all: Some(hosts),
+                total_hosts: Some(hosts),
                 peers: peers.clone(),
             });
             host.actions.clear();
@@ -374,7 +374,7 @@
                     let (_, tries, span) = self.open(host, &paths, &upstream);
                     let event = Event::PathsTried {
                         request: None,
-                        tries,
+                        attempts: tries,
                         upstream,
                     };
                     self.happens(span, host, event);
@@ -386,13 +386,13 @@
                     let healthy = path.is_some();
                     self.happens(span, host, Event::ProbeAnswered { healthy, upstream });
                 }
-                Action::SendNotes { notes } => {
+                Action::SendLoadNotes { notes } => {
                     for (to, note) in notes {
                         let from = address(host);
-                        self.send_datagram(host, to, Event::NoteReceived { from, note });
+                        self.send_datagram(host, to, Event::LoadNoteReceived { from, note });
                     }
                 }
-                Action::TellUpstreams { note, to } => {
+                Action::SendUpstreamNote { note, to } => {
                     for to in to {
                         let note = note.clone();
                         self.send_datagram(host, to, Event::UpstreamNoticesReceived(note));
@@ -417,7 +417,7 @@
         let upstream = order.upstream.clone();
         let event = Event::PathsTried {
             request: Some(request),
-            tries,
+            attempts: tries,
             upstream,
         };
         self.happens(span, host, event);
@@ -502,14 +502,20 @@
             return (Duration::MAX / 4, PathEnd::NoAnswer);
         };
         self.hosts[other].now = self.now;
-        let answers = self.hosts[other].handle(Event::TransitAsked {
+        let answers = self.hosts[other].handle(Event::TransitRequested {
             call: 0,
             upstream: upstream.clone(),
         });
         self.carry_out(other);
-        let connects = answers
-            .iter()
-            .any(|action| matches!(action, Action::AnswerTransit { to: Some(_), .. }));
+        let connects = answers.iter().any(|action| {
+            matches!(
+                action,
+                Action::AnswerTransit {
+                    upstream_address: Some(_),
+                    ..
+                }
+            )
+        });
         if !connects {
             return (CONNECT * 2, PathEnd::Declined);
         }
--- a/crates/policy/tests/installation/speeds.rs
+++ b/crates/policy/tests/installation/speeds.rs
@@ -347,7 +347,7 @@
     for heard in 1..=8 {
         let note = note_of(heard, &rates);
         let from = address(heard as usize);
-        host.handle(Event::NoteReceived { from, note });
+        host.handle(Event::LoadNoteReceived { from, note });
         host.pass(600);
         let faster = usize::from(heard == 8);
         assert_eq!(host.controller.speed_counts().faster, faster);
@@ -381,7 +381,7 @@
             }
             host.handle(Event::CallerGone { request });
             for action in std::mem::take(&mut host.actions) {
-                let Action::SendNotes { notes } = action else {
+                let Action::SendLoadNotes { notes } = action else {
                     continue;
                 };
                 for (_, note) in notes {
--- a/crates/policy/tests/installation/support.rs
+++ b/crates/policy/tests/installation/support.rs
@@ -116,13 +116,13 @@
                 relay: Some(RelayRules {
                     apply_limit: APPLY_LIMIT,
                     first_start: false,
-                    key_knowledge: KEY_KNOWLEDGE,
+                    key_knowledge_limit: KEY_KNOWLEDGE,
                     retry_extra: RETRY_EXTRA,
                     retry_ratio: 0.2,
                     retry_window: Duration::from_secs(10),
                     usage_window: Some(USAGE_WINDOW),
                 }),
-                room: SlotRules::default(),
+                slot_rules: SlotRules::default(),
                 seed: number,
             }),
             next_request: 0,
@@ -146,7 +146,7 @@
         });
         let peers: Vec<PeerHost> = peers.collect();
         self.handle(Event::PeersListed {
-            in_all: Some(peers.len()),
+            total_hosts: Some(peers.len()),
             peers,
         });
     }
@@ -258,7 +258,7 @@
     pub fn take_notes(&mut self) -> Vec<(SocketAddr, LoadNote)> {
         let actions = std::mem::take(&mut self.actions);
         let mut notes = actions.into_iter().filter_map(|action| match action {
-            Action::SendNotes { notes } => Some(notes),
+            Action::SendLoadNotes { notes } => Some(notes),
             _ => None,
         });
         notes.next_back().unwrap_or_default()
@@ -274,7 +274,7 @@
 
 pub fn refused(actions: &[Action]) -> Option<Refusal> {
     actions.iter().find_map(|action| match action {
-        Action::Refuse { refusal, .. } | Action::Break { refusal, .. } => Some(*refusal),
+        Action::Refuse { refusal, .. } | Action::FailStream { refusal, .. } => Some(*refusal),
         _ => None,
     })
 }
@@ -386,7 +386,7 @@
             let to = (0..hosts.len()).find(|number| address(*number) == to);
             let from = address(from);
             if let Some(to) = to {
-                hosts[to].handle(Event::NoteReceived { from, note });
+                hosts[to].handle(Event::LoadNoteReceived { from, note });
             }
         }
     }
--- a/crates/policy/tests/installation/usage.rs
+++ b/crates/policy/tests/installation/usage.rs
@@ -32,7 +32,7 @@
     host.actions.clear();
     host.pass(1_000);
     let mut notes = host.actions.iter().filter_map(|action| match action {
-        Action::TellUsage { note, to } => {
+        Action::SendUsageNote { note, to } => {
             assert_eq!(*to, Some(address(1)));
             Some(note.clone())
         }
@@ -113,7 +113,7 @@
         host.actions.clear();
         host.pass(1_000);
         let mut works = host.actions.iter().filter_map(|action| match action {
-            Action::TellUsage { note, .. } => Some(note.work.clone()),
+            Action::SendUsageNote { note, .. } => Some(note.work.clone()),
             _ => None,
         });
         works.next_back().unwrap()
--- a/crates/policy/tests/properties/model.rs
+++ b/crates/policy/tests/properties/model.rs
@@ -31,7 +31,7 @@
                 incarnation: Incarnation::new(7),
                 max_queued: 6,
                 relay: None,
-                room: SlotRules::default(),
+                slot_rules: SlotRules::default(),
                 seed: 7,
             }),
             leaving: Vec::new(),
@@ -203,7 +203,7 @@
         match action {
             Action::Send { order, request } => {
                 // A resumed stream is not new work: it has never left.
-                let new_work = order.resume.is_none();
+                let new_work = order.resume_from.is_none();
                 assert!(
                     !new_work || !self.leaving.contains(&order.upstream),
                     "sent to a leaving one"
@@ -213,7 +213,7 @@
                 assert!(known.attempt.is_none(), "sent twice at once");
                 assert!(!known.keyed || known.claimed, "sent without its claim");
                 assert!(!known.settled, "sent after its settlement");
-                let again = known.once && known.may_have_run && order.resume.is_none();
+                let again = known.once && known.may_have_run && order.resume_from.is_none();
                 assert!(!again, "may run twice");
                 known.attempt = Some((order.attempt, order.upstream));
             }
@@ -235,7 +235,7 @@
                 }
                 known.answered = true;
             }
-            Action::Break { refusal, request } => {
+            Action::FailStream { refusal, request } => {
                 assert_ne!(refusal.verdict, Verdict::NotRun);
                 assert!(!self.known(request).answered, "answered twice");
                 self.known(request).answered = true;
@@ -254,27 +254,27 @@
             | Action::AnswerHeartbeat { .. }
             | Action::AnswerTransit { .. }
             | Action::CheckPath { .. }
-            | Action::NoteReach(_)
+            | Action::NotePathChange(_)
             | Action::CheckListening { .. }
-            | Action::KeepCrashes(_)
+            | Action::StoreCrashes(_)
             | Action::NoteAdmission(_)
-            | Action::NoteBrittle(_)
+            | Action::NoteBrittleness(_)
             | Action::NoteCrash(_)
             | Action::NoteLeaving(_)
             | Action::NoteLimit(_)
             | Action::NoteSpeed(_)
-            | Action::AskTokens { .. }
+            | Action::RequestTokens { .. }
             | Action::GrantTokens { .. }
-            | Action::TellUpstreams { .. }
-            | Action::TellCrashes { .. }
+            | Action::SendUpstreamNote { .. }
+            | Action::SendCrashNote { .. }
             | Action::FetchConfiguration { .. }
             | Action::Probe { .. }
             | Action::ReadConfiguration
             | Action::SendHeartbeat { .. }
-            | Action::SendNotes { .. }
-            | Action::TellDuty { .. }
-            | Action::TellUsage { .. }
-            | Action::TellVersion { .. }
+            | Action::SendLoadNotes { .. }
+            | Action::SendDutyNote { .. }
+            | Action::SendUsageNote { .. }
+            | Action::SendVersionNote { .. }
             | Action::Record(_)
             | Action::Replay { .. } => {}
         }
--- a/crates/policy/tests/script/mod.rs
+++ b/crates/policy/tests/script/mod.rs
@@ -214,7 +214,7 @@
         let pending = self.hosts[from].pending.as_ref()?;
         let (to, heartbeat) = (pending.to.clone(), pending.heartbeat.clone());
         let host = self.hosts.get_mut(&to).filter(|_| !frozen.contains(&to))?;
-        host.handle(Event::HeartbeatAsked { call: 0, heartbeat });
+        host.handle(Event::HeartbeatReceived { call: 0, heartbeat });
         host.answer.take()
     }
 
@@ -226,7 +226,7 @@
         };
         host.handle(Event::HeartbeatAnswered {
             answer,
-            asked: pending.asked,
+            sent: pending.asked,
             host: pending.to.parse().unwrap(),
         })
     }
--- a/crates/policy/tests/script/render.rs
+++ b/crates/policy/tests/script/render.rs
@@ -7,16 +7,19 @@
         Action::AnswerHeartbeat { answer, call } => {
             format!("answer {call}: {}", granted(answer.grants.as_deref()))
         }
-        Action::AnswerTransit { call, to } => format!("answer transit {call}: {to:?}"),
-        Action::AskTokens { ask, .. } => format!("ask for tokens of {}", ask.limit.upstream),
-        Action::Break { refusal, request } => format!("break {request}: {}", refused(refusal)),
+        Action::AnswerTransit {
+            call,
+            upstream_address: to,
+        } => format!("answer transit {call}: {to:?}"),
+        Action::RequestTokens { ask, .. } => format!("ask for tokens of {}", ask.limit.upstream),
+        Action::FailStream { refusal, request } => format!("break {request}: {}", refused(refusal)),
         Action::Cancel { request, .. } => format!("cancel {request}"),
         Action::CheckPath { upstream, .. } => format!("look for a path to {upstream}"),
         Action::CheckListening { upstream, .. } => format!("look whether {upstream} listens"),
         Action::Claim(claim) => format!("claim {} for {}", claim.key, claim.request),
         Action::FetchConfiguration { address, .. } => format!("fetch configuration of {address}"),
         Action::GrantTokens { grant, .. } => format!("grant {} tokens", grant.count),
-        Action::KeepCrashes(crashes) => format!("keep {} crashes", crashes.len()),
+        Action::StoreCrashes(crashes) => format!("keep {} crashes", crashes.len()),
         Action::NoteAdmission(noted) => {
             format!("take {:.2} of class {}", noted.level, noted.class)
         }
@@ -26,18 +29,21 @@
             Some(limit) => format!("{} takes {limit}", noted.upstream),
             None => format!("{} has no limit", noted.upstream),
         },
-        Action::NoteBrittle(noted) => {
+        Action::NoteBrittleness(noted) => {
             format!("{} bears {:?} rejections", noted.upstream, noted.rejections)
         }
-        Action::NoteReach(noted) => format!("note that {} paths are lost", noted.lost),
+        Action::NotePathChange(noted) => format!("note that {} paths are lost", noted.lost),
         Action::NoteSpeed(noted) => format!("{} works at {:.2}", noted.upstream, noted.factor),
         Action::Probe { upstream, .. } => format!("probe {upstream}"),
         Action::ReadConfiguration => "read the configuration".to_string(),
         Action::Record(outcome) => record(outcome),
         Action::Refuse { refusal, request } => format!("refuse {request}: {}", refused(refusal)),
-        Action::Replay { answer, request } => format!("replay {request}: {}", answer.body),
+        Action::Replay {
+            response: answer,
+            request,
+        } => format!("replay {request}: {}", answer.body),
         Action::Send { order, request } => {
-            let how = if order.resume.is_some() {
+            let how = if order.resume_from.is_some() {
                 "resume"
             } else {
                 "send"
@@ -48,24 +54,24 @@
             )
         }
         Action::SendHeartbeat { host, .. } => format!("heartbeat to {host}"),
-        Action::SendNotes { notes } => format!("notes to {} hosts", notes.len()),
-        Action::TellCrashes { note, to } => {
+        Action::SendLoadNotes { notes } => format!("notes to {} hosts", notes.len()),
+        Action::SendCrashNote { note, to } => {
             format!("tell {} hosts of {} crashes", to.len(), note.crashes.len())
         }
-        Action::TellDuty { note, to } => {
+        Action::SendDutyNote { note, to } => {
             format!("tell {} hosts of holder {}", to.len(), note.host)
         }
-        Action::TellUpstreams { note, to } => {
+        Action::SendUpstreamNote { note, to } => {
             let (leaving, limits) = (note.leaving.len(), note.limits.len());
             format!(
                 "tell {} hosts of {leaving} leaving, {limits} limits",
                 to.len()
             )
         }
-        Action::TellUsage { note, .. } => {
+        Action::SendUsageNote { note, .. } => {
             format!("tell the holder of {} windows", note.windows.len())
         }
-        Action::TellVersion { note, to } => {
+        Action::SendVersionNote { note, to } => {
             format!("tell {} hosts of version {}", to.len(), note.version)
         }
         Action::Settle(settlement) => {
--- a/crates/policy/tests/script/scripted_host.rs
+++ b/crates/policy/tests/script/scripted_host.rs
@@ -32,7 +32,7 @@
                 incarnation: Incarnation::new(incarnation),
                 max_queued: 4,
                 relay: None,
-                room: SlotRules::default(),
+                slot_rules: SlotRules::default(),
                 seed: 1,
             }),
             now: Time::default(),
--- a/crates/router/src/configuration_fetcher.rs
+++ b/crates/router/src/configuration_fetcher.rs
@@ -40,7 +40,7 @@
             "version" => %offer.document.version);
         // Fails only when the host stops.
         let _ = self.offers.send_async(offer).await;
-        FetchEnd::HandedOver
+        FetchEnd::Received
     }
 
     async fn fetch(&self, job: FetchJob) -> eyre::Result<Fetched> {
--- a/crates/router/src/controller_thread.rs
+++ b/crates/router/src/controller_thread.rs
@@ -144,12 +144,12 @@
             RingEvent::TransitAsked(upstream, answer) => {
                 let call = self.new_call();
                 self.transits.insert(call, answer);
-                self.handle(Event::TransitAsked { call, upstream });
+                self.handle(Event::TransitRequested { call, upstream });
             }
             RingEvent::HeartbeatAsked(heartbeat, answer) => {
                 let call = self.new_call();
                 self.heartbeats.insert(call, answer);
-                self.handle(Event::HeartbeatAsked { call, heartbeat });
+                self.handle(Event::HeartbeatReceived { call, heartbeat });
             }
             RingEvent::Happened(event) => {
                 self.log_answer(&event);
@@ -205,19 +205,22 @@
                     let _ = sender.send(answer);
                 }
             }
-            Action::AnswerTransit { call, to } => {
+            Action::AnswerTransit {
+                call,
+                upstream_address: to,
+            } => {
                 if let Some(sender) = self.transits.remove(&call) {
                     let _ = sender.send(to);
                 }
             }
-            Action::AskTokens { ask, to } => {
+            Action::RequestTokens { ask, to } => {
                 let wanted = ask.wanted.iter().map(|wanted| u64::from(wanted.count));
                 counter!("rhubarbcove_limit_tokens_asked_total").increment(wanted.sum());
                 if let Some(sender) = &self.thread.notes {
                     sender.ask_tokens(&ask, to);
                 }
             }
-            Action::Break { refusal, request } => {
+            Action::FailStream { refusal, request } => {
                 self.instruct(request, Instruction::Break(refusal));
             }
             // The task that found its caller gone has cut the stream itself.
@@ -251,12 +254,12 @@
             }
             // Where the ring is full the store has been away for long; the other hosts were
             // notified directly.
-            Action::KeepCrashes(crashes) => {
+            Action::StoreCrashes(crashes) => {
                 if self.thread.crashes.try_send(crashes).is_err() {
                     warn!(self.thread.logger, "crashes: not kept in the store");
                 }
             }
-            Action::NoteBrittle(noted) => {
+            Action::NoteBrittleness(noted) => {
                 let now = self.thread.clock.now();
                 self.decisions.brittle_noted(now, &noted);
             }
@@ -276,7 +279,7 @@
                 let now = self.thread.clock.now();
                 self.decisions.limit_noted(now, &noted);
             }
-            Action::NoteReach(noted) => {
+            Action::NotePathChange(noted) => {
                 let now = self.thread.clock.now();
                 self.decisions.reach_noted(now, &noted);
             }
@@ -295,7 +298,10 @@
             Action::Refuse { refusal, request } => {
                 self.instruct(request, Instruction::Refuse(refusal));
             }
-            Action::Replay { answer, request } => {
+            Action::Replay {
+                response: answer,
+                request,
+            } => {
                 self.instruct(request, Instruction::Replay(answer));
             }
             Action::Send { order, request } => {
@@ -311,29 +317,29 @@
                 heartbeat,
                 host,
             } => self.send_heartbeat(address, heartbeat, host),
-            Action::SendNotes { notes } => {
+            Action::SendLoadNotes { notes } => {
                 if let Some(sender) = &self.thread.notes {
                     sender.send(&notes);
                 }
             }
             Action::Settle(settlement) => self.settle(settlement),
-            Action::TellCrashes { note, to } => {
+            Action::SendCrashNote { note, to } => {
                 if let Some(sender) = &self.thread.notes {
                     sender.tell_crashes(&note, &to);
                 }
             }
-            Action::TellDuty { note, to } => {
+            Action::SendDutyNote { note, to } => {
                 if let Some(sender) = &self.thread.notes {
                     sender.tell_duty(&note, &to);
                 }
             }
-            Action::TellUpstreams { note, to } => {
+            Action::SendUpstreamNote { note, to } => {
                 if let Some(sender) = &self.thread.notes {
                     sender.tell_upstreams(&note, &to);
                 }
             }
-            Action::TellUsage { note, to } => self.tell_usage(note, to),
-            Action::TellVersion { note, to } => {
+            Action::SendUsageNote { note, to } => self.tell_usage(note, to),
+            Action::SendVersionNote { note, to } => {
                 if let Some(sender) = &self.thread.notes {
                     sender.tell_version(&note, &to);
                 }
@@ -375,7 +381,9 @@
                 notice, upstream, ..
             } => self.decisions.notice_answered(now, upstream, notice),
             Event::PathsTried {
-                tries, upstream, ..
+                attempts: tries,
+                upstream,
+                ..
             } => {
                 self.decisions.paths_tried(now, upstream, tries);
             }
@@ -506,15 +514,15 @@
         let home = if std::mem::replace(&mut self.shares_published, shares) == shares {
             Arc::clone(&before.home)
         } else {
-            Arc::new(controller.home())
+            Arc::new(controller.upstreams_with_own_slots())
         };
         let after = HostStatus {
             behind: controller.is_behind(),
-            current: controller.is_current(now),
+            current: controller.is_configuration_current(now),
             ejected: controller.ejected(),
-            observed: controller.observed(now),
+            observed: controller.observed_hosts(now),
             home,
-            hosts_listed: controller.hosts_listed(),
+            hosts_listed: controller.listed_host_count(),
             leaving: controller.leaving(now),
             coordinator: controller.coordinator(now).clone(),
             phase: controller.phase(),
--- a/crates/router/src/decision_log.rs
+++ b/crates/router/src/decision_log.rs
@@ -59,9 +59,9 @@
             "address" => %order.address,
             "path" => order.paths.first().map(ToString::to_string),
             "priority" => order.priority,
-            "resumes" => order.resume.is_some(),
+            "resumes" => order.resume_from.is_some(),
             "waited_ms" => millis(inputs.waited),
-            "due_in_ms" => millis(order.due.since(now)),
+            "due_in_ms" => millis(order.deadline.since(now)),
             "fingerprint" => inputs.fingerprint.short(),
             "prompt" => format!("{:x}", inputs.shared_parts_hash),
             "expected_wait_ms" => millis(inputs.expected_wait),
@@ -128,7 +128,7 @@
     }
 
     /// An upstream says something else of the rejections that it bears.
-    pub(crate) fn brittle_noted(&mut self, now: Time, noted: &BrittleNoted) {
+    pub(crate) fn brittle_noted(&mut self, now: Time, noted: &BrittlenessChange) {
         if self.budget.take(LineKind::Important, now) {
             info!(self.logger, "belief: brittle upstream";
                 "upstream" => %noted.upstream,
@@ -205,7 +205,7 @@
     }
 
     /// An upstream ended under a request.
-    pub(crate) fn crash_noted(&mut self, now: Time, noted: &CrashNoted) {
+    pub(crate) fn crash_noted(&mut self, now: Time, noted: &CrashDetected) {
         let (source, from) = match &noted.source {
             CrashSource::Host(host) => ("advertised", Some(host.to_string())),
             CrashSource::Own => ("own", None),
--- a/crates/router/src/directory_thread.rs
+++ b/crates/router/src/directory_thread.rs
@@ -117,7 +117,7 @@
                 return None;
             }
             DirectoryUpdate::ConfigurationElsewhere { from, version } => {
-                Event::ConfigurationElsewhere { from, version }
+                Event::NewerConfigurationAtPeer { from, version }
             }
             DirectoryUpdate::ConfigurationAnnounced { bytes } => {
                 info!(logger, "directory: large configuration begins"; "bytes" => bytes.get());
@@ -152,7 +152,7 @@
                 Event::DirectoryLost
             }
             DirectoryUpdate::Peers { hosts, in_all } => Event::PeersListed {
-                in_all,
+                total_hosts: in_all,
                 peers: hosts,
             },
             DirectoryUpdate::Regained { ago, silent } => {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -36,8 +36,8 @@
         TablesNews, TablesQuestion, TokenAsk, TokenGrant, UpstreamNote, UsageNote, VersionNote,
     },
     policy::{
-        Action, AdmissionChange, Arrival, AttemptEnd, BrittleNoted, ClaimRequest, ClaimResult,
-        Controller, ControllerOptions, CrashNoted, CrashSource, Event, FetchEnd, HostPhase,
+        Action, AdmissionChange, Arrival, AttemptEnd, BrittlenessChange, ClaimRequest, ClaimResult,
+        Controller, ControllerOptions, CrashDetected, CrashSource, Event, FetchEnd, HostPhase,
         LeavingDetected, LimitChange, Outcome, OutcomeEnd, PathChange, PrefixHash, Refusal,
         RefusalReason, RelayRules, Repeatability, RoutedRequest, SendOrder, Settlement, SlotRules,
         SpeedNoted, StoredResponse, Target, TransferSlots, WasteCause, WorkingSet,
--- a/crates/router/src/note_thread.rs
+++ b/crates/router/src/note_thread.rs
@@ -63,10 +63,10 @@
 
 fn read(from: SocketAddr, datagram: &[u8], token: &str) -> Result<Received, MessageError> {
     if let Ok(note) = LoadNote::from_datagram(datagram, token) {
-        return Ok(Received::Event(Event::NoteReceived { from, note }));
+        return Ok(Received::Event(Event::LoadNoteReceived { from, note }));
     }
     if let Ok(ask) = TokenAsk::from_datagram(datagram, token) {
-        return Ok(Received::Event(Event::TokensAsked { ask, from }));
+        return Ok(Received::Event(Event::TokensRequested { ask, from }));
     }
     if let Ok(grant) = TokenGrant::from_datagram(datagram, token) {
         return Ok(Received::Event(Event::TokensGranted(grant)));
--- a/crates/router/src/peer_thread.rs
+++ b/crates/router/src/peer_thread.rs
@@ -72,7 +72,7 @@
         }
         let event = Event::HeartbeatAnswered {
             answer,
-            asked: job.asked,
+            sent: job.asked,
             host: job.host,
         };
         let _ = events.send_async(RingEvent::Happened(event)).await;
--- a/crates/router/src/pump.rs
+++ b/crates/router/src/pump.rs
@@ -291,7 +291,7 @@
     order: &SendOrder,
 ) -> Result<Answer, CallFailure> {
     let call = request.call(order);
-    match (request.is_for_engine(), order.resume) {
+    match (request.is_for_engine(), order.resume_from) {
         (false, _) => {
             let service = ServiceAdapter::new(connections.clone());
             service.start(order.address, &call, HEAD_TIMEOUT).await
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -135,7 +135,7 @@
         &mut self,
         order: &SendOrder,
     ) -> Result<(Response<Incoming>, UpstreamSender), Stopped> {
-        let time_left = order.due.since(self.clock.now());
+        let time_left = order.deadline.since(self.clock.now());
         if time_left.is_zero() {
             return Err(Stopped::Failed(CallFailure::not_run(
                 FailureCause::TimedOut,
@@ -144,7 +144,7 @@
         let passing = Passing {
             fetch_from: order.fetch_from,
             instance: &order.upstream,
-            last_event: order.resume.and(self.last_event.as_deref()),
+            last_event: order.resume_from.and(self.last_event.as_deref()),
             priority: order.priority,
             team: order.team.as_ref(),
             time_left,
@@ -179,7 +179,7 @@
         order: &SendOrder,
         wanted: impl Future<Output = T>,
     ) -> Result<T, Stopped> {
-        let time_left = order.due.since(self.clock.now()) + LAST_WORD;
+        let time_left = order.deadline.since(self.clock.now()) + LAST_WORD;
         tokio::select! {
             wanted = wanted => Ok(wanted),
             () = self.task.answer.gone() => Err(Stopped::CallerGone),
--- a/crates/router/src/relay_rules.rs
+++ b/crates/router/src/relay_rules.rs
@@ -22,7 +22,7 @@
     RelayRules {
         apply_limit: Duration::from_millis(relay.apply_limit_ms).mul_f64(APPLY_PART),
         first_start: relay.first_start,
-        key_knowledge: limit.saturating_sub(KEY_KNOWLEDGE_MARGIN),
+        key_knowledge_limit: limit.saturating_sub(KEY_KNOWLEDGE_MARGIN),
         retry_extra: relay.retry_extra,
         retry_ratio: relay.retry_ratio,
         retry_window: Duration::from_secs_f64(relay.retry_window_s),
--- a/crates/router/src/request_task.rs
+++ b/crates/router/src/request_task.rs
@@ -109,7 +109,7 @@
     pub(crate) async fn tell_paths(&self, order: &SendOrder, tries: Vec<PathTry>) {
         self.tell(Event::PathsTried {
             request: Some(self.id),
-            tries,
+            attempts: tries,
             upstream: order.upstream.clone(),
         })
         .await;
--- a/crates/router/src/upstream_thread.rs
+++ b/crates/router/src/upstream_thread.rs
@@ -86,7 +86,7 @@
             }
             ProbeQuestion::Path => Event::PathsTried {
                 request: None,
-                tries: connections.open(&to).await.tries,
+                attempts: connections.open(&to).await.tries,
                 upstream,
             },
         };
--- a/crates/router/src/wiring.rs
+++ b/crates/router/src/wiring.rs
@@ -328,7 +328,7 @@
         incarnation: Incarnation::new(rng.random()),
         max_queued: settings.limits.max_queued,
         relay: settings.relay.as_ref().map(relay_rules::relay_rules),
-        room: SlotRules::default(),
+        slot_rules: SlotRules::default(),
         seed: rng.random(),
     }
 }
