--- a/crates/policy/src/brittleness/brittleness.rs
+++ b/crates/policy/src/brittleness/brittleness.rs
@@ -1,45 +1,49 @@
 use super::*;
 
-/// Span over which rejections are counted: an upstream counts them in a second, and hears of a
-/// host's request a moment after it was sent.
+/// Time over which rejections are counted. An upstream counts them over one second, and receives a
+/// request shortly after the host sent it.
 const REJECTION_WINDOW: Duration = Duration::from_millis(1_200);
 
-/// Part of the rejections that an upstream bears at which hosts stop sending.
+/// Share of the rejections an upstream can handle at which hosts stop sending to it.
 const MAX_REJECTION_SHARE: f64 = 0.5;
 
-/// Time after a rejection for which hosts keep to their own parts of the slots.
+/// Time after a rejection for which hosts use only their guaranteed slots.
 const REJECTION_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Part of the slots that must be free for a host to use more than its own part.
+/// Share of the slots that must be free for a host to use more than its guaranteed slots.
 const MIN_FREE_SHARE: f64 = 0.25;
 
-/// What is known of an upstream that falls over when it has to reject much.
+/// State of an upstream that fails if it has to reject too many requests.
 #[derive(Debug, Default)]
 pub(crate) struct Brittleness {
-    /// Rejections a second that another upstream of its service bears, until it answers itself.
+    /// Rejections per second that another upstream of the same service can handle, used until this
+    /// upstream reports its own limit.
     assumed: Option<Rate>,
-    /// Rejections a second that it bears, by its own answer to the request sent last.
+    /// Rejections per second that the upstream itself reported, with the time at which the request
+    /// of that response was sent.
     reported: Option<(Time, Option<Rate>)>,
-    /// Hosts that share its slots.
+    /// Number of hosts that share the slots of the upstream.
     hosts: u32,
-    /// Whether this host may use its part now.
+    /// Whether this host may start requests in its guaranteed slots now.
     is_in_slice: bool,
-    /// Slots that this host may use whatever others do.
+    /// Slots that this host may use regardless of the other hosts.
     pub(crate) guaranteed_slots: u32,
-    /// When it may, where several hosts share a slot.
+    /// Time slice in which this host may start requests if several hosts share a slot.
     slice: TimeSlice,
-    /// Rejections by this host's requests and, by their notes, by other hosts', the oldest first.
+    /// Times of recent rejections of requests of this host and, by their notes, of other hosts, the
+    /// oldest first.
     rejections: VecDeque<Time>,
 }
 
 impl Brittleness {
-    /// Rejections a second that it bears; `None` if it is not brittle, as far as is known.
+    /// Rejections per second that the upstream can handle; `None` if it is not known to be brittle.
     pub(crate) fn rejection_limit(&self) -> Option<Rate> {
         self.reported
             .map_or(self.assumed, |(_, rejection_limit)| rejection_limit)
     }
 
-    /// Takes its own word, in the answer to a request sent at a moment; whether it is news.
+    /// Notes the limit reported in the response to a request that was sent at the given time.
+    /// Returns whether the known limit changed.
     pub(crate) fn note_reported(&mut self, rejection_limit: Option<Rate>, sent: Time) -> bool {
         if self.reported.is_some_and(|(last, _)| last > sent) {
             return false;
@@ -49,12 +53,12 @@
         before != rejection_limit
     }
 
-    /// Takes the word of another upstream of its service.
+    /// Assumes the limit that another upstream of the same service reported.
     pub(crate) const fn assume(&mut self, rejection_limit: Option<Rate>) {
         self.assumed = rejection_limit;
     }
 
-    /// Takes this host's part of its slots.
+    /// Sets this host's share of the slots.
     pub(crate) const fn set_division(
         &mut self,
         hosts: u32,
@@ -81,13 +85,14 @@
         }
     }
 
-    /// Whether it rejected a request lately, so that it may have fallen over by that.
+    /// Whether the upstream recently rejected a request, so that rejections may be the cause of its
+    /// failure.
     pub(crate) fn has_rejected(&self, now: Time) -> bool {
         let last = self.rejections.back();
         last.is_some_and(|at| now.since(*at) <= REJECTION_BACKOFF)
     }
 
-    /// Whether one more request of this host has room there, by all that is known.
+    /// Whether one more request of this host may be sent to the upstream.
     pub(crate) fn has_room(&self, in_flight: u32, others: u32, slots: u32, now: Time) -> bool {
         let Some(rejection_limit) = self.rejection_limit() else {
             return true;
@@ -97,7 +102,7 @@
             return false;
         }
         let free = f64::from(slots.saturating_sub(in_flight + others));
-        // Every host may see the same free slots, and take one at the same moment.
+        // Every host may see the same free slots and use one at the same moment.
         let has_spare_slots = free > f64::from(slots) * MIN_FREE_SHARE
             && free + max_rejections >= f64::from(self.hosts);
         (self.is_in_slice && in_flight < self.guaranteed_slots)
--- a/crates/policy/src/brittleness/brittleness_change.rs
+++ b/crates/policy/src/brittleness/brittleness_change.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// A change of what an upstream says of its brittleness.
+/// A change of the number of rejections that an upstream says it can handle.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BrittlenessChange {
-    /// Rejections a second that it bears; `None` if it is not brittle any more.
+    /// Rejections per second that the upstream can handle; `None` if it is no longer brittle.
     pub rejections: Option<Rate>,
     /// The upstream.
     pub upstream: UpstreamId,
--- a/crates/policy/src/brittleness/brittleness_updates.rs
+++ b/crates/policy/src/brittleness/brittleness_updates.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 impl Controller {
-    /// An upstream said in an answer whether it is brittle. Those of its service that have not
-    /// answered are taken for the same.
+    /// Handles the brittleness that an upstream reported in a response. Other upstreams of the same
+    /// service are assumed to be alike until they report their own.
     pub(crate) fn on_brittleness_answered(
         &mut self,
         now: Time,
@@ -30,7 +30,7 @@
         self.divide_brittle_slots(now);
     }
 
-    /// Takes upstreams that are newly listed for what others of their service say.
+    /// Applies the reported brittleness to newly listed upstreams of the same services.
     pub(crate) fn update_assumed_brittleness(&mut self, now: Time) {
         let states = self.pool.states.iter();
         let brittle: Vec<(UpstreamId, Option<Rate>)> = states
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A request of this host was rejected for want of room.
+    /// Handles a rejection of a request of this host by an upstream that had no free slot.
     pub(crate) fn note_rejected(
         &mut self,
         now: Time,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Another host's request was rejected for want of room.
+    /// Handles a rejection of another host's request by an upstream that had no free slot.
     pub(crate) fn note_peer_rejection(&mut self, now: Time, upstream: &UpstreamId) {
         if let Some(state) = self.pool.get_mut(upstream) {
             state.brittleness.note_rejected(now);
--- a/crates/policy/src/brittleness/mod.rs
+++ b/crates/policy/src/brittleness/mod.rs
@@ -1,10 +1,12 @@
-//! Upstreams that fall over when they have to reject more than so many requests a second.
+//! Protection of brittle upstreams, which fail if they have to reject more than a certain number of
+//! requests per second.
 //!
-//! In: what they say of it in their answers, and rejections, this host's own and other hosts'. Out:
-//! to which of them a request has room to go. Each host has a part of the slots that it may use
-//! whatever others do; the parts of all hosts together are the slots, so requests within them are
-//! not rejected. Beyond its part a host goes only while a share of the slots is free and nothing was
-//! rejected lately. After half of the rejections that an upstream bears, no host sends there.
+//! The inputs are the limits that upstreams report in their responses, and the rejections seen by
+//! this host and other hosts. The output is whether a request may be sent to such an upstream. Each
+//! host has guaranteed slots that it may use regardless of the other hosts. The guaranteed slots of
+//! all hosts add up to the slots of the upstream, so requests within them are not rejected. A host
+//! uses further slots only while a share of all slots is free and no request was rejected recently.
+//! No host sends to an upstream that has rejected half as many requests as it can handle.
 
 use super::*;
 
--- a/crates/policy/src/brittleness/slot_division.rs
+++ b/crates/policy/src/brittleness/slot_division.rs
@@ -1,11 +1,11 @@
-//! Each host's part of the slots of brittle upstreams.
+//! Divides the slots of brittle upstreams among the hosts.
 
 use super::*;
 
-/// Time between two divisions of the slots, for hosts that come.
+/// Time between two divisions of the slots, which include hosts that have joined.
 const DIVISION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Key of a host's place among more hosts than it knows.
+/// Hash key for the position of a host that knows only a subset of the hosts.
 const POSITION_KEY: &str = "place";
 
 impl Controller {
@@ -22,9 +22,10 @@
         }
     }
 
-    /// Works out this host's parts: those of all hosts add up to the slots. Hosts that are not
-    /// observed keep theirs, as they may be cut off from this one and send. Where there are more
-    /// hosts than slots of a target, several share a slot by turns.
+    /// Computes the guaranteed slots of this host. The guaranteed slots of all hosts add up to the
+    /// slots of the upstreams. Hosts that are not observed keep their share, because they may be
+    /// partitioned from this host and still send requests. If there are more hosts than slots for a
+    /// target, several hosts share a slot by time slices.
     pub(crate) fn divide_brittle_slots(&mut self, now: Time) {
         let mut states = self.pool.states.iter();
         self.has_brittle_upstreams =
@@ -33,7 +34,7 @@
             return;
         }
         let (position, hosts) = self.position_among_hosts(now);
-        // Upstreams that are gone and still have requests are groups without slots.
+        // Groups without slots hold removed upstreams that still have requests.
         let groups = self.pool.groups.iter();
         for group in groups.filter(|group| group.slots > 0) {
             let all = group.slots as usize;
@@ -59,7 +60,8 @@
         }
     }
 
-    /// This host's place among all that may send requests, and how many those are.
+    /// Returns this host's position among all hosts that may send requests, and the number of those
+    /// hosts.
     fn position_among_hosts(&self, now: Time) -> (usize, usize) {
         let own_host = &self.options.host;
         if self.neighbors.exchanges_with_subset() {
@@ -78,8 +80,8 @@
 }
 
 impl Pool {
-    /// Slots of a target that this host may use in any case; `None` where none of its upstreams is
-    /// brittle.
+    /// Slots of a target that this host may use regardless of the other hosts; `None` if none of
+    /// the target's upstreams is brittle.
     pub(crate) fn guaranteed_target_slots(&self, target: &Target) -> Option<u32> {
         let mut copies = self.upstreams_of(target);
         let is_brittle = |state: &UpstreamState| state.brittleness.rejection_limit().is_some();
@@ -93,7 +95,8 @@
     }
 }
 
-/// How many of the numbers from `first` on leave `rest` when divided by `n`.
+/// Counts the numbers from `first` to `first + count - 1` that leave `remainder` when divided by
+/// `divisor`.
 fn count_congruent(first: usize, count: usize, remainder: usize, divisor: usize) -> u32 {
     let before = (remainder + divisor - first % divisor) % divisor;
     let numbers = (before..count).step_by(divisor);
--- a/crates/policy/src/brittleness/time_slice.rs
+++ b/crates/policy/src/brittleness/time_slice.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// Length of a turn.
+/// Length of a time slice.
 const SLICE_DURATION: Duration = Duration::from_secs(1);
 
-/// Part of a turn in which requests begin: after it those that run have time to end, and before it
-/// hosts' clocks may differ.
+/// Part of a time slice in which requests may start. The time before it allows for clock
+/// differences between hosts, and the time after it lets running requests finish.
 const START_WINDOW: Range<f64> = 0.15..0.6;
 
-/// A host's turn among those that share a slot.
+/// The time slice of a host among the hosts that share a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct TimeSlice {
-    /// Hosts that share it.
+    /// Number of hosts that share the slot.
     pub(crate) count: u64,
-    /// Which of them it is.
+    /// Position of this host among them.
     pub(crate) index: u64,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl TimeSlice {
-    /// Whether requests may begin now.
+    /// Whether this host may start requests at the given time.
     pub(crate) fn contains_start(self, unix_ms: u64) -> bool {
         let slice_ms = SLICE_DURATION.as_millis() as u64;
         let passed = (unix_ms % slice_ms) as f64 / slice_ms as f64;
--- a/crates/policy/src/crashes/crash_announcements.rs
+++ b/crates/policy/src/crashes/crash_announcements.rs
@@ -1,28 +1,28 @@
 use super::*;
 
-/// Times that a crash is announced: a datagram may be lost.
+/// Number of times that an update is announced, because a datagram may be lost.
 const ANNOUNCEMENT_COUNT: u32 = 3;
 
-/// Time between the first two; it doubles. All are announced well before the three seconds in
-/// which other hosts must know.
+/// Time between the first two announcements. The interval doubles each time, and the last
+/// announcement is sent well before the 3 s within which other hosts must know of a crash.
 const FIRST_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Bytes a second that telling may take of a host's link, a sixth of one of 10 Mbit/s.
+/// Bytes per second that the announcements may use, a sixth of a host's 10 Mbit/s link.
 const MAX_BYTES_PER_S: f64 = 200_000.0;
 
-/// Bytes of a note without crashes, of its headers, and of one crash.
+/// Bytes of a note without crashes, including its headers, and bytes of one crash.
 const NOTE_BYTES: f64 = 90.0;
 const CRASH_BYTES: f64 = 95.0;
 
-/// What is announced of a request.
+/// An announced update about a request.
 #[derive(Debug)]
 enum Update {
-    /// It ran to its end.
+    /// The request completed, at the given time.
     Cleared(Fingerprint, Time),
     Crash(ObservedCrash),
 }
 
-/// News that are to be announced again.
+/// An update that is due to be announced again.
 #[derive(Debug)]
 struct Announcement {
     due: Time,
@@ -30,19 +30,19 @@
     update: Update,
 }
 
-/// Crashes that this host saw and that others are to be notified of.
+/// Announces the crashes that this host observed to the other hosts.
 ///
-/// Each is announced to all hosts at once: the three crashes that bar a request may be seen by
-/// three of them, and the fourth upstream may be chosen by any.
+/// Each crash is announced to all hosts at once. The three crashes that bar a request may be
+/// observed by three different hosts, and the next upstream may be chosen by any host.
 ///
-/// What goes wrong if that is all: one host bars a harmless request, and as it lets none
-/// through, it never sees one run to its end; all others do. One would notice refusals with
-/// `crashes_upstreams` by one host alone. So a host that announced a crash tells, too, when the
-/// like ran to its end.
+/// A host that announced a crash also announces when an identical request completes. Without this,
+/// a host that bars a harmless request never sees the request complete, because it lets none
+/// through, while all other hosts do. That single host would keep refusing the request with
+/// `crashes_upstreams`.
 #[derive(Debug, Default)]
 pub(crate) struct CrashAnnouncements {
     next_note: Time,
-    /// Requests of which crashes were announced, and when last.
+    /// Requests whose crashes were announced, with the time of the latest announced crash.
     announced: HashMap<Fingerprint, Time>,
     pending: VecDeque<Announcement>,
 }
@@ -53,7 +53,7 @@
         self.push(Update::Crash(crash), now);
     }
 
-    /// A request ran to its end.
+    /// Announces the completion of a request if a crash of the request was announced before.
     pub(crate) fn note_completion(&mut self, fingerprint: &Fingerprint, now: Time) {
         if self.announced.remove(fingerprint).is_some() {
             self.push(Update::Cleared(*fingerprint, now), now);
@@ -73,7 +73,8 @@
         });
     }
 
-    /// What is to be announced to so many hosts now; `None` if it is nothing.
+    /// Returns the updates to announce now to the given number of hosts, or `None` if there are
+    /// none or the bandwidth limit is reached.
     pub(crate) fn take(&mut self, host: &HostId, hosts: usize, now: Time) -> Option<CrashNote> {
         if now < self.next_note {
             return None;
--- a/crates/policy/src/crashes/crash_handling.rs
+++ b/crates/policy/src/crashes/crash_handling.rs
@@ -1,17 +1,17 @@
-//! What the controller does with signs of crashes.
+//! Handles the signs of crashes that reach the controller.
 
 use super::*;
 
-/// Time between two looks at what can be forgotten.
+/// Time between two removals of expired records.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time in which the entry of an upstream that ended has lapsed: three of its heartbeats
-/// of 1.2 s, and as much again for the news to get here.
+/// Time after which the directory entry of an ended upstream has expired: three heartbeats of 1.2
+/// s, and as long again until this host learns of it.
 const ENTRY_EXPIRY: Duration = Duration::from_secs(7);
 
 impl Controller {
-    /// A connection broke before the answer was whole. One to an upstream that is leaving
-    /// breaks in the end, whatever runs there.
+    /// Handles a connection that broke before the response was complete. A connection to a leaving
+    /// upstream is ignored, because it breaks eventually, whatever runs there.
     pub(crate) fn note_connection_broken(
         &mut self,
         now: Time,
@@ -22,7 +22,8 @@
         let Some(state) = self.pool.get(upstream) else {
             return;
         };
-        // One that had to reject too much falls over by that, not by what runs there.
+        // An upstream that had to reject too many requests fails because of that and not because of
+        // the requests that it runs.
         if state.is_leaving(now) || state.brittleness.has_rejected(now) {
             return;
         }
@@ -40,7 +41,7 @@
         }
     }
 
-    /// An upstream has ended.
+    /// Handles the end of an upstream.
     pub(crate) fn note_upstream_ended(
         &mut self,
         now: Time,
@@ -51,7 +52,7 @@
         self.record_own_crashes(now, crashes, actions);
     }
 
-    /// Upstreams are no longer listed.
+    /// Handles upstreams that are no longer listed.
     pub(crate) fn note_upstreams_unlisted(
         &mut self,
         now: Time,
@@ -76,7 +77,7 @@
                 .clear_completed(&cleared.fingerprint, now - age);
         }
         for advertised in &note.crashes {
-            // What broke here at the same upstream is explained, too.
+            // The crash also explains the connections of this host to the same upstream that broke.
             self.note_upstream_ended(now, &advertised.upstream, actions);
             let crash = ObservedCrash::advertised(advertised, now);
             let source = CrashSource::Host(note.host.clone());
@@ -112,7 +113,8 @@
         self.announce_crashes(now, actions);
     }
 
-    /// An upstream that is listed long after its supposed end has not ended.
+    /// Withdraws the crashes of upstreams that are still listed long after they were thought to
+    /// have ended, because such an upstream has not ended.
     fn withdraw_crashes_of_listed(&mut self, now: Time) {
         let ended = self.crashes.suspects.ended_before(now - ENTRY_EXPIRY);
         let listed = ended.filter(|upstream| self.is_in_directory(upstream));
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Whether the directory lists an upstream now.
+    /// Whether the directory is reachable and lists the upstream now.
     fn is_in_directory(&self, upstream: &UpstreamId) -> bool {
         let directory = self.directory.as_ref();
         directory.is_some_and(|directory| directory.is_reachable() && directory.lists(upstream))
@@ -142,7 +144,7 @@
         self.announce_crashes(now, actions);
     }
 
-    /// Takes a crash; true if it was not known.
+    /// Records a crash. Returns whether the crash was unknown before.
     fn record_crash(
         &mut self,
         now: Time,
@@ -168,7 +170,7 @@
         true
     }
 
-    /// Has own crashes of a request kept, where there is a store for them.
+    /// Stores this host's own crashes of a request, on hosts that have a store.
     fn store_crashes(&mut self, now: Time, fingerprint: &Fingerprint, actions: &mut Vec<Action>) {
         if self.options.relay.is_none() {
             return;
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Refuses the queued requests that are barred now.
+    /// Refuses the queued requests with this fingerprint, which is now barred.
     fn refuse_barred(&mut self, now: Time, fingerprint: &Fingerprint, actions: &mut Vec<Action>) {
         let queued = self.requests.iter().filter_map(|(id, stage)| match stage {
             Stage::Queued(request) if request.facts.fingerprint == *fingerprint => Some(*id),
@@ -206,12 +208,12 @@
         actions.push(Action::SendCrashNote { note, to });
     }
 
-    /// Whether no further upstream may get a request.
+    /// Whether the request must not be sent to another upstream.
     pub(crate) fn is_barred(&self, now: Time, facts: &RequestFacts) -> bool {
         self.crashes.barred_for(&facts.fingerprint, now).is_some()
     }
 
-    /// Refuses a request that is barred, without a queue or an upstream.
+    /// Refuses a barred request before it is queued or sent to an upstream.
     pub(crate) fn check_barred(&self, fingerprint: &Fingerprint, now: Time) -> Result<(), Refusal> {
         match self.crashes.barred_for(fingerprint, now) {
             None => Ok(()),
--- a/crates/policy/src/crashes/crash_record.rs
+++ b/crates/policy/src/crashes/crash_record.rs
@@ -1,43 +1,44 @@
 use super::*;
 
-/// Points of a crash under a request that may have begun just then, and under one whose
-/// answer had begun, or the like of which had lately run to its end.
+/// Points of a crash. A crash counts as strong if the request may just have started, and as weak if
+/// the response had begun or an identical request had recently completed.
 const STRONG_POINTS: u32 = 2;
 const WEAK_POINTS: u32 = 1;
 
-/// Points from which a request is barred: three upstreams that may have ended as it began
-/// to run. Fewer may be chance: a request that comes again after a crash meets a second
-/// one in a storm of them.
+/// Points at which a request is barred: three upstreams that may have ended just as the request
+/// started. Fewer crashes can be chance, because a request that is retried after a crash is likely
+/// to meet a second one while many upstreams crash.
 const BAR_POINTS: u32 = 3 * STRONG_POINTS;
 
-/// Crashes of one request from which they are kept in the store. One alone is what any
-/// crash leaves of all that ran there, and would be a call of each host.
+/// Number of crashes of a request from which they are stored. Every crash leaves one recorded crash
+/// for each request that ran on the upstream, and storing those would cost a store call on each
+/// host.
 const MIN_CRASHES_TO_STORE: usize = 2;
 
-/// Time after the last crash for which the request is barred. After it one try shows
-/// whether the upstreams bear it now.
+/// Time after the last crash for which the request is barred. A single try after it shows whether
+/// the upstreams can now run the request.
 const BAR_DURATION: Duration = Duration::from_secs(600);
 
-/// Time after which a crash is forgotten.
+/// Time for which a crash is kept.
 pub(crate) const RETENTION: Duration = Duration::from_secs(3_600);
 
-/// Most requests that are kept: all that were on forty engines of a hundred slots. Some
-/// 300 bytes each.
+/// Maximum number of requests kept: as many as run on 40 engines with 100 slots each. A request
+/// takes some 300 bytes.
 const MAX_REQUESTS: usize = 4_096;
 
-/// Most crashes that are kept of one request.
+/// Maximum number of crashes kept for a request.
 const MAX_CRASHES: usize = 32;
 
-/// The end of an upstream under a request.
+/// A crash of an upstream while it ran a request.
 #[derive(Clone, Copy, Debug)]
 struct RecordedCrash {
     at: Time,
-    /// Whether this host saw it, and has not had it kept.
+    /// Whether this host observed the crash and has not stored it yet.
     needs_storing: bool,
     points: u32,
 }
 
-/// The ends under one request.
+/// The crashes recorded for one request, by upstream.
 #[derive(Debug, Default)]
 struct RequestCrashes(BTreeMap<UpstreamId, RecordedCrash>);
 
@@ -50,8 +51,8 @@
         self.0.values().map(|crash| crash.at).max()
     }
 
-    /// Takes an end; true if it was not known. Where the request was there twice, the
-    /// stronger sign counts.
+    /// Adds a crash and returns whether it was unknown before. If the request ran on the upstream
+    /// more than once, the higher points count.
     fn add(&mut self, crash: &ObservedCrash, is_own: bool) -> bool {
         let points = if crash.is_weak {
             WEAK_POINTS
@@ -69,7 +70,7 @@
         }
         let recorded = RecordedCrash {
             at: crash.at,
-            // One that says little is not worth a call.
+            // A weak crash is not worth a store call.
             needs_storing: is_own && !crash.is_weak,
             points,
         };
@@ -78,29 +79,30 @@
     }
 }
 
-/// Which upstreams ended under which requests.
+/// Records which upstreams crashed while they ran which requests.
 ///
-/// What goes wrong without it: a request that crashes each upstream comes again as a new
-/// one, at any host, and each time takes an upstream with all that runs there. Attempts and
-/// retries are counted by request, and nothing joins those of different requests. One would
-/// notice upstreams that end one after the other, faster than they come back.
+/// A request that crashes every upstream comes back as a new request, at any host, and each time
+/// takes down an upstream with everything that runs there. Attempts and retries are counted per
+/// request and don't connect these requests. Without this record, upstreams would end one after
+/// another, faster than they restart.
 ///
-/// Crashes are counted by upstream, whose id is new with each start. So the sum is the same
-/// however often, and by however many hosts, one of them is announced.
+/// Crashes are counted by upstream id, which is new with each start of an upstream. The sum is
+/// therefore the same however often, and by however many hosts, a crash is announced.
 ///
-/// An upstream that ends takes innocent requests along, and one that comes again at once
-/// may meet the guilty one on the next upstream, too. Each end needs one explanation: the
-/// request with most points is taken for guilty first, and what ended under it counts
-/// against no other.
+/// A crashing upstream also ends unrelated requests, and such a request may meet the harmful one
+/// again on its next upstream if it is retried at once. Each crash therefore needs only one
+/// explanation: the request with the most points is barred first, and its crashes don't count
+/// against any other request.
 #[derive(Debug, Default)]
 pub(crate) struct CrashRecord {
-    /// The guilty ones, and when an upstream last ended under them.
+    /// Barred requests, with the time of the latest crash under each.
     barred: HashMap<Fingerprint, Time>,
     requests: HashMap<Fingerprint, RequestCrashes>,
 }
 
 impl CrashRecord {
-    /// Takes a crash; the number of this request's crashes, if it was not known.
+    /// Records a crash. Returns the number of crashes of its request if the crash was unknown
+    /// before.
     pub(crate) fn note(&mut self, crash: &ObservedCrash, is_own: bool) -> Option<usize> {
         if !self.requests.contains_key(&crash.fingerprint) && self.requests.len() >= MAX_REQUESTS {
             self.evict_weakest();
@@ -112,8 +114,9 @@
         is_new.then_some(crash_count)
     }
 
-    /// Own crashes of a request that are to be kept in the store, each is given once; the
-    /// first one, too, if other hosts learn of it by the store only.
+    /// Returns the crashes of a request that this host observed and must store. Each crash is
+    /// returned only once. With `stores_first`, a first crash is stored too, which is needed if
+    /// other hosts learn of it only from the store.
     pub(crate) fn take_unstored(
         &mut self,
         fingerprint: &Fingerprint,
@@ -150,7 +153,7 @@
         (!left.is_zero()).then_some(left)
     }
 
-    /// The request ran to its end at a moment.
+    /// Removes the crashes of a request up to the time at which the request completed.
     pub(crate) fn clear(&mut self, fingerprint: &Fingerprint, at: Time) {
         if let Some(crashes) = self.requests.get_mut(fingerprint) {
             crashes.0.retain(|_, crash| crash.at > at);
@@ -158,7 +161,7 @@
         }
     }
 
-    /// The upstream has not ended after all.
+    /// Removes the crashes of an upstream that turned out not to have ended.
     pub(crate) fn withdraw(&mut self, upstream: &UpstreamId) {
         for crashes in self.requests.values_mut() {
             crashes.0.remove(upstream);
@@ -178,8 +181,8 @@
         self.update_barred();
     }
 
-    /// Drops the request with the fewest points, of those the one whose last crash is the
-    /// longest ago: a flood of different requests cannot push a barred one out.
+    /// Removes the request with the fewest points and, among equals, the one with the oldest latest
+    /// crash. A flood of different requests can therefore not displace a barred one.
     fn evict_weakest(&mut self) {
         let requests = self.requests.iter();
         let weakest = requests.min_by_key(|(_, crashes)| (crashes.points(), crashes.last()));
@@ -188,7 +191,8 @@
         }
     }
 
-    /// Works out who is guilty, the same on all hosts that know the same crashes.
+    /// Determines which requests are barred. All hosts that know the same crashes get the same
+    /// result.
     fn update_barred(&mut self) {
         self.barred.clear();
         let requests = self.requests.iter();
--- a/crates/policy/src/crashes/listening_checks.rs
+++ b/crates/policy/src/crashes/listening_checks.rs
@@ -1,14 +1,14 @@
-//! Whether an upstream has ended, or is only out of reach.
+//! Checks whether an upstream has ended or is only unreachable.
 //!
-//! What goes wrong if a refused connection tells of an end: a cut between failure domains
-//! resets connections and refuses new ones, and a host on its far side takes all upstreams
-//! beyond it for ended. One would notice harmless requests barred by the hosts of one
-//! domain. So another upstream of the same domain must be seen to listen.
+//! A refused connection alone doesn't show that an upstream has ended. A partition between failure
+//! domains resets connections and refuses new ones, and a host on the far side would consider all
+//! upstreams beyond the partition ended. The hosts of one domain would then bar harmless requests.
+//! Another upstream of the same domain must therefore be seen listening first.
 
 use super::*;
 
 impl Controller {
-    /// Looks whether an upstream listens, to which a connection broke.
+    /// Checks whether the upstream of a broken connection still listens.
     pub(crate) fn check_listening(
         &mut self,
         now: Time,
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Looks whether another upstream of the same domain listens. Where there is none, the
-    /// entry that lapses is the only sign.
+    /// Checks whether another upstream of the same domain listens. If there is no other upstream,
+    /// the expiry of the directory entry is the only sign of the end.
     fn check_another_in_domain(&self, now: Time, upstream: &UpstreamId, actions: &mut Vec<Action>) {
         let Some(state) = self.pool.get(upstream) else {
             return;
--- a/crates/policy/src/crashes/mod.rs
+++ b/crates/policy/src/crashes/mod.rs
@@ -1,8 +1,8 @@
-//! Requests that crash the upstreams that run them.
+//! Detection of requests that crash the upstreams that run them.
 //!
-//! In: requests whose connection broke, signs that an upstream has ended or lives, what
-//! other hosts saw. Out: which requests no upstream may get, and what the other hosts are
-//! to be announced.
+//! The inputs are requests whose connection broke, signs that an upstream has ended or is alive,
+//! and crashes observed by other hosts. The outputs are the requests that are barred from all
+//! upstreams and the updates to announce to other hosts.
 
 use super::*;
 
@@ -22,7 +22,7 @@
     suspected_crashes::SuspectedCrashes,
 };
 
-/// What a host knows of such requests.
+/// State of the crash detection on this host.
 #[derive(Debug, Default)]
 pub(crate) struct Crashes {
     completions: RecentCompletions,
@@ -33,20 +33,20 @@
 }
 
 impl Crashes {
-    /// How long a request is still barred; `None` if it is not.
+    /// Returns how long a request remains barred, or `None` if it is not barred.
     pub(crate) fn barred_for(&self, fingerprint: &Fingerprint, now: Time) -> Option<Duration> {
         self.record.barred_for(fingerprint, now)
     }
 
-    /// An upstream answered a request that was sent to it at a moment.
+    /// Notes that an upstream responded to a request that was sent to it at the given time.
     pub(crate) fn note_alive(&mut self, upstream: &UpstreamId, sent: Time) {
         if self.suspects.note_alive(upstream, sent) {
             self.record.withdraw(upstream);
         }
     }
 
-    /// Takes a crash; the number of this request's crashes, if that is news. One after which
-    /// the like ran to its end is none.
+    /// Records a crash. Returns the number of crashes of its request if the crash was unknown
+    /// before. A crash is ignored if an identical request completed after it.
     fn note(&mut self, crash: &ObservedCrash, source: &CrashSource) -> Option<usize> {
         let completions = self.completions.last(&crash.fingerprint);
         if completions.is_some_and(|at| at > crash.at) {
@@ -59,13 +59,13 @@
         self.record.note(&crash, *source == CrashSource::Own)
     }
 
-    /// A request ran to its end.
+    /// Notes that a request completed on this host, and announces that if needed.
     pub(crate) fn note_completion(&mut self, fingerprint: &Fingerprint, now: Time) {
         self.announcements.note_completion(fingerprint, now);
         self.clear_completed(fingerprint, now);
     }
 
-    /// A request ran to its end, here or at another host.
+    /// Clears the earlier crashes of a request that completed, on this host or another one.
     fn clear_completed(&mut self, fingerprint: &Fingerprint, at: Time) {
         self.completions.note(*fingerprint, at);
         self.record.clear(fingerprint, at);
--- a/crates/policy/src/crashes/observed_crash.rs
+++ b/crates/policy/src/crashes/observed_crash.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// An upstream that ended under a request.
+/// A crash of an upstream while it ran a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct ObservedCrash {
     pub(crate) at: Time,
     pub(crate) fingerprint: Fingerprint,
-    /// Whether little speaks against the request: its answer had begun, or an identical one
-    /// had lately run to its end.
+    /// Whether the crash says little about the request, because its response had begun or an
+    /// identical request had recently completed.
     pub(crate) is_weak: bool,
     pub(crate) upstream: UpstreamId,
 }
 
 impl ObservedCrash {
-    /// What another host tells of a crash.
+    /// Converts a crash that another host announced.
     pub(crate) fn advertised(crash: &peer::Crash, now: Time) -> Self {
         Self {
             at: now - Duration::from_millis(u64::from(crash.age_ms)),
@@ -33,28 +33,28 @@
     }
 }
 
-/// Who saw a crash.
+/// The source of a crash report.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CrashSource {
-    /// Another host.
+    /// Another host announced the crash.
     Host(HostId),
-    /// This host.
+    /// This host observed the crash.
     Own,
-    /// A host that kept it in the store.
+    /// The crash was read from the store.
     Store,
 }
 
-/// A crash that was not known before, for the log.
+/// A crash that was unknown before, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CrashDetected {
-    /// For how long no upstream gets the request; `None` if it is not barred.
+    /// Time for which the request is barred from all upstreams; `None` if it is not barred.
     pub barred_for: Option<Duration>,
-    /// Upstreams that are known to have ended under this request.
+    /// Number of upstreams known to have ended while they ran this request.
     pub crashes: usize,
-    /// The request, as one of its team.
+    /// Fingerprint of the request, which includes its team.
     pub fingerprint: Fingerprint,
-    /// Who saw it.
+    /// Source of the report.
     pub source: CrashSource,
-    /// The upstream.
+    /// The upstream that ended.
     pub upstream: UpstreamId,
 }
--- a/crates/policy/src/crashes/recent_completions.rs
+++ b/crates/policy/src/crashes/recent_completions.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// Requests that are remembered: what a host serves in some minutes.
+/// Maximum number of requests kept, which a host serves within a few minutes.
 const MAX_COMPLETIONS: usize = 2_048;
 
-/// Requests that ran to their end lately, and when.
+/// Requests that completed recently, with the time of completion.
 ///
-/// What goes wrong without it: a request that many callers send all day is on each upstream
-/// that a guilty one ends, and nothing tells the two apart; or it is cleared, and what other
-/// hosts tell again, or keep in the store, is held against it anew. One would notice the
-/// harmless one barred for minutes after a storm of crashes.
+/// A request that many callers send all day runs on every upstream that a harmful request crashes,
+/// and the crashes alone don't distinguish the two. Even after the harmless request is cleared,
+/// crashes that other hosts announce again or keep in the store would count against it anew.
+/// Without this record, a harmless request would be barred for minutes after a series of crashes.
 #[derive(Debug, Default)]
 pub(crate) struct RecentCompletions {
     completed_at: HashMap<Fingerprint, Time>,
-    /// The same, the oldest first.
+    /// The same requests, the least recently added first.
     order: VecDeque<Fingerprint>,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// When the like of a request ran to its end last.
+    /// Returns when an identical request last completed.
     pub(crate) fn last(&self, fingerprint: &Fingerprint) -> Option<Time> {
         self.completed_at.get(fingerprint).copied()
     }
--- a/crates/policy/src/crashes/suspected_crashes.rs
+++ b/crates/policy/src/crashes/suspected_crashes.rs
@@ -1,32 +1,31 @@
 use super::*;
 
-/// Time between a broken connection and a sign that the upstream has ended for the two to
-/// be one event: entries of upstreams that ended lapse within some four seconds.
+/// Maximum time between a broken connection and a sign of the end of its upstream for the two to
+/// count as one event. Directory entries of ended upstreams expire within about 4 s.
 const CONFIRMATION_WINDOW: Duration = Duration::from_secs(10);
 
-/// Time between two looks at whether an upstream listens.
+/// Minimum time between two checks of whether an upstream listens.
 const LISTENING_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Requests whose connections broke, until it is known whether the upstream ended.
+/// Requests whose connections broke, kept until it is known whether the upstream ended.
 ///
-/// What goes wrong if each broken connection counts: an upstream that resets connections,
-/// or loses answers, and lives on, bars requests that do no harm. One would notice refusals
-/// with `crashes_upstreams` while no upstream starts again.
+/// A broken connection alone doesn't count as a crash. Otherwise, an upstream that resets
+/// connections or loses responses but keeps running would get harmless requests barred, and callers
+/// would see refusals with `crashes_upstreams` although no upstream restarts.
 #[derive(Debug, Default)]
 pub(crate) struct SuspectedCrashes {
     broken: HashMap<UpstreamId, Vec<ObservedCrash>>,
-    /// Upstreams that ended, and when that was noticed.
+    /// Ended upstreams, with the time at which the end was noticed.
     ended: HashMap<UpstreamId, Time>,
-    /// When it was last looked whether an upstream listens.
+    /// Time of the last check of whether an upstream listens.
     checked_at: HashMap<UpstreamId, Time>,
-    /// Upstreams at whose address nobody listens, by failure domain: until another one of
-    /// the domain is seen to listen, the whole domain may be out of reach.
+    /// Upstreams that don't listen, by failure domain. The whole domain may be unreachable until
+    /// another of its upstreams is seen listening.
     not_listening: BTreeMap<FailureDomainId, BTreeSet<UpstreamId>>,
 }
 
 impl SuspectedCrashes {
-    /// Notes a broken connection; gives it back if the upstream is known to have ended, so
-    /// that it is a crash.
+    /// Notes a broken connection, and returns it as a crash if the upstream is known to have ended.
     pub(crate) fn note_connection_broken(
         &mut self,
         broken: ObservedCrash,
@@ -39,7 +38,8 @@
         None
     }
 
-    /// Whether to look now if an upstream listens: many connections to it break at once.
+    /// Whether to check now if an upstream listens. The rate of checks is limited because many
+    /// connections to an upstream break at once.
     pub(crate) fn take_check_due(&mut self, upstream: &UpstreamId, now: Time) -> bool {
         let checked_at = self.checked_at.get(upstream);
         if checked_at.is_some_and(|at| now.since(*at) < LISTENING_CHECK_INTERVAL) {
@@ -49,35 +49,35 @@
         true
     }
 
-    /// Nobody listens at an upstream's address.
+    /// Notes that nothing listens at an upstream's address.
     pub(crate) fn note_not_listening(&mut self, upstream: &UpstreamId, domain: &FailureDomainId) {
         let not_listening = self.not_listening.entry(domain.clone()).or_default();
         not_listening.insert(upstream.clone());
     }
 
-    /// Whether somebody was seen not to listen.
+    /// Whether the upstream was found not to listen.
     pub(crate) fn is_not_listening(&self, upstream: &UpstreamId) -> bool {
         let mut domains = self.not_listening.values();
         domains.any(|not_listening| not_listening.contains(upstream))
     }
 
-    /// A domain is in reach: gives the upstreams there at whose addresses nobody listens.
+    /// Removes and returns the upstreams of a reachable domain that were found not to listen.
     pub(crate) fn take_not_listening(&mut self, domain: &FailureDomainId) -> BTreeSet<UpstreamId> {
         self.not_listening.remove(domain).unwrap_or_default()
     }
 
-    /// Upstreams whose end was noticed before a moment.
+    /// Upstreams whose end was noticed before the given time.
     pub(crate) fn ended_before(&self, moment: Time) -> impl Iterator<Item = &UpstreamId> {
         let ended = self.ended.iter().filter(move |(_, at)| **at < moment);
         ended.map(|(upstream, _)| upstream)
     }
 
-    /// An upstream has not ended after all.
+    /// Forgets the end of an upstream that turned out not to have ended.
     pub(crate) fn forget_end(&mut self, upstream: &UpstreamId) {
         self.ended.remove(upstream);
     }
 
-    /// An upstream has ended; gives the requests that were there.
+    /// Notes that an upstream ended, and returns its broken connections as crashes.
     pub(crate) fn note_upstream_ended(
         &mut self,
         upstream: &UpstreamId,
@@ -87,14 +87,15 @@
         self.confirm(upstream)
     }
 
-    /// An upstream's entry is gone. One that leaves is not listed either, and ends later in
-    /// good order: only what broke before counts.
+    /// Notes that the entry of an upstream is gone, and returns its broken connections as crashes.
+    /// A leaving upstream is unlisted too and ends later as planned, so connections that break from
+    /// now on don't count.
     pub(crate) fn note_unlisted(&mut self, upstream: &UpstreamId) -> Vec<ObservedCrash> {
         self.confirm(upstream)
     }
 
-    /// An upstream answered a request sent at a moment, so it had not ended before; true if
-    /// that was believed.
+    /// Notes that an upstream responded to a request sent at the given time, so it had not ended
+    /// before then. Returns whether it was thought to have ended.
     pub(crate) fn note_alive(&mut self, upstream: &UpstreamId, sent: Time) -> bool {
         if let Some(broken) = self.broken.get_mut(upstream) {
             broken.retain(|broken| broken.at >= sent);
