--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -7,17 +7,17 @@
     pub address: SocketAddr,
     /// Id of this attempt.
     pub attempt: AttemptId,
-    /// Engine from which the upstream first fetches the parts of the prompt that it lacks.
+    /// Engine from which the upstream first fetches the parts of the prompt that it hasn't cached.
     pub fetch_from: Option<SocketAddr>,
-    /// What decided it.
+    /// Inputs of the decision.
     pub inputs: Box<SendInputs>,
     /// Paths to the upstream, in the order in which they are tried.
     pub paths: Vec<Path>,
-    /// Priority for the engine, 0 the most urgent.
+    /// Priority for the engine; 0 is the most urgent.
     pub priority: u8,
-    /// Last moment at which the answer is of use, for a relayed request.
+    /// Latest time at which the response is still useful, for a relayed request.
     pub deadline: Time,
-    /// Resume the stream of this earlier attempt after its last event.
+    /// Earlier attempt whose stream is resumed after its last event.
     pub resume_from: Option<AttemptId>,
     /// Team of the caller; `None` for a request without a key.
     pub team: Option<TeamId>,
@@ -25,10 +25,10 @@
     pub upstream: UpstreamId,
 }
 
-/// Something to be done, ordered by the controller.
+/// An action that the controller orders.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Give an attempt up whose upstream is silent; its end is reported as that.
+    /// Abandon an attempt whose upstream doesn't respond. Its end is reported as silent.
     Abandon {
         /// The attempt.
         attempt: AttemptId,
@@ -37,28 +37,28 @@
     },
     /// Answer a heartbeat.
     AnswerHeartbeat {
-        /// What to say.
+        /// The answer.
         answer: HeartbeatAnswer,
-        /// Number of the call.
+        /// Number of the call to answer.
         call: u64,
     },
-    /// Answer a host that wants to reach an upstream through this one.
+    /// Answer a host that wants to reach an upstream through this host.
     AnswerTransit {
-        /// Number of the call.
+        /// Number of the call to answer.
         call: u64,
-        /// Where the upstream listens; `None` if the other host must do without.
+        /// Address of the upstream; `None` if this host doesn't relay connections to the upstream.
         upstream_address: Option<SocketAddr>,
     },
-    /// Ask the keeper of an upstream's limit for tokens.
+    /// Request tokens from the token issuer of an upstream's rate limit.
     RequestTokens {
-        /// What to ask.
+        /// The request for tokens.
         ask: TokenAsk,
-        /// Where the keeper is reached.
+        /// Address of the token issuer.
         to: SocketAddr,
     },
-    /// End a stream that was cut, with an error event that carries the verdict.
+    /// End an interrupted stream with an error event that says whether the request may have run.
     FailStream {
-        /// Why, and the verdict.
+        /// The reason, and whether the request may have run.
         refusal: Refusal,
         /// The request.
         request: RequestId,
@@ -70,14 +70,14 @@
         /// The request.
         request: RequestId,
     },
-    /// Look whether anybody listens where an upstream does.
+    /// Check whether an upstream accepts connections at its address.
     CheckListening {
         /// Where the upstream listens.
         address: SocketAddr,
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// Look whether a connection to an upstream can be made.
+    /// Check whether a connection to an upstream can be opened.
     CheckPath {
         /// Where the upstream listens.
         address: SocketAddr,
@@ -88,41 +88,41 @@
     },
     /// Claim an idempotency key in the platform's table.
     Claim(ClaimRequest),
-    /// Fetch the configuration of another host, which has a newer one.
+    /// Fetch a newer configuration from another host.
     FetchConfiguration {
-        /// Where the host listens.
+        /// Address of the other host.
         address: SocketAddr,
-        /// Version in force here.
+        /// Version in force on this host.
         newer_than: Option<ConfigVersion>,
     },
-    /// Answer a host that asks for tokens.
+    /// Answer a host that requested tokens.
     GrantTokens {
-        /// What to say.
+        /// The granted tokens.
         grant: TokenGrant,
-        /// Where it is reached.
+        /// Address of the host that requested them.
         to: SocketAddr,
     },
-    /// Keep crashes in the store, for hosts that start later.
+    /// Write crashes to the store for hosts that start later.
     StoreCrashes(Vec<Crash>),
-    /// Log a change of what an upstream says of the rejections that it bears.
+    /// Log a change of the number of rejections that an upstream says it can handle.
     NoteBrittleness(BrittlenessChange),
-    /// Log and show a change of the part of a class that is taken.
+    /// Log and export a change of the share of a class's requests that is admitted.
     NoteAdmission(AdmissionChange),
-    /// Log and count an upstream that ended under a request.
+    /// Log and count a crash of an upstream while it ran a request.
     NoteCrash(CrashDetected),
-    /// Log and count an upstream that is newly known to leave.
+    /// Log and count an upstream that is newly known to be leaving.
     NoteLeaving(LeavingDetected),
-    /// Log and count a change of the limit that an upstream names.
+    /// Log and count a change of the rate limit that an upstream reports.
     NoteLimit(LimitChange),
-    /// Log a change of what is believed of the own path to an upstream.
+    /// Log a change in whether this host's own path to an upstream is considered open.
     NotePathChange(PathChange),
-    /// Log a change of what an engine is believed to do.
+    /// Log a change of an engine's estimated speed.
     NoteSpeed(SpeedNoted),
-    /// Ask an ejected upstream whether it is well.
+    /// Probe the health of an ejected upstream.
     Probe {
-        /// Where it listens.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Path of its health check.
+        /// URL path of the health check.
         path: String,
         /// Paths to the upstream, in the order in which they are tried.
         paths: Vec<Path>,
@@ -131,79 +131,80 @@
     },
     /// Read the newest configuration now.
     ReadConfiguration,
-    /// Count how a request ended.
+    /// Record the outcome of a request.
     Record(Outcome),
-    /// Give a request its final answer without an upstream.
+    /// Give a request its final response without sending it to an upstream.
     Refuse {
-        /// Why, and the verdict.
+        /// The reason, and whether the request may have run.
         refusal: Refusal,
         /// The request.
         request: RequestId,
     },
-    /// Give a request the stored answer of an earlier one with the same key.
+    /// Answer a request with the stored response to an earlier request with the same idempotency
+    /// key.
     Replay {
-        /// The stored answer.
+        /// The stored response.
         response: StoredResponse,
         /// The request.
         request: RequestId,
     },
     /// Send a request to an upstream.
     Send {
-        /// Where and how.
+        /// Destination and parameters of the attempt.
         order: SendOrder,
         /// The request.
         request: RequestId,
     },
     /// Send a heartbeat to another host.
     SendHeartbeat {
-        /// Where it listens.
+        /// Address of the other host.
         address: SocketAddr,
-        /// What to say.
+        /// The heartbeat.
         heartbeat: Heartbeat,
-        /// The host.
+        /// The other host.
         host: HostId,
     },
-    /// Tell other hosts this one's load.
+    /// Send this host's load to other hosts.
     SendLoadNotes {
-        /// Notes, and where to send them.
+        /// The notes with their destinations.
         notes: Vec<(SocketAddr, LoadNote)>,
     },
-    /// Write in the table how a claimed request ended.
+    /// Write the outcome of a claimed request to the platform's table.
     Settle(Settlement),
-    /// Tell other hosts which requests were on upstreams that ended.
+    /// Announce crashes, and completions of requests with earlier crashes, to other hosts.
     SendCrashNote {
-        /// What to say.
+        /// The note.
         note: CrashNote,
-        /// To whom.
+        /// Destinations.
         to: Vec<SocketAddr>,
     },
-    /// Tell other hosts that this one holds the duties that one host does for all.
+    /// Announce to other hosts that this host holds the duties that one host performs for all.
     SendDutyNote {
-        /// What to say.
+        /// The note.
         note: DutyNote,
-        /// To whom.
+        /// Destinations.
         to: Vec<SocketAddr>,
     },
-    /// Tell other hosts what upstreams say of themselves.
+    /// Send other hosts what upstreams report about themselves.
     SendUpstreamNote {
-        /// What to say.
+        /// The note.
         note: UpstreamNote,
-        /// To whom.
+        /// Destinations.
         to: Vec<SocketAddr>,
     },
-    /// Tell the host that holds the duties what began here; the time of day is still to be
-    /// filled in.
+    /// Send the usage counted on this host to the host that holds the duties. The receiver of this
+    /// action fills in the time of day.
     SendUsageNote {
-        /// What to say.
+        /// The note.
         note: UsageNote,
-        /// To whom; `None` for this host itself.
+        /// Destination; `None` if this host holds the duties.
         to: Option<SocketAddr>,
     },
-    /// Tell other hosts that this one can hand a version of the configuration over.
+    /// Announce to other hosts that they can fetch a version of the configuration from this host.
     SendVersionNote {
-        /// What to say.
+        /// The note.
         note: VersionNote,
-        /// To whom.
+        /// Destinations.
         to: Vec<SocketAddr>,
     },
 }
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -1,48 +1,47 @@
 use super::*;
 
-/// Limits and choices of a controller.
+/// Settings of a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControllerOptions {
-    /// Failure domain this host stands in.
+    /// Failure domain of this host.
     pub failure_domain: FailureDomainId,
     /// This host.
     pub host: HostId,
-    /// This host's incarnation; attempt ids start with it.
+    /// Incarnation of this host, which is the first part of its attempt ids.
     pub incarnation: Incarnation,
-    /// Requests queued at one moment.
+    /// Maximum number of queued requests.
     pub max_queued: usize,
-    /// Figures of an installation, for a host that relays requests in one.
+    /// Rules of the installation, for a host that relays requests.
     pub relay: Option<RelayRules>,
-    /// Rules by which slots are given to ranks.
+    /// Rules by which slots are assigned to the ranks of requests.
     pub slot_rules: SlotRules,
-    /// Seed of the controller's random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// Longest wait of a starting host for the platform's list.
+/// Maximum time for which a starting host waits for the platform's list of leaving upstreams.
 const MAX_LEAVING_LIST_WAIT: Duration = Duration::from_secs(2);
 
-/// The lanes that an event concerns.
+/// The targets whose queues may have to be dispatched after an event.
 enum AffectedTargets {
     All,
     None,
     Some(Vec<Target>),
 }
 
-/// The state machine that makes all of a host's decisions. It is given an
-/// event and the time, and answers with actions; two runs of one script of
-/// events give the same actions.
+/// The state machine that makes all decisions of a host. For each event and its time, it returns
+/// the actions to take. Two runs with the same events and times return the same actions.
 #[derive(Debug)]
 pub struct Controller {
     pub(crate) configuration: Option<Arc<Numbered>>,
-    /// When the configuration in force was last known to be the newest.
+    /// Last time at which the configuration in force was known to be the newest.
     pub(crate) confirmed_at: Option<Time>,
-    /// When the first configuration was read.
+    /// Time at which the first configuration was read.
     configured_at: Option<Time>,
     pub(crate) crashes: Crashes,
-    /// Queued requests by the last moment at which they may start.
+    /// Queued requests, ordered by the latest time at which they may start.
     pub(crate) deadlines: BTreeSet<(Time, RequestId)>,
-    /// Upstreams of the directory; `None` where the configuration names them.
+    /// Upstreams from the directory; `None` if the configuration lists the upstreams.
     pub(crate) directory: Option<DirectoryView>,
     pub(crate) early_refusal: EarlyRefusal,
     /// Whether any upstream is brittle.
@@ -50,21 +49,21 @@
     pub(crate) target_queues: BTreeMap<Target, TargetQueues>,
     pub(crate) length_estimate: LengthEstimate,
     pub(crate) team_limits: TeamLimits,
-    /// Whether the platform's list was read.
+    /// Whether the platform's list of leaving upstreams, or the directory, has been read.
     is_leaving_list_read: bool,
     pub(crate) neighbors: Neighbors,
     pub(crate) newer_configuration: NewerConfiguration,
-    /// When it is looked again for attempts whose paths are lost.
+    /// Time of the next check for stalled attempts whose paths are lost.
     pub(crate) next_stall_check: Time,
     pub(crate) next_attempt: u64,
-    /// When the slots of brittle upstreams are divided again.
+    /// Time of the next division of the slots of brittle upstreams.
     pub(crate) next_division: Time,
     pub(crate) next_seq: u64,
-    /// When it is looked again for lost paths, while no upstream is observed.
+    /// Time of the next check for lost paths while all upstreams are silent.
     pub(crate) next_silence_check: Time,
     pub(crate) options: ControllerOptions,
     pub(crate) own_paths: OwnPaths,
-    /// Requests put aside while the store is down, by when they come back.
+    /// Requests parked while the store is unavailable, ordered by when they are queued again.
     pub(crate) parked: BTreeSet<(Time, RequestId)>,
     phase: HostPhase,
     pub(crate) peering: Peering,
@@ -74,7 +73,7 @@
     pub(crate) requests: HashMap<RequestId, Stage>,
     pub(crate) retry_budgets: RetryBudgets,
     pub(crate) rng: SmallRng,
-    /// The shortest target for pauses of all classes.
+    /// Shortest pause target of all classes.
     pub(crate) shortest_pause_ms: Option<u64>,
     pub(crate) teams_by_key: HashMap<KeyHash, TeamId>,
     pub(crate) transit_hosts: TransitHosts,
@@ -83,8 +82,8 @@
 }
 
 impl Controller {
-    /// A controller without a configuration; it refuses requests until it has
-    /// one.
+    /// Creates a controller without a configuration, which refuses requests until a configuration
+    /// is read.
     pub fn new(options: ControllerOptions) -> Self {
         let pool = Pool::new(options.slot_rules.clone(), options.relay.is_some());
         let peering = Peering::new(options.host.clone(), options.failure_domain.clone());
@@ -127,7 +126,7 @@
         }
     }
 
-    /// Takes an event at a moment, and appends what is to be done.
+    /// Handles an event at the given time, and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         let affected = self.affected_targets(&event);
         self.apply_event(now, event, actions);
@@ -141,8 +140,9 @@
         }
     }
 
-    /// The lanes for which an event may have made room, or brought work. Trying
-    /// all of them after each event would cost as much as the lanes are many.
+    /// Returns the targets whose queues the event may have added requests or free slots to.
+    /// Dispatching the queues of all targets after each event would make its cost proportional to
+    /// their number.
     fn affected_targets(&self, event: &Event) -> AffectedTargets {
         match event {
             Event::Arrived(arrival) => AffectedTargets::Some(vec![arrival.target.clone()]),
@@ -298,7 +298,7 @@
         }
     }
 
-    /// Where this host is in its life.
+    /// Phase of this host.
     pub const fn phase(&self) -> HostPhase {
         self.phase
     }
@@ -308,8 +308,8 @@
         self.configuration.as_ref().map(|numbered| numbered.version)
     }
 
-    /// Whether this host knows that its configuration is the newest, so that it
-    /// can tell which keys are valid.
+    /// Whether the configuration of this host is known to be recent enough to tell which keys are
+    /// valid.
     pub fn is_configuration_current(&self, now: Time) -> bool {
         self.configuration.is_some() && self.is_configuration_fresh(now)
     }
@@ -319,23 +319,24 @@
         self.requests.is_empty()
     }
 
-    /// Requests queued now.
+    /// Number of queued requests.
     pub const fn queued(&self) -> usize {
         self.queued_count
     }
 
-    /// Slots that this host may fill now in the group of an upstream, those of
-    /// its own domain that serve the same targets.
+    /// Number of slots that this host may currently use in the group of an upstream. A group
+    /// consists of the upstreams of the host's own domain that serve the same targets.
     pub fn share(&self, upstream: &UpstreamId) -> Option<u32> {
         self.pool.share(upstream)
     }
 
-    /// The host that this controller decides for.
+    /// The host that runs this controller.
     pub const fn host(&self) -> &HostId {
         &self.options.host
     }
 
-    /// The host that this one asks for shares; itself, if it is the coordinator.
+    /// The host from which this host requests its shares; this host itself if it is the
+    /// coordinator.
     pub fn coordinator(&self, now: Time) -> &HostId {
         match self.peering.members.coordinator(now) {
             Some(member) => &member.listing.host,
@@ -343,7 +344,7 @@
         }
     }
 
-    /// The upstream that a request was sent to last, while it is there.
+    /// The upstream that currently runs an attempt of the request.
     pub fn upstream_of(&self, request: RequestId) -> Option<&UpstreamId> {
         match self.requests.get(&request)? {
             Stage::Running(request) => Some(&request.stage.upstream),
@@ -351,13 +352,14 @@
         }
     }
 
-    /// Requests that this host has on an upstream now.
+    /// Number of requests that this host currently has on an upstream.
     pub fn in_flight(&self, upstream: &UpstreamId) -> Option<u32> {
         self.pool.get(upstream).map(|state| state.in_flight)
     }
 
-    /// A version that is not newer than the one in force is dropped: answers
-    /// of the platform may overtake each other, and a host never goes back.
+    /// Applies a configuration unless it is older than, or the same as, the version in force.
+    /// Responses of the platform can arrive out of order, and a host never returns to an older
+    /// version.
     fn apply_configuration(&mut self, now: Time, numbered: Arc<Numbered>) {
         if self
             .version()
@@ -390,7 +392,7 @@
         self.serve_if_ready(now);
     }
 
-    /// Puts the upstreams of the directory in force.
+    /// Applies the upstreams listed by the directory.
     fn apply_directory(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Some(directory) = &self.directory else {
             return;
@@ -408,14 +410,13 @@
         self.note_upstreams_unlisted(now, &unlisted, actions);
     }
 
-    /// Upstreams that get no new work, because some source says that they are
-    /// leaving.
+    /// Upstreams that get no new requests because at least one source reports them as leaving.
     pub fn leaving(&self, now: Time) -> Vec<UpstreamId> {
         self.pool.select(|state| state.is_leaving(now))
     }
 
-    /// Upstreams that are used though the directory lists them no more, as their entries may only
-    /// have lapsed.
+    /// Upstreams that are still used although the directory no longer lists them, because their
+    /// entries may merely have expired.
     pub fn unlisted(&self) -> Vec<UpstreamId> {
         let directory = self.directory.iter();
         directory
@@ -424,7 +425,7 @@
             .collect()
     }
 
-    /// Upstreams that this host does not reach by itself while other hosts do.
+    /// Upstreams that other hosts can reach but this host cannot reach directly.
     pub fn out_of_reach(&self) -> Vec<UpstreamId> {
         self.own_paths.lost().cloned().collect()
     }
@@ -434,40 +435,41 @@
         self.pool.select(|state| state.own_slots > 0)
     }
 
-    /// Counts the times that [`Self::upstreams_with_own_slots`] may have changed.
+    /// Number of times that the result of [`Self::upstreams_with_own_slots`] may have changed.
     pub const fn shares_version(&self) -> u64 {
         self.pool.shares_version
     }
 
-    /// Other hosts that this one observes.
+    /// Other hosts from which this host has fresh notes.
     pub fn observed_hosts(&self, now: Time) -> Vec<HostId> {
         self.neighbors.hosts_with_fresh_notes(now)
     }
 
-    /// How long ago the configuration was known to be the newest.
+    /// Time since the configuration was last known to be the newest.
     pub fn config_age(&self, now: Time) -> Option<Duration> {
         self.confirmed_at.map(|confirmed| now.since(confirmed))
     }
 
-    /// Hosts of the installation among which extra retries are divided; 0 before they are known.
+    /// Number of hosts among which the extra retries of the installation are divided; 0 until it is
+    /// known.
     pub const fn listed_host_count(&self) -> u32 {
         self.retry_budgets.host_count()
     }
 
-    /// Retries that this host may make now, for each target that was asked for.
+    /// Number of retries that this host may currently make, for each requested target.
     pub fn retries_left(&self, now: Time) -> Vec<(Target, f64)> {
         let left = self.retry_budgets.remaining(now);
         left.map(|(target, left)| (target.clone(), left)).collect()
     }
 
-    /// Upstreams that get no new work until a probe succeeds.
+    /// Upstreams that get no new requests until a probe succeeds.
     pub fn ejected(&self) -> Vec<UpstreamId> {
         self.pool.select(|state| !state.health.is_well())
     }
 
-    /// A host that has a configuration and not yet the list does not know which
-    /// upstreams are leaving, and would send them new work. It waits for the
-    /// list, but not for long: the list may be out of reach.
+    /// Starts serving once the host has a configuration and the list of leaving upstreams. Without
+    /// the list, the host would send new requests to leaving upstreams. The wait for the list is
+    /// limited, because the list may be unreachable.
     fn serve_if_ready(&mut self, now: Time) {
         let waited = |configured: Time| now.since(configured) >= MAX_LEAVING_LIST_WAIT;
         let ready = self
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Something that happened, reported to the controller.
+/// An event reported to the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A caller sent a request.
@@ -14,90 +14,90 @@
         /// The request.
         request: RequestId,
     },
-    /// The caller of a request is gone.
+    /// The caller of a request disconnected.
     CallerGone {
         /// The request.
         request: RequestId,
     },
-    /// The table answered a claim, or did not.
+    /// The platform's table answered a claim, or the claim failed.
     ClaimAnswered {
-        /// What it said.
+        /// Result of the claim.
         answer: ClaimResult,
         /// The request.
         request: RequestId,
     },
-    /// A newer configuration begins to arrive from the store, and will take long.
+    /// A newer configuration has begun to arrive from the store and will take long.
     ConfigurationAnnounced,
-    /// Another host, which this one asks in place of the store, has a newer configuration.
+    /// Another host, which this host queries instead of the store, has a newer configuration.
     NewerConfigurationAtPeer {
-        /// Where it is reached.
+        /// Address of the other host.
         from: SocketAddr,
-        /// Its version.
+        /// Version of the newer configuration.
         version: ConfigVersion,
     },
-    /// The question to another host for its configuration ended.
+    /// A configuration fetch from another host ended.
     ConfigurationFetchEnded {
-        /// The host.
+        /// Address of the other host.
         address: SocketAddr,
-        /// How.
+        /// How the fetch ended.
         end: FetchEnd,
     },
-    /// A version of the configuration can be handed to other hosts.
+    /// A version of the configuration is ready to be sent to other hosts.
     ConfigurationPacked(ConfigVersion),
     /// A version of the configuration was read.
     ConfigurationRead(Arc<Numbered>),
-    /// Crashes that hosts keep in the store; those that were announced before among them.
+    /// The crashes in the store were read. Some of them may have been announced before.
     CrashesListed(Vec<Crash>),
-    /// Another host announced which requests were on upstreams that ended.
+    /// Another host announced crashes, or completions of requests with earlier crashes.
     CrashesReceived(CrashNote),
-    /// The host was asked to stop.
+    /// The host was asked to stop, and begins to drain.
     DrainStarted,
-    /// The configuration in force was the newest one at a moment.
+    /// The configuration in force was confirmed to be the newest.
     ConfigurationConfirmed {
-        /// When the question was sent that was answered so.
+        /// Time at which the query was sent that confirmed it.
         as_of: Time,
     },
-    /// The directory gives no answer.
+    /// The directory doesn't respond.
     DirectoryLost,
     /// The directory was read.
     DirectoryRead {
-        /// Those that the hosts of all failure domains know; `None` where that is each of them.
+        /// Upstreams known to the hosts of all failure domains; `None` if all upstreams are.
         common: Option<BTreeSet<UpstreamId>>,
-        /// Those that are leaving, among them.
+        /// Listed upstreams that are leaving.
         leaving: BTreeSet<UpstreamId>,
-        /// All upstreams that it lists.
+        /// All listed upstreams.
         upstreams: BTreeMap<UpstreamId, Upstream>,
     },
-    /// Another host reaches the directory, and never lost it.
+    /// Another host reports that the directory is reachable and was reachable all the time.
     DirectoryReachableAgain,
-    /// The directory answers again.
+    /// The directory responds again.
     DirectoryRegained {
-        /// When the first host found that.
+        /// Time at which the first host got a response.
         at: Time,
     },
-    /// This host holds the duties that one host does for all.
+    /// This host holds the duties that one host performs for all.
     DutyHeld(DutyNote),
-    /// Another host announced that it holds them.
+    /// Another host announced that it holds these duties.
     DutyAdvertised {
-        /// Where it came from.
+        /// Address of the sender.
         from: SocketAddr,
-        /// What it said.
+        /// The note.
         note: DutyNote,
     },
-    /// A host answered a heartbeat, or did not.
+    /// A heartbeat to another host was answered, or failed.
     HeartbeatAnswered {
-        /// The answer; `None` if none came that can be used.
+        /// The answer; `None` if no valid answer arrived.
         answer: Option<HeartbeatAnswer>,
-        /// When the heartbeat was sent.
+        /// Time at which the heartbeat was sent.
         sent: Time,
-        /// The host that was asked.
+        /// The host that the heartbeat was sent to.
         host: HostId,
     },
     /// A host sent a heartbeat.
     HeartbeatReceived {
-        /// Number of the call, to be named with the answer.
+        /// Number of the call, which the answer must repeat.
         call: u64,
-        /// What it said.
+        /// The heartbeat.
         heartbeat: Heartbeat,
     },
     /// The platform's list of hosts was read.
@@ -105,11 +105,11 @@
         /// All hosts of the list.
         hosts: Vec<PeerHost>,
     },
-    /// Another host announced what upstreams say of themselves.
+    /// Another host sent what upstreams report about themselves.
     UpstreamNoticesReceived(UpstreamNote),
-    /// It was looked whether anybody listens where an upstream does.
+    /// The check ended whether an upstream accepts connections at its address.
     ListeningChecked {
-        /// What was seen.
+        /// Result of the check.
         listening: Listening,
         /// The upstream.
         upstream: UpstreamId,
@@ -121,94 +121,94 @@
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// Another host announced its load.
+    /// Another host sent its load.
     LoadNoteReceived {
-        /// Where it came from.
+        /// Address of the sender.
         from: SocketAddr,
-        /// What it said.
+        /// The note.
         note: LoadNote,
     },
-    /// An upstream said something of itself in an answer, or names no limit any more.
+    /// An upstream reported something about itself in a response, or stopped reporting a limit.
     NoticeAnswered {
-        /// What it said.
+        /// The report.
         notice: UpstreamNotice,
-        /// When the request was sent.
+        /// Time at which the request was sent.
         sent: Time,
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// A connection to an upstream was wanted.
+    /// Connection attempts to an upstream were made.
     PathsTried {
-        /// The request for which it was wanted, if it was for one.
+        /// The request that needed the connection, if any.
         request: Option<RequestId>,
-        /// How each attempt ended.
+        /// Path and result of each connection attempt.
         attempts: Vec<PathTry>,
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// The other hosts were listed.
+    /// The hosts of the installation were listed.
     PeersListed {
-        /// Hosts of the whole installation; `None` if that is not known yet.
+        /// Number of hosts in the whole installation; `None` until it is known.
         total_hosts: Option<usize>,
-        /// Hosts, this one perhaps among them; where there are many, those of its own failure
-        /// domain.
+        /// The listed hosts, possibly including this host. In a large installation, only the hosts
+        /// of this host's failure domain are listed.
         peers: Vec<PeerHost>,
     },
-    /// A probe of an ejected upstream was answered, or was not.
+    /// A probe of an ejected upstream ended.
     ProbeAnswered {
-        /// Whether it answered well.
+        /// Whether the upstream responded as healthy.
         healthy: bool,
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// Tokens flowed since the last event of this attempt.
+    /// An attempt produced tokens since its last event.
     Progressed {
         /// The attempt.
         attempt: AttemptId,
-        /// Longest time between two parts that the caller was sent, so far.
+        /// Longest time so far between two parts of the response sent to the caller.
         longest_pause: Duration,
         /// The request.
         request: RequestId,
-        /// How many tokens.
+        /// Number of new tokens.
         tokens: Tokens,
     },
-    /// So many requests may be queued from now on.
+    /// The maximum number of queued requests changed.
     QueueLimitChanged(usize),
-    /// The figures of the installation changed.
+    /// The rules of the installation changed.
     RulesChanged(RelayRules),
     /// Time passed.
     Ticked,
-    /// This host's time of day was read.
+    /// The time of day was read from this host's clock.
     TimeOfDay {
         /// Unix time in milliseconds.
         unix_ms: u64,
     },
-    /// Another host asks this one, as the keeper of an upstream's limit, for tokens.
+    /// Another host requests tokens from this host, the token issuer of an upstream's rate limit.
     TokensRequested {
-        /// What it asks.
+        /// The request for tokens.
         ask: TokenAsk,
-        /// Where it came from.
+        /// Address of the sender.
         from: SocketAddr,
     },
-    /// The keeper of an upstream's limit answered.
+    /// The token issuer of an upstream's rate limit answered.
     TokensGranted(TokenGrant),
     /// Another host wants to reach an upstream through this one.
     TransitRequested {
-        /// Number of the call, to be named with the answer.
+        /// Number of the call, which the answer must repeat.
         call: u64,
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// The platform's list was read.
+    /// The platform's list of leaving upstreams was read.
     UpstreamsListed {
-        /// Every upstream that is leaving by the list; the others are not.
+        /// All leaving upstreams. No other upstream is leaving according to the list.
         leaving: BTreeSet<UpstreamId>,
     },
-    /// Another host announced that it can hand a version of the configuration over.
+    /// Another host announced that it can send a version of the configuration.
     VersionAdvertised {
-        /// Where it came from.
+        /// Address of the sender.
         from: SocketAddr,
-        /// What it said.
+        /// The note.
         note: VersionNote,
     },
 }
--- a/crates/policy/src/fetch_end.rs
+++ b/crates/policy/src/fetch_end.rs
@@ -1,12 +1,12 @@
-/// How the question to another host for its configuration ended.
+/// The end of a configuration fetch from another host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FetchEnd {
-    /// The host is handing it to others.
+    /// The other host is sending its configuration to other hosts and has no capacity left.
     Busy,
-    /// No answer, or none that can be used.
+    /// There was no answer, or the answer was invalid.
     Failed,
-    /// It was handed over.
+    /// The configuration was received.
     Received,
-    /// The host has none that is newer.
+    /// The other host has no newer configuration.
     NoneNewer,
 }
--- a/crates/policy/src/host_phase.rs
+++ b/crates/policy/src/host_phase.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Where a host is in its life, as others see it.
+/// Phase of a host's lifecycle, as other hosts see it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostPhase {
-    /// Takes no new connections; finishes what it has.
+    /// Accepts no new connections and finishes its running requests.
     Draining,
-    /// Takes requests.
+    /// Accepts requests.
     Serving,
     /// Has no configuration yet.
     Starting,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,6 +1,6 @@
-//! The decisions of a host, as one deterministic state machine: it takes an
-//! event and the time and returns actions. No I/O, no clock, no threads, so
-//! every failure can be written as a script of events.
+//! The decisions of a host as a deterministic state machine that takes events with their times and
+//! returns actions. The crate performs no I/O, reads no clock and starts no threads, so every
+//! failure can be reproduced by a script of events.
 
 use {
     config::{Class, Document, Numbered, Plan, Scheduling, Team, Upstream},
--- a/crates/policy/src/relay_rules.rs
+++ b/crates/policy/src/relay_rules.rs
@@ -1,22 +1,23 @@
 use super::*;
 
-/// Figures of an installation that a relaying host must keep to.
+/// Rules of the installation for a host that relays requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelayRules {
-    /// Time for which it may answer by its configuration after it has learned of a newer one.
+    /// Time for which a host may still respond according to its configuration after learning of a
+    /// newer version.
     pub apply_limit: Duration,
-    /// Whether the whole installation starts for the first time.
+    /// Whether the whole installation is starting for the first time.
     pub first_start: bool,
-    /// Age of its knowledge of the configuration from which it takes no key for
-    /// valid any more.
+    /// Time since the last confirmation that the configuration is the newest after which a host
+    /// accepts no key any more.
     pub key_knowledge_limit: Duration,
-    /// Requests that all hosts together may send again in one window beyond the
-    /// ratio.
+    /// Number of retries that all hosts together may make in one window, in addition to the ratio.
     pub retry_extra: u32,
-    /// Requests that may be sent again for each request.
+    /// Number of retries allowed per request.
     pub retry_ratio: f64,
-    /// Window of the retry budget.
+    /// Time window of the retry budget.
     pub retry_window: Duration,
-    /// Window by which requests that began are counted; `None` where nobody asks.
+    /// Time window over which started requests are counted for usage reports; `None` if usage is
+    /// not reported.
     pub usage_window: Option<Duration>,
 }
