--- a/crates/policy/src/brittleness/brittleness.rs
+++ b/crates/policy/src/brittleness/brittleness.rs
@@ -93,7 +93,13 @@
     }
 
     /// Whether one more request of this host may be sent to the upstream.
-    pub(crate) fn has_room(&self, in_flight: u32, others: u32, slots: u32, now: Time) -> bool {
+    pub(crate) fn allows_request(
+        &self,
+        in_flight: u32,
+        others: u32,
+        slots: u32,
+        now: Time,
+    ) -> bool {
         let Some(rejection_limit) = self.rejection_limit() else {
             return true;
         };
--- a/crates/policy/src/brittleness/brittleness_change.rs
+++ b/crates/policy/src/brittleness/brittleness_change.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct BrittlenessChange {
     /// Rejections per second that the upstream can handle; `None` if it is no longer brittle.
-    pub rejections: Option<Rate>,
+    pub rejection_limit: Option<Rate>,
     /// The upstream.
     pub upstream: UpstreamId,
 }
--- a/crates/policy/src/brittleness/brittleness_updates.rs
+++ b/crates/policy/src/brittleness/brittleness_updates.rs
@@ -23,7 +23,7 @@
             return;
         }
         actions.push(Action::NoteBrittleness(BrittlenessChange {
-            rejections: rejection_limit,
+            rejection_limit,
             upstream: upstream.clone(),
         }));
         self.assume_for_same_service(upstream, rejection_limit);
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -543,7 +543,7 @@
         self.refuse_queued(now, id, reason, actions);
     }
 
-    pub(crate) fn new_attempt(&mut self) -> AttemptId {
+    pub(crate) fn new_attempt_id(&mut self) -> AttemptId {
         let counter = self.next_attempt;
         self.next_attempt += 1;
         AttemptId::new(self.options.incarnation, counter)
--- a/crates/policy/src/queueing/dispatch.rs
+++ b/crates/policy/src/queueing/dispatch.rs
@@ -169,7 +169,7 @@
             self.retry_budgets
                 .record_first_attempt(&facts.target, priority, now);
         }
-        let attempt = self.new_attempt();
+        let attempt = self.new_attempt_id();
         let unclaimed_key = request
             .facts
             .key
--- a/crates/policy/src/requests/resuming.rs
+++ b/crates/policy/src/requests/resuming.rs
@@ -94,7 +94,7 @@
         }
         self.release_slot(now, &request);
         let broken = request.stage.attempt;
-        let attempt = self.new_attempt();
+        let attempt = self.new_attempt_id();
         self.pool.start_request(&upstream, &request.facts, now);
         let mut request = request.move_to(upstream, attempt, now);
         self.start_prompt(now, &mut request);
--- a/crates/policy/src/upstreams/upstream_state.rs
+++ b/crates/policy/src/upstreams/upstream_state.rs
@@ -213,7 +213,7 @@
     fn brittleness_allows_request(&self, now: Time) -> bool {
         let slots = self.definition.slots();
         let brittleness = &self.brittleness;
-        brittleness.has_room(self.in_flight, self.others_in_flight, slots, now)
+        brittleness.allows_request(self.in_flight, self.others_in_flight, slots, now)
     }
 
     /// Slots that may be used. The number rises slowly after the upstream was ejected.
--- a/crates/policy/tests/script/render.rs
+++ b/crates/policy/tests/script/render.rs
@@ -30,7 +30,10 @@
             None => format!("{} has no limit", noted.upstream),
         },
         Action::NoteBrittleness(noted) => {
-            format!("{} bears {:?} rejections", noted.upstream, noted.rejections)
+            format!(
+                "{} bears {:?} rejections",
+                noted.upstream, noted.rejection_limit
+            )
         }
         Action::NotePathChange(noted) => format!("note that {} paths are lost", noted.lost),
         Action::NoteSpeed(noted) => format!("{} works at {:.2}", noted.upstream, noted.factor),
--- a/crates/router/src/decision_log.rs
+++ b/crates/router/src/decision_log.rs
@@ -132,7 +132,7 @@
         if self.budget.take(LineKind::Important, now) {
             info!(self.logger, "belief: brittle upstream";
                 "upstream" => %noted.upstream,
-                "rejections_per_s" => noted.rejections.map(Rate::get),
+                "rejections_per_s" => noted.rejection_limit.map(Rate::get),
             );
         }
     }
