--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -220,7 +220,7 @@
             Event::DutyHeld(note) => self.on_duty_held(now, note, actions),
             Event::DutyAdvertised { from, note } => self.on_duty_advertised(now, from, &note),
             Event::HeartbeatAnswered { answer, host, sent } => {
-                self.on_heartbeat_answered(now, &host, sent, answer, actions)
+                self.on_heartbeat_answered(now, &host, sent, answer, actions);
             }
             Event::HeartbeatReceived { call, heartbeat } => {
                 self.on_heartbeat(now, call, &heartbeat, actions);
