--- a/crates/peer/src/coverage.rs
+++ b/crates/peer/src/coverage.rs
@@ -13,7 +13,7 @@
 
 impl Coverage {
     /// All upstreams, however they are divided.
-    pub const fn whole(division: u32) -> Self {
+    pub const fn all(division: u32) -> Self {
         Self {
             division,
             level: u8::MAX,
@@ -21,7 +21,7 @@
     }
 
     /// The part of what is held here that a host of a level knows; `None` if it is not all held.
-    pub const fn part(self, level: u8) -> Option<Self> {
+    pub const fn at_level(self, level: u8) -> Option<Self> {
         if self.division == 0 {
             return Some(Self {
                 division: 0,
--- a/crates/peer/src/crash_note.rs
+++ b/crates/peer/src/crash_note.rs
@@ -19,7 +19,7 @@
 
 /// A request that ran to its end, so that earlier crashes say nothing against it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Cleared {
+pub struct ClearedRequest {
     /// How long ago it did.
     pub age_ms: u32,
     /// The request, as one of its team.
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CrashNote {
     /// Requests of which the sender had announced crashes, and that ran to their end there since.
-    pub cleared: Vec<Cleared>,
+    pub cleared: Vec<ClearedRequest>,
     /// What the sender saw itself. What it received is not passed on.
     pub crashes: Vec<Crash>,
     /// The sender.
@@ -43,12 +43,12 @@
 impl CrashNote {
     /// The note as a datagram.
     pub fn to_datagram(&self, token: &str) -> Vec<u8> {
-        datagram::seal(datagram::Kind::Crash, token, self)
+        datagram::encode(datagram::Kind::Crash, token, self)
     }
 
     /// Reads a datagram; one without the right mark is not a note of this kind.
     pub fn from_datagram(datagram: &[u8], token: &str) -> Result<Self, MessageError> {
-        let note: Self = datagram::open(datagram::Kind::Crash, token, datagram)?;
+        let note: Self = datagram::decode(datagram::Kind::Crash, token, datagram)?;
         MessageError::check_protocol(note.protocol)?;
         MessageError::check_size("cleared", note.cleared.len(), MAX_CRASHES)?;
         MessageError::check_size("crashes", note.crashes.len(), MAX_CRASHES)?;
--- a/crates/peer/src/datagram.rs
+++ b/crates/peer/src/datagram.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Bytes of the mark that proves the sender.
-const MARK_LEN: usize = 16;
+const TAG_LEN: usize = 16;
 
 /// What a datagram holds. It goes into the mark, so that one kind is never read as another.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -11,7 +11,7 @@
     Crash,
     Duty,
     Load,
-    TokenAsk,
+    TokenRequest,
     TokenGrant,
     Upstream,
     Usage,
@@ -24,7 +24,7 @@
             Self::Crash => b"crash",
             Self::Duty => b"duty",
             Self::Load => b"",
-            Self::TokenAsk => b"token ask",
+            Self::TokenRequest => b"token ask",
             Self::TokenGrant => b"token grant",
             Self::Upstream => b"upstream",
             Self::Usage => b"usage",
@@ -33,45 +33,45 @@
     }
 }
 
-pub(crate) fn seal<T: Serialize>(kind: Kind, token: &str, content: &T) -> Vec<u8> {
+pub(crate) fn encode<T: Serialize>(kind: Kind, token: &str, content: &T) -> Vec<u8> {
     let body = postcard::to_allocvec(content).expect("a note has only plain fields");
-    let mut datagram = mark(kind, token, &body).to_vec();
+    let mut datagram = authentication_tag(kind, token, &body).to_vec();
     datagram.extend_from_slice(&body);
     datagram
 }
 
 /// Reads a datagram; one without the right mark is not a note of this kind.
-pub(crate) fn open<T: DeserializeOwned>(
+pub(crate) fn decode<T: DeserializeOwned>(
     kind: Kind,
     token: &str,
     datagram: &[u8],
 ) -> Result<T, MessageError> {
-    open_first(kind, token, datagram).map(|(content, _)| content)
+    decode_prefix(kind, token, datagram).map(|(content, _)| content)
 }
 
 /// Reads a datagram, and gives what stands behind its content.
-pub(crate) fn open_first<'a, T: DeserializeOwned>(
+pub(crate) fn decode_prefix<'a, T: DeserializeOwned>(
     kind: Kind,
     token: &str,
     datagram: &'a [u8],
 ) -> Result<(T, &'a [u8]), MessageError> {
     let (found, body) = datagram
-        .split_at_checked(MARK_LEN)
-        .ok_or(MessageError::NotANote)?;
-    if !bool::from(found.ct_eq(&mark(kind, token, body))) {
-        return Err(MessageError::NotANote);
+        .split_at_checked(TAG_LEN)
+        .ok_or(MessageError::InvalidDatagram)?;
+    if !bool::from(found.ct_eq(&authentication_tag(kind, token, body))) {
+        return Err(MessageError::InvalidDatagram);
     }
-    postcard::take_from_bytes(body).map_err(|_| MessageError::NotANote)
+    postcard::take_from_bytes(body).map_err(|_| MessageError::InvalidDatagram)
 }
 
-fn mark(kind: Kind, token: &str, body: &[u8]) -> [u8; MARK_LEN] {
+fn authentication_tag(kind: Kind, token: &str, body: &[u8]) -> [u8; TAG_LEN] {
     let mut hasher = Sha256::new();
     hasher.update(kind.label());
     hasher.update((token.len() as u64).to_be_bytes());
     hasher.update(token.as_bytes());
     hasher.update(body);
     let digest: [u8; 32] = hasher.finalize().into();
-    let mut mark = [0; MARK_LEN];
-    mark.copy_from_slice(&digest[..MARK_LEN]);
-    mark
+    let mut tag = [0; TAG_LEN];
+    tag.copy_from_slice(&digest[..TAG_LEN]);
+    tag
 }
--- a/crates/peer/src/duty_note.rs
+++ b/crates/peer/src/duty_note.rs
@@ -19,12 +19,12 @@
 impl DutyNote {
     /// The note as a datagram.
     pub fn to_datagram(&self, token: &str) -> Vec<u8> {
-        datagram::seal(datagram::Kind::Duty, token, self)
+        datagram::encode(datagram::Kind::Duty, token, self)
     }
 
     /// Reads a datagram; one without the right mark is not a note of this kind.
     pub fn from_datagram(datagram: &[u8], token: &str) -> Result<Self, MessageError> {
-        let note: Self = datagram::open(datagram::Kind::Duty, token, datagram)?;
+        let note: Self = datagram::decode(datagram::Kind::Duty, token, datagram)?;
         MessageError::check_protocol(note.protocol)?;
         Ok(note)
     }
--- a/crates/peer/src/engine_key.rs
+++ b/crates/peer/src/engine_key.rs
@@ -6,7 +6,7 @@
 
 impl EngineKey {
     /// The key of an engine. Two engines may share one.
-    pub fn of(id: &UpstreamId) -> Self {
+    pub fn new(id: &UpstreamId) -> Self {
         let digest: [u8; 32] = Sha256::digest(id.to_string().as_bytes()).into();
         Self([digest[0], digest[1], digest[2]])
     }
--- a/crates/peer/src/handing.rs
+++ b/crates/peer/src/http_api.rs
@@ -3,7 +3,7 @@
 /// Path of the configuration; the version that the asking host has is appended.
 pub const DOCUMENT_PATH: &str = "/document/newer-than/";
 
-/// Path of the tables that few hosts read for all; a `TablesQuestion` is appended.
+/// Path of the tables that few hosts read for all; a `TablesRequest` is appended.
 pub const TABLES_PATH: &str = "/tables/changed-after/";
 
 /// Path of a copy of the tables, however old; the same question is appended.
@@ -19,22 +19,22 @@
 pub const UPSTREAM_HEADER: &str = "rhubarbcove-upstream";
 
 /// Where the asking host serves other hosts, so that they can be referred to it.
-pub const LISTENS_HEADER: &str = "rhubarbcove-listens";
+pub const LISTEN_ADDRESS_HEADER: &str = "rhubarbcove-listens";
 
 /// Hosts that can pass a large answer on, separated by commas, of a host that is busy with
 /// sending it.
-pub const REFERRED_HEADER: &str = "rhubarbcove-referred";
+pub const REFERRAL_HEADER: &str = "rhubarbcove-referred";
 
 /// Milliseconds since the sender's configuration was known to be the newest one.
-pub const AGE_HEADER: &str = "rhubarbcove-age-ms";
+pub const CONFIGURATION_AGE_HEADER: &str = "rhubarbcove-age-ms";
 
 /// Present if the sender has lost the installation's store.
-pub const LOST_HEADER: &str = "rhubarbcove-store-lost";
+pub const STORE_LOST_HEADER: &str = "rhubarbcove-store-lost";
 
 /// Milliseconds since the sender found the installation's store again, for the first
 /// seconds after that: entries that are missing from the upstreams' table may only have
 /// lapsed.
-pub const REGAINED_HEADER: &str = "rhubarbcove-store-regained-ms";
+pub const STORE_REGAINED_HEADER: &str = "rhubarbcove-store-regained-ms";
 
 /// Revision of the installation's store at which the configuration was written.
 pub const REVISION_HEADER: &str = "rhubarbcove-revision";
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -20,42 +20,42 @@
     types::prelude::*,
 };
 
+mod advertised_limit;
 mod coverage;
 mod crash_note;
 mod datagram;
 mod demand;
-mod divided_place;
 mod duty_note;
 mod engine_key;
 mod grant;
-pub mod handing;
 mod heartbeat;
 mod heartbeat_answer;
+pub mod http_api;
 mod load_note;
 mod message_error;
 mod model_work;
-mod named_limit;
 mod peer_host;
 mod peer_phase;
-mod reach_note;
-mod read_pace;
+mod prefill_token_time;
+mod reachability;
 #[cfg(feature = "rpc")]
 mod rpc;
+mod service_division;
 mod speed_vote;
-mod table_news;
 mod table_row;
-mod tables_question;
-mod token_ask;
+mod tables_request;
+mod tables_response;
 mod token_grant;
+mod token_request;
 mod upstream_note;
 mod usage_note;
 mod version_note;
 
 pub use {
+    advertised_limit::AdvertisedLimit,
     coverage::Coverage,
-    crash_note::{Cleared, Crash, CrashNote, MAX_CRASHES},
+    crash_note::{ClearedRequest, Crash, CrashNote, MAX_CRASHES},
     demand::Demand,
-    divided_place::DividedPlace,
     duty_note::DutyNote,
     engine_key::EngineKey,
     grant::Grant,
@@ -64,17 +64,17 @@
     load_note::{Echo, LoadNote, PromptRead, UpstreamLoad},
     message_error::MessageError,
     model_work::ModelWork,
-    named_limit::NamedLimit,
     peer_host::PeerHost,
     peer_phase::PeerPhase,
-    reach_note::ReachNote,
-    read_pace::ReadPace,
+    prefill_token_time::PrefillTokenTime,
+    reachability::Reachability,
+    service_division::ServiceDivision,
     speed_vote::{MAX_VOTES, SpeedVote},
-    table_news::{TableNews, TablesNews},
     table_row::TableRow,
-    tables_question::TablesQuestion,
-    token_ask::{MAX_WANTED, TokenAsk, WantedTokens},
+    tables_request::TablesRequest,
+    tables_response::{TableUpdate, TablesResponse},
     token_grant::{ExpectedWait, TokenGrant},
+    token_request::{MAX_WANTED, TokenRequest, WantedTokens},
     upstream_note::{MAX_LEAVING, MAX_LIMITS, UpstreamNote},
     usage_note::{MAX_COUNTS, MAX_MODELS, UsageNote, WindowCounts},
     version_note::VersionNote,
--- a/crates/peer/src/load_note.rs
+++ b/crates/peer/src/load_note.rs
@@ -21,7 +21,7 @@
     pub protocol: u32,
     /// Whether others can reach upstreams through the sender. It follows the speeds.
     #[serde(skip)]
-    pub reach: ReachNote,
+    pub reach: Reachability,
     /// Shared parts of prompts that the sender has lately had read anew.
     pub reads: Vec<PromptRead>,
     /// When it was sent, on the sender's clock.
@@ -75,24 +75,25 @@
     /// can make.
     pub fn to_datagram(&self, token: &str) -> Vec<u8> {
         let kind = datagram::Kind::Load;
-        let no_reach = self.reach == ReachNote::default();
+        let no_reach = self.reach == Reachability::default();
         match (no_reach, self.speeds.is_empty()) {
-            (true, true) => datagram::seal(kind, token, self),
-            (true, false) => datagram::seal(kind, token, &(self, &self.speeds)),
-            (false, _) => datagram::seal(kind, token, &(self, &self.speeds, &self.reach)),
+            (true, true) => datagram::encode(kind, token, self),
+            (true, false) => datagram::encode(kind, token, &(self, &self.speeds)),
+            (false, _) => datagram::encode(kind, token, &(self, &self.speeds, &self.reach)),
         }
     }
 
     /// Reads a datagram; one without the right mark is not a note.
     pub fn from_datagram(datagram: &[u8], token: &str) -> Result<Self, MessageError> {
         let kind = datagram::Kind::Load;
-        let (mut note, rest): (Self, &[u8]) = datagram::open_first(kind, token, datagram)?;
+        let (mut note, rest): (Self, &[u8]) = datagram::decode_prefix(kind, token, datagram)?;
         if !rest.is_empty() {
             let (speeds, rest) =
-                postcard::take_from_bytes(rest).map_err(|_| MessageError::NotANote)?;
+                postcard::take_from_bytes(rest).map_err(|_| MessageError::InvalidDatagram)?;
             note.speeds = speeds;
             if !rest.is_empty() {
-                note.reach = postcard::from_bytes(rest).map_err(|_| MessageError::NotANote)?;
+                note.reach =
+                    postcard::from_bytes(rest).map_err(|_| MessageError::InvalidDatagram)?;
             }
         }
         MessageError::check_protocol(note.protocol)?;
--- a/crates/peer/src/message_error.rs
+++ b/crates/peer/src/message_error.rs
@@ -4,11 +4,11 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MessageError {
     /// It is not a note of a host with the same secret.
-    NotANote,
+    InvalidDatagram,
     /// It does not hold news of tables.
-    NotNews,
+    InvalidTablesResponse,
     /// It is not a question for tables.
-    NotQuestion,
+    InvalidTablesRequest,
     /// It has a version that this host does not speak.
     Protocol {
         /// The version.
@@ -48,9 +48,11 @@
 impl Display for MessageError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotANote => f.write_str("datagram is not a note of a host with the same secret"),
-            Self::NotNews => f.write_str("message does not hold news of tables"),
-            Self::NotQuestion => f.write_str("message is not a question for tables"),
+            Self::InvalidDatagram => {
+                f.write_str("datagram is not a note of a host with the same secret")
+            }
+            Self::InvalidTablesResponse => f.write_str("message does not hold news of tables"),
+            Self::InvalidTablesRequest => f.write_str("message is not a question for tables"),
             Self::Protocol { found } => write!(f, "message has protocol version {found}"),
             Self::Size { found, max, part } => {
                 write!(f, "message has {found} {part}, at most {max} are allowed")
--- a/crates/peer/src/rpc.rs
+++ b/crates/peer/src/rpc.rs
@@ -21,13 +21,13 @@
 const MAX_CONNECTIONS: u32 = 256;
 
 /// JSON-RPC error code of a call without the right secret.
-const UNKNOWN_PEER: i32 = -32_001;
+const UNAUTHORIZED: i32 = -32_001;
 
 /// JSON-RPC error code of a message that is not used.
 const BAD_MESSAGE: i32 = -32_002;
 
 /// JSON-RPC error code of a host that cannot answer now.
-const NO_ANSWER: i32 = -32_003;
+const UNAVAILABLE: i32 = -32_003;
 
 /// The calls between hosts.
 #[rpc(client, server)]
@@ -45,23 +45,23 @@
         + Sync,
 >;
 
-struct Answering {
+struct RpcHandler {
     handler: PeerHandler,
     token: String,
 }
 
 #[async_trait]
-impl PeerRpcServer for Answering {
+impl PeerRpcServer for RpcHandler {
     async fn heartbeat(&self, token: String, heartbeat: Heartbeat) -> RpcResult<HeartbeatAnswer> {
-        let known: bool = token.as_bytes().ct_eq(self.token.as_bytes()).into();
-        if !known {
-            return Err(error(UNKNOWN_PEER, "not a known peer"));
+        let is_authorized: bool = token.as_bytes().ct_eq(self.token.as_bytes()).into();
+        if !is_authorized {
+            return Err(error(UNAUTHORIZED, "not a known peer"));
         }
         if let Err(found) = heartbeat.check() {
             return Err(error(BAD_MESSAGE, &found.to_string()));
         }
         let answer = (self.handler)(heartbeat).await;
-        answer.ok_or_else(|| error(NO_ANSWER, "no answer now"))
+        answer.ok_or_else(|| error(UNAVAILABLE, "no answer now"))
     }
 }
 
@@ -90,7 +90,7 @@
             .max_response_body_size(MAX_MESSAGE_BYTES)
             .build_from_tcp(listener)?;
         let address = server.local_addr()?;
-        let handle = server.start(Answering { handler, token }.into_rpc());
+        let handle = server.start(RpcHandler { handler, token }.into_rpc());
         Ok(Self { address, handle })
     }
 
--- a/crates/peer/src/divided_place.rs
+++ b/crates/peer/src/service_division.rs
@@ -3,7 +3,7 @@
 /// How the upstreams of a service in a failure domain are divided, where hosts know a part of
 /// them: how often they are halved.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct DividedPlace {
+pub struct ServiceDivision {
     /// Until those are left that all hosts know.
     pub common: u32,
     /// The failure domain.
--- a/crates/peer/src/speed_vote.rs
+++ b/crates/peer/src/speed_vote.rs
@@ -9,5 +9,5 @@
     /// The engine.
     pub engine: EngineKey,
     /// Its pace, where little delayed it.
-    pub pace: ReadPace,
+    pub pace: PrefillTokenTime,
 }
--- a/crates/peer/src/tables_question.rs
+++ b/crates/peer/src/tables_request.rs
@@ -2,41 +2,45 @@
 
 /// What a host asks another one for in place of the installation's store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct TablesQuestion {
+pub struct TablesRequest {
     /// The division that it knows, and the level that it wants.
     pub coverage: Coverage,
     /// Revision up to which it knows the hosts' table; 0 for none.
-    pub hosts: u64,
+    pub hosts_revision: u64,
     /// Revision up to which it knows the upstreams' table with that coverage; 0 for none.
-    pub upstreams: u64,
+    pub upstreams_revision: u64,
 }
 
-impl Display for TablesQuestion {
+impl Display for TablesRequest {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let Coverage { division, level } = self.coverage;
-        write!(f, "{}/{}/{division}/{level}", self.upstreams, self.hosts)
+        write!(
+            f,
+            "{}/{}/{division}/{level}",
+            self.upstreams_revision, self.hosts_revision
+        )
     }
 }
 
-impl FromStr for TablesQuestion {
+impl FromStr for TablesRequest {
     type Err = MessageError;
 
     fn from_str(text: &str) -> Result<Self, MessageError> {
         let parts: Vec<&str> = text.split('/').collect();
         let [upstreams, hosts, division, level] = parts[..] else {
-            return Err(MessageError::NotQuestion);
+            return Err(MessageError::InvalidTablesRequest);
         };
         Ok(Self {
             coverage: Coverage {
-                division: number(division)?,
-                level: number(level)?,
+                division: parse_number(division)?,
+                level: parse_number(level)?,
             },
-            hosts: number(hosts)?,
-            upstreams: number(upstreams)?,
+            hosts_revision: parse_number(hosts)?,
+            upstreams_revision: parse_number(upstreams)?,
         })
     }
 }
 
-fn number<T: FromStr>(text: &str) -> Result<T, MessageError> {
-    text.parse().map_err(|_| MessageError::NotQuestion)
+fn parse_number<T: FromStr>(text: &str) -> Result<T, MessageError> {
+    text.parse().map_err(|_| MessageError::InvalidTablesRequest)
 }
--- a/crates/peer/src/token_grant.rs
+++ b/crates/peer/src/token_grant.rs
@@ -9,7 +9,7 @@
     pub wait_ms: u32,
 }
 
-/// Answers a [`TokenAsk`], in one datagram: once at once, and again when tokens are there.
+/// Answers a [`TokenRequest`], in one datagram: once at once, and again when tokens are there.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TokenGrant {
     /// The sending time of the question that it answers.
@@ -29,12 +29,12 @@
 impl TokenGrant {
     /// The message as a datagram.
     pub fn to_datagram(&self, token: &str) -> Vec<u8> {
-        datagram::seal(datagram::Kind::TokenGrant, token, self)
+        datagram::encode(datagram::Kind::TokenGrant, token, self)
     }
 
     /// Reads a datagram; one without the right mark is not a message of this kind.
     pub fn from_datagram(datagram: &[u8], token: &str) -> Result<Self, MessageError> {
-        let grant: Self = datagram::open(datagram::Kind::TokenGrant, token, datagram)?;
+        let grant: Self = datagram::decode(datagram::Kind::TokenGrant, token, datagram)?;
         MessageError::check_protocol(grant.protocol)?;
         MessageError::check_size("waits", grant.waits.len(), MAX_WANTED)?;
         Ok(grant)
--- a/crates/peer/src/token_ask.rs
+++ b/crates/peer/src/token_request.rs
@@ -15,13 +15,13 @@
 /// Asks the keeper of an upstream's limit for tokens, in one datagram. A token is the right to
 /// send the upstream one request within a moment.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct TokenAsk {
+pub struct TokenRequest {
     /// When it was sent, on the sender's own clock; the grant repeats it.
     pub asked_us: u64,
     /// The sender.
     pub host: HostId,
     /// What the sender knows of the limit.
-    pub limit: NamedLimit,
+    pub limit: AdvertisedLimit,
     /// Version of this protocol.
     pub protocol: u32,
     /// Tokens that are wanted, the most urgent first; none to ask only whether the keeper is
@@ -31,17 +31,17 @@
     pub wanted_ms: u32,
 }
 
-impl TokenAsk {
+impl TokenRequest {
     /// The message as a datagram.
     pub fn to_datagram(&self, token: &str) -> Vec<u8> {
-        datagram::seal(datagram::Kind::TokenAsk, token, self)
+        datagram::encode(datagram::Kind::TokenRequest, token, self)
     }
 
     /// Reads a datagram; one without the right mark is not a message of this kind.
     pub fn from_datagram(datagram: &[u8], token: &str) -> Result<Self, MessageError> {
-        let ask: Self = datagram::open(datagram::Kind::TokenAsk, token, datagram)?;
-        MessageError::check_protocol(ask.protocol)?;
-        MessageError::check_size("wanted", ask.wanted.len(), MAX_WANTED)?;
-        Ok(ask)
+        let request: Self = datagram::decode(datagram::Kind::TokenRequest, token, datagram)?;
+        MessageError::check_protocol(request.protocol)?;
+        MessageError::check_size("wanted", request.wanted.len(), MAX_WANTED)?;
+        Ok(request)
     }
 }
--- a/crates/peer/src/upstream_note.rs
+++ b/crates/peer/src/upstream_note.rs
@@ -15,7 +15,7 @@
     /// Upstreams that leave, by answers to the sender's own requests.
     pub leaving: Vec<UpstreamId>,
     /// What upstreams name as their limits, as far as the sender knows.
-    pub limits: Vec<NamedLimit>,
+    pub limits: Vec<AdvertisedLimit>,
     /// Version of this protocol.
     pub protocol: u32,
     /// Brittle upstreams that have just rejected a request of the sender. They follow the
@@ -29,17 +29,18 @@
     pub fn to_datagram(&self, token: &str) -> Vec<u8> {
         let kind = datagram::Kind::Upstream;
         if self.rejected.is_empty() {
-            return datagram::seal(kind, token, self);
+            return datagram::encode(kind, token, self);
         }
-        datagram::seal(kind, token, &(self, &self.rejected))
+        datagram::encode(kind, token, &(self, &self.rejected))
     }
 
     /// Reads a datagram; one without the right mark is not a note of this kind.
     pub fn from_datagram(datagram: &[u8], token: &str) -> Result<Self, MessageError> {
         let kind = datagram::Kind::Upstream;
-        let (mut note, rest): (Self, &[u8]) = datagram::open_first(kind, token, datagram)?;
+        let (mut note, rest): (Self, &[u8]) = datagram::decode_prefix(kind, token, datagram)?;
         if !rest.is_empty() {
-            note.rejected = postcard::from_bytes(rest).map_err(|_| MessageError::NotANote)?;
+            note.rejected =
+                postcard::from_bytes(rest).map_err(|_| MessageError::InvalidDatagram)?;
         }
         MessageError::check_protocol(note.protocol)?;
         MessageError::check_size("leaving", note.leaving.len(), MAX_LEAVING)?;
--- a/crates/peer/src/usage_note.rs
+++ b/crates/peer/src/usage_note.rs
@@ -59,14 +59,14 @@
 impl UsageNote {
     /// The note as a datagram.
     pub fn to_datagram(&self, token: &str) -> Vec<u8> {
-        datagram::seal(datagram::Kind::Usage, token, self)
+        datagram::encode(datagram::Kind::Usage, token, self)
     }
 
     /// Reads a datagram; one without the right mark is not a note of this kind.
     pub fn from_datagram(datagram: &[u8], token: &str) -> Result<Self, MessageError> {
         let kind = datagram::Kind::Usage;
-        let note: Self = datagram::open(kind, token, datagram).or_else(|_| {
-            let note: NoteWithoutWork = datagram::open(kind, token, datagram)?;
+        let note: Self = datagram::decode(kind, token, datagram).or_else(|_| {
+            let note: NoteWithoutWork = datagram::decode(kind, token, datagram)?;
             Ok::<Self, MessageError>(note.into())
         })?;
         MessageError::check_protocol(note.protocol)?;
--- a/crates/peer/src/version_note.rs
+++ b/crates/peer/src/version_note.rs
@@ -15,12 +15,12 @@
 impl VersionNote {
     /// The note as a datagram.
     pub fn to_datagram(&self, token: &str) -> Vec<u8> {
-        datagram::seal(datagram::Kind::Version, token, self)
+        datagram::encode(datagram::Kind::Version, token, self)
     }
 
     /// Reads a datagram; one without the right mark is not a note.
     pub fn from_datagram(datagram: &[u8], token: &str) -> Result<Self, MessageError> {
-        let note: Self = datagram::open(datagram::Kind::Version, token, datagram)?;
+        let note: Self = datagram::decode(datagram::Kind::Version, token, datagram)?;
         MessageError::check_protocol(note.protocol)?;
         Ok(note)
     }
--- a/crates/peer/tests/messages.rs
+++ b/crates/peer/tests/messages.rs
@@ -56,10 +56,10 @@
 
 #[test]
 fn no_bytes_make_the_decoder_panic() {
-    fn survives(place: usize, byte: u8, cut: usize) -> bool {
+    fn does_not_panic(position: usize, byte: u8, cut: usize) -> bool {
         let mut text = heartbeat().to_string().into_bytes();
         let length = text.len();
-        text[place % length] = byte;
+        text[position % length] = byte;
         text.truncate(length - cut % 4);
         let parsed: Result<Heartbeat, _> = serde_json::from_slice(&text);
         parsed.is_err() || parsed.unwrap().check().is_ok() || byte.is_ascii()
@@ -67,5 +67,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(1_000, 4))
         .tests(2_000)
-        .quickcheck(survives as fn(usize, u8, usize) -> bool);
+        .quickcheck(does_not_panic as fn(usize, u8, usize) -> bool);
 }
--- a/crates/peer/tests/unit/usage_note.rs
+++ b/crates/peer/tests/unit/usage_note.rs
@@ -23,7 +23,7 @@
 fn releases_without_work_understand_and_are_understood() {
     let note = note();
     let kind = datagram::Kind::Usage;
-    let without: NoteWithoutWork = datagram::open(kind, TOKEN, &note.to_datagram(TOKEN)).unwrap();
+    let without: NoteWithoutWork = datagram::decode(kind, TOKEN, &note.to_datagram(TOKEN)).unwrap();
     assert_eq!(without.unix_ms, 5);
     let fields = (
         &note.host,
@@ -32,7 +32,7 @@
         note.unix_ms,
         &note.windows,
     );
-    let earlier = datagram::seal(kind, TOKEN, &fields);
+    let earlier = datagram::encode(kind, TOKEN, &fields);
     let read = UsageNote::from_datagram(&earlier, TOKEN).unwrap();
     let expected = UsageNote {
         work: Vec::new(),
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -52,7 +52,7 @@
     /// Ask the keeper of an upstream's limit for tokens.
     AskTokens {
         /// What to ask.
-        ask: TokenAsk,
+        ask: TokenRequest,
         /// Where the keeper is reached.
         to: SocketAddr,
     },
--- a/crates/policy/src/crashes/telling.rs
+++ b/crates/policy/src/crashes/telling.rs
@@ -94,7 +94,7 @@
                 continue;
             }
             match &announcement.news {
-                News::Cleared(fingerprint, at) => note.cleared.push(Cleared {
+                News::Cleared(fingerprint, at) => note.cleared.push(ClearedRequest {
                     age_ms: now.since(*at).as_millis() as u32,
                     fingerprint: *fingerprint,
                 }),
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -186,7 +186,7 @@
     /// Another host asks this one, as the keeper of an upstream's limit, for tokens.
     TokensAsked {
         /// What it asks.
-        ask: TokenAsk,
+        ask: TokenRequest,
         /// Where it came from.
         from: SocketAddr,
     },
--- a/crates/policy/src/hosts/neighbors.rs
+++ b/crates/policy/src/hosts/neighbors.rs
@@ -361,7 +361,7 @@
 }
 
 /// Whether the sender of a note connects to upstreams of the targets on behalf of other hosts.
-fn offers_transit(reach: &ReachNote, targets: &[Target]) -> bool {
+fn offers_transit(reach: &Reachability, targets: &[Target]) -> bool {
     let is_cut_off = |target: &Target| reach.cut_off.contains(&target.to_string());
     !reach.declines && (reach.cut_off.is_empty() || !targets.iter().any(is_cut_off))
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,10 +5,11 @@
 use {
     config::{Class, Document, Numbered, Plan, Scheduling, Team, Upstream},
     peer::{
-        Cleared, Crash, CrashNote, Demand, DividedPlace, DutyNote, Echo, EngineKey, ExpectedWait,
-        Grant, Heartbeat, HeartbeatAnswer, LoadNote, ModelWork, NamedLimit, PeerHost, PeerPhase,
-        PromptRead, ReachNote, ReadPace, SpeedVote, TokenAsk, TokenGrant, UpstreamLoad,
-        UpstreamNote, UsageNote, VersionNote, WantedTokens, WindowCounts,
+        AdvertisedLimit, ClearedRequest, Crash, CrashNote, Demand, DutyNote, Echo, EngineKey,
+        ExpectedWait, Grant, Heartbeat, HeartbeatAnswer, LoadNote, ModelWork, PeerHost, PeerPhase,
+        PrefillTokenTime, PromptRead, Reachability, ServiceDivision, SpeedVote, TokenGrant,
+        TokenRequest, UpstreamLoad, UpstreamNote, UsageNote, VersionNote, WantedTokens,
+        WindowCounts,
     },
     rand::{Rng, SeedableRng, rngs::SmallRng, seq::IteratorRandom},
     serde::{Deserialize, Serialize},
--- a/crates/policy/src/reach/transit.rs
+++ b/crates/policy/src/reach/transit.rs
@@ -73,9 +73,9 @@
     }
 
     /// What load notes tell other hosts about reaching upstreams through this host.
-    pub(crate) fn reach_note(&self) -> ReachNote {
+    pub(crate) fn reach_note(&self) -> Reachability {
         let cut_off = self.own_paths.cut_off().iter();
-        ReachNote {
+        Reachability {
             cut_off: cut_off.map(ToString::to_string).collect(),
             declines: self.phase() != HostPhase::Serving,
         }
--- a/crates/policy/src/upstream_limits/issuing.rs
+++ b/crates/policy/src/upstream_limits/issuing.rs
@@ -80,7 +80,7 @@
         &mut self,
         now: Time,
         from: SocketAddr,
-        ask: &TokenAsk,
+        ask: &TokenRequest,
         actions: &mut Vec<Action>,
     ) {
         self.record_announced_limit(now, &ask.host, &ask.limit, actions);
@@ -107,7 +107,7 @@
         &mut self,
         now: Time,
         address: Option<SocketAddr>,
-        ask: &TokenAsk,
+        ask: &TokenRequest,
         actions: &mut Vec<Action>,
     ) {
         let upstream = &ask.limit.upstream;
--- a/crates/policy/src/upstream_limits/limit_announcements.rs
+++ b/crates/policy/src/upstream_limits/limit_announcements.rs
@@ -47,7 +47,7 @@
         &mut self,
         now: Time,
         host: &HostId,
-        limit: &NamedLimit,
+        limit: &AdvertisedLimit,
         actions: &mut Vec<Action>,
     ) {
         let age = Duration::from_millis(u64::from(limit.age_ms)) + REMOTE_AGE_MARGIN;
--- a/crates/policy/src/upstream_limits/token_requests.rs
+++ b/crates/policy/src/upstream_limits/token_requests.rs
@@ -236,7 +236,7 @@
             expires_at: now + lifetime,
             wanted: wanted.clone(),
         });
-        let request = TokenAsk {
+        let request = TokenRequest {
             asked_us: now.as_us(),
             host,
             limit: state.limit.to_advertised(upstream, now),
--- a/crates/policy/src/upstreams/engine_speed.rs
+++ b/crates/policy/src/upstreams/engine_speed.rs
@@ -38,7 +38,7 @@
         Self {
             announced: None,
             decided: Time::default(),
-            key: EngineKey::of(id),
+            key: EngineKey::new(id),
             read_tokens_per_ms: FIRST_READ_TOKENS_PER_MS,
             reading: SpeedSamples::default(),
             sampled: None,
@@ -108,7 +108,7 @@
         self.announced = Some(now);
         Some(SpeedVote {
             engine: self.key,
-            pace: ReadPace::of(token_ms),
+            pace: PrefillTokenTime::from_ms(token_ms),
         })
     }
 }
--- a/crates/policy/src/upstreams/speed_votes.rs
+++ b/crates/policy/src/upstreams/speed_votes.rs
@@ -16,11 +16,11 @@
 /// What the other hosts say of one engine.
 #[derive(Debug, Default)]
 pub(crate) struct SpeedVotes {
-    by_host: HashMap<HostId, (Time, ReadPace)>,
+    by_host: HashMap<HostId, (Time, PrefillTokenTime)>,
 }
 
 impl SpeedVotes {
-    pub(crate) fn note(&mut self, host: &HostId, pace: ReadPace, now: Time) {
+    pub(crate) fn note(&mut self, host: &HostId, pace: PrefillTokenTime, now: Time) {
         self.by_host.insert(host.clone(), (now, pace));
     }
 
@@ -39,7 +39,9 @@
     /// `None` if they are too few.
     pub(crate) fn token_ms(&self, own: &SpeedSamples) -> Option<f64> {
         let others = self.by_host.values().map(|(_, pace)| *pace);
-        let mut paces: Vec<ReadPace> = others.chain(own.token_ms().map(ReadPace::of)).collect();
+        let mut paces: Vec<PrefillTokenTime> = others
+            .chain(own.token_ms().map(PrefillTokenTime::from_ms))
+            .collect();
         if paces.len() < MIN_VOTES && own.len() < MIN_ALONE {
             return None;
         }
--- a/crates/policy/src/upstreams/working_set.rs
+++ b/crates/policy/src/upstreams/working_set.rs
@@ -75,7 +75,7 @@
     }
 
     /// The division that another host announced.
-    pub fn from_divided_places(places: &[DividedPlace]) -> Self {
+    pub fn from_service_divisions(places: &[ServiceDivision]) -> Self {
         let divided = places.iter().map(|announced| {
             let halvings = Halvings {
                 common: announced.common,
@@ -92,9 +92,9 @@
     }
 
     /// The division, as it is announced to other hosts.
-    pub fn divided_places(&self) -> Vec<DividedPlace> {
+    pub fn service_divisions(&self) -> Vec<ServiceDivision> {
         let divided = self.divided.iter();
-        let places = divided.map(|((service, domain), halvings)| DividedPlace {
+        let places = divided.map(|((service, domain), halvings)| ServiceDivision {
             common: halvings.common,
             domain: domain.clone(),
             near: halvings.local,
--- a/crates/policy/tests/installation/speeds.rs
+++ b/crates/policy/tests/installation/speeds.rs
@@ -3,7 +3,7 @@
 
 use {
     crate::support::{Ask, Host, address, engines, exchange_notes, sent},
-    peer::{EngineKey, LoadNote, ReadPace, SpeedVote},
+    peer::{EngineKey, LoadNote, PrefillTokenTime, SpeedVote},
     policy::{Action, Event, SpeedNoted},
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::{
@@ -331,8 +331,8 @@
     other.pass(2_000);
     let (_, mut note) = other.take_notes().remove(0);
     let votes = rates.iter().map(|(id, tokens_per_ms)| SpeedVote {
-        engine: EngineKey::of(&id.parse().unwrap()),
-        pace: ReadPace::of(tokens_per_ms.recip()),
+        engine: EngineKey::new(&id.parse().unwrap()),
+        pace: PrefillTokenTime::from_ms(tokens_per_ms.recip()),
     });
     note.speeds = votes.collect();
     note
--- a/crates/ports/src/clock.rs
+++ b/crates/ports/src/clock.rs
@@ -7,7 +7,7 @@
 /// knowledge counts from the start and looks younger than it is, and the others take it over.
 /// One would notice removed keys that work on for seconds wherever hosts start while the store
 /// is away. Whatever is announced with an age is younger than this, or as good as forgotten.
-const AT_START: Duration = Duration::from_secs(2 * 60 * 60);
+const INITIAL_TIME: Duration = Duration::from_secs(2 * 60 * 60);
 
 /// The host's clock: monotonic, and it counts the time in which the machine is
 /// suspended.
@@ -32,7 +32,7 @@
     /// The present moment.
     pub fn now(&self) -> Time {
         let passed = since_boot().saturating_sub(self.start);
-        Time::from_us((AT_START + passed).as_micros() as u64)
+        Time::from_us((INITIAL_TIME + passed).as_micros() as u64)
     }
 }
 
--- a/crates/ports/src/directory_update.rs
+++ b/crates/ports/src/directory_update.rs
@@ -8,29 +8,29 @@
         /// The version.
         numbered: Arc<Numbered>,
         /// How it was read.
-        reading: Reading,
+        read_stats: ReadStats,
     },
     /// Another host, which this one asks in place of the store, has a newer configuration.
-    ConfigurationElsewhere {
+    NewerConfigurationAtPeer {
         /// Where it is reached.
         from: SocketAddr,
         /// Its version.
         version: ConfigVersion,
     },
     /// A newer configuration begins to arrive, and will take long.
-    ConfigurationAnnounced {
+    LargeConfigurationStarted {
         /// Its size.
         bytes: ByteSize,
     },
     /// The version announced last can be handed to other hosts.
-    ConfigurationPacked(Arc<SourceDocument>),
+    ConfigurationCompressed(Arc<SourceDocument>),
     /// The store gave no answer about the configuration.
-    ConfigurationUnread {
+    ConfigurationReadFailed {
         /// What went wrong, and how much of the answer had come.
         error: String,
     },
     /// The version announced last was the newest one at this moment.
-    Confirmed {
+    ConfigurationConfirmed {
         /// When the question was sent that was answered so.
         as_of: Time,
     },
@@ -41,7 +41,7 @@
     /// Something that was done under the lease of the duties, or could not be.
     DutyReported(DutyReport),
     /// The installation's store gives no answer.
-    Lost {
+    StoreLost {
         /// What went wrong.
         error: String,
     },
@@ -51,23 +51,23 @@
         /// domain.
         hosts: Vec<PeerHost>,
         /// Hosts of the whole installation; `None` if that is not known yet.
-        in_all: Option<usize>,
+        hosts_in_all: Option<usize>,
     },
     /// Another host reaches the store, and never lost it: what this host received last was only
     /// long ago, and no entry lapsed meanwhile.
-    ReachableAgain {
+    StoreReachableAgain {
         /// How long this host had no word of the store.
-        silent: Duration,
+        unreachable_for: Duration,
     },
     /// The store answers again.
-    Regained {
+    StoreRegained {
         /// How long ago the first host found that, as far as this one knows.
         ago: Duration,
         /// How long this host had no word of the store.
-        silent: Duration,
+        unreachable_for: Duration,
     },
     /// The store answered with something that cannot be used; it is passed over.
-    Unusable {
+    UnusableAnswer {
         /// What is wrong with it.
         error: String,
     },
@@ -79,7 +79,7 @@
         levels: Vec<(String, u8)>,
     },
     /// What the store said of a table, for other hosts.
-    TableRead(TableReading),
+    TableRead(SharedTableUpdate),
     /// All upstreams that the store lists.
     Upstreams {
         /// Those that the hosts of all failure domains know; `None` where that is each of them.
--- a/crates/ports/src/duty_report.rs
+++ b/crates/ports/src/duty_report.rs
@@ -25,7 +25,7 @@
         token: u64,
     },
     /// Upstreams were ordered, or could not be.
-    Ordered {
+    UpstreamsOrdered {
         /// What decides how many are wanted of the service.
         bound: String,
         /// Upstreams of the service that are busy now.
@@ -47,7 +47,7 @@
     },
     /// Prices by failure domain are missing or absurd, and count as equal; or they can be used
     /// again.
-    PricesJudged {
+    PricesChecked {
         /// Whether they can be used.
         are_usable: bool,
         /// The service.
--- a/crates/ports/src/passing.rs
+++ b/crates/ports/src/forwarding_context.rs
@@ -2,7 +2,7 @@
 
 /// What a host adds to a request that it passes to an upstream.
 #[derive(Clone, Debug)]
-pub struct Passing<'a> {
+pub struct ForwardingContext<'a> {
     /// Where an engine listens that keeps a part of the prompt to be fetched.
     pub fetch_from: Option<SocketAddr>,
     /// The upstream that is meant; another one at its address must refuse.
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -9,7 +9,7 @@
     flate2::{Compression, read::GzDecoder, write::GzEncoder},
     hyper::{HeaderMap, StatusCode, http::request::Parts},
     nix::time::{ClockId, clock_gettime},
-    peer::{Coverage, Crash, DividedPlace, DutyNote, PeerHost, TableNews, UsageNote},
+    peer::{Coverage, Crash, DutyNote, PeerHost, ServiceDivision, TableUpdate, UsageNote},
     std::{
         collections::{BTreeMap, BTreeSet},
         fmt::{self, Display, Formatter},
@@ -26,32 +26,32 @@
 mod directory;
 mod directory_update;
 mod duty_report;
+mod forwarding_context;
 mod head_error;
 mod header_number;
-mod judgement;
-mod offer;
-mod passing;
 mod protocol;
-mod reading;
+mod read_stats;
+mod received_configuration;
 mod request_head;
+mod response_class;
 mod shared_table;
+mod shared_table_update;
 mod source_document;
-mod table_reading;
 
 pub use {
     clock::Clock,
     directory::{Directory, DirectoryChannels},
     directory_update::DirectoryUpdate,
     duty_report::DutyReport,
+    forwarding_context::ForwardingContext,
     head_error::HeadError,
     header_number::header_number,
-    judgement::Judgement,
-    offer::Offer,
-    passing::Passing,
     protocol::Protocol,
-    reading::Reading,
+    read_stats::ReadStats,
+    received_configuration::ReceivedConfiguration,
     request_head::RequestHead,
+    response_class::ResponseClass,
     shared_table::SharedTable,
+    shared_table_update::{SharedTableUpdate, TableSource},
     source_document::SourceDocument,
-    table_reading::{TableReading, TableSource},
 };
--- a/crates/ports/src/protocol.rs
+++ b/crates/ports/src/protocol.rs
@@ -6,7 +6,7 @@
     fn read_head(&self, parts: &Parts) -> Result<RequestHead, HeadError>;
 
     /// Headers of the request as it goes to an upstream.
-    fn upstream_headers(&self, received: &HeaderMap, passing: &Passing<'_>) -> HeaderMap;
+    fn upstream_headers(&self, received: &HeaderMap, context: &ForwardingContext<'_>) -> HeaderMap;
 
     /// Headers of an upstream's answer as they go to the caller.
     fn answer_headers(&self, received: &HeaderMap) -> HeaderMap;
@@ -15,8 +15,13 @@
     fn is_of_upstream(&self, upstream: &UpstreamId, headers: &HeaderMap) -> bool;
 
     /// What an upstream says of itself in an answer.
-    fn notice(&self, status: StatusCode, headers: &HeaderMap) -> UpstreamNotice;
+    fn read_notice(&self, status: StatusCode, headers: &HeaderMap) -> UpstreamNotice;
 
     /// Judges the head of an upstream's answer.
-    fn judge(&self, head: &RequestHead, status: StatusCode, headers: &HeaderMap) -> Judgement;
+    fn classify_response(
+        &self,
+        head: &RequestHead,
+        status: StatusCode,
+        headers: &HeaderMap,
+    ) -> ResponseClass;
 }
--- a/crates/ports/src/request_head.rs
+++ b/crates/ports/src/request_head.rs
@@ -13,9 +13,9 @@
     /// Longest output that the caller allows, for an engine.
     pub max_output: Option<Tokens>,
     /// Parts of the prompt in order, for an engine.
-    pub parts: Vec<PromptPart>,
+    pub prompt_parts: Vec<PromptPart>,
     /// Length of the prompt, for an engine.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// How long the caller will wait.
     pub time_limit: Option<Duration>,
 }
--- a/crates/ports/src/table_reading.rs
+++ b/crates/ports/src/shared_table_update.rs
@@ -12,29 +12,29 @@
 /// What the installation's store said of one of its tables, for hosts that do not ask the
 /// store themselves.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct TableReading {
+pub struct SharedTableUpdate {
     /// Which upstreams it said it of; of no use for the table of hosts.
     pub coverage: Coverage,
     /// How upstreams are divided; empty where that was announced before.
-    pub divided: Vec<DividedPlace>,
+    pub divided: Vec<ServiceDivision>,
     /// Hosts of the whole installation, as far as that is known.
     pub hosts_in_all: u32,
     /// What it said.
-    pub news: TableNews,
+    pub update: TableUpdate,
     /// Who said it.
     pub source: TableSource,
     /// The table.
     pub table: SharedTable,
 }
 
-impl TableReading {
+impl SharedTableUpdate {
     /// What was said of a table that is not divided. How many hosts there are is left open.
-    pub fn new(table: SharedTable, news: TableNews, source: TableSource) -> Self {
+    pub fn new(table: SharedTable, update: TableUpdate, source: TableSource) -> Self {
         Self {
             coverage: Coverage::default(),
             divided: Vec::new(),
             hosts_in_all: 0,
-            news,
+            update,
             source,
             table,
         }
--- a/crates/ports/src/source_document.rs
+++ b/crates/ports/src/source_document.rs
@@ -2,7 +2,7 @@
 
 /// Largest document that is unpacked: many times the 886 KB of the size that is designed
 /// for.
-const MAX_DOCUMENT: u64 = 64 * 1024 * 1024;
+const MAX_DOCUMENT_BYTES: u64 = 64 * 1024 * 1024;
 
 /// The configuration as an installation keeps it, packed for other hosts.
 ///
@@ -36,7 +36,9 @@
     pub fn unpack(&self) -> std::io::Result<Vec<u8>> {
         let mut document = Vec::new();
         let unpacker = GzDecoder::new(&self.packed[..]);
-        unpacker.take(MAX_DOCUMENT).read_to_end(&mut document)?;
+        unpacker
+            .take(MAX_DOCUMENT_BYTES)
+            .read_to_end(&mut document)?;
         Ok(document)
     }
 }
--- a/crates/router/src/configuration_fetcher.rs
+++ b/crates/router/src/configuration_fetcher.rs
@@ -1,4 +1,4 @@
-use {super::*, peer::handing};
+use {super::*, peer::http_api};
 
 /// Time in which the answer of another host must begin: it is only looked up there, and
 /// some hundred milliseconds under way on a link that is full.
@@ -10,7 +10,7 @@
     pub(crate) events: flume::Sender<RingEvent>,
     pub(crate) jobs: flume::Receiver<FetchJob>,
     pub(crate) logger: Logger,
-    pub(crate) offers: flume::Sender<Offer>,
+    pub(crate) offers: flume::Sender<ReceivedConfiguration>,
     pub(crate) token: String,
 }
 
@@ -33,10 +33,10 @@
         }
     }
 
-    async fn hand_on(&self, from: SocketAddr, offer: Offer) -> FetchEnd {
+    async fn hand_on(&self, from: SocketAddr, offer: ReceivedConfiguration) -> FetchEnd {
         info!(self.logger, "peers: configuration fetched";
-            "bytes" => offer.reading.bytes.get(), "from" => %from,
-            "lasted_ms" => offer.reading.lasted.as_millis() as u64,
+            "bytes" => offer.read_stats.bytes.get(), "from" => %from,
+            "lasted_ms" => offer.read_stats.duration.as_millis() as u64,
             "version" => %offer.document.version);
         // Fails only when the host stops.
         let _ = self.offers.send_async(offer).await;
@@ -45,9 +45,9 @@
 
     async fn fetch(&self, job: FetchJob) -> eyre::Result<Fetched> {
         let newer_than = job.newer_than.map_or(0, ConfigVersion::get);
-        let path = format!("{}{newer_than}", handing::DOCUMENT_PATH);
+        let path = format!("{}{newer_than}", http_api::DOCUMENT_PATH);
         let request = Request::get(path)
-            .header(AUTHORIZATION, handing::bearer(&self.token))
+            .header(AUTHORIZATION, http_api::bearer(&self.token))
             .body(Full::default())?;
         let asked = self.clock.now();
         let calls = HttpCalls::new(job.address, 0);
@@ -63,19 +63,23 @@
         }
         let number = |name| header_number(&head.headers, name);
         let missing = || eyre!("the host's answer lacks a header");
-        let version = number(handing::VERSION_HEADER).ok_or_else(missing)?;
-        let revision = number(handing::REVISION_HEADER).ok_or_else(missing)?;
+        let version = number(http_api::VERSION_HEADER).ok_or_else(missing)?;
+        let revision = number(http_api::REVISION_HEADER).ok_or_else(missing)?;
         let bytes = ByteSize::new(packed.len() as u64);
-        Ok(Fetched::Offer(Offer {
+        Ok(Fetched::Offer(ReceivedConfiguration {
             // The host's word counts from before it was asked, so that an answer that was
             // long under way makes nothing look newer than it is.
-            as_of: number(handing::AGE_HEADER).map(|age_ms| asked - Duration::from_millis(age_ms)),
+            as_of: number(http_api::CONFIGURATION_AGE_HEADER)
+                .map(|age_ms| asked - Duration::from_millis(age_ms)),
             document: Arc::new(SourceDocument {
                 packed,
                 revision,
                 version: ConfigVersion::new(version),
             }),
-            reading: Reading { bytes, lasted },
+            read_stats: ReadStats {
+                bytes,
+                duration: lasted,
+            },
         }))
     }
 }
@@ -84,5 +88,5 @@
 enum Fetched {
     Busy,
     NoneNewer,
-    Offer(Offer),
+    Offer(ReceivedConfiguration),
 }
--- a/crates/router/src/directory_thread.rs
+++ b/crates/router/src/directory_thread.rs
@@ -18,7 +18,7 @@
     pub(crate) received: Arc<Mutex<ReceivedTables>>,
     pub(crate) logger: Logger,
     pub(crate) metrics: HostMetrics,
-    pub(crate) offers: flume::Receiver<Offer>,
+    pub(crate) offers: flume::Receiver<ReceivedConfiguration>,
     pub(crate) shutdown: Shutdown,
     pub(crate) usage: flume::Receiver<UsageNote>,
 }
@@ -55,10 +55,10 @@
             usage,
         } = self;
         let channels = DirectoryChannels {
-            asked,
+            unanswered_requests: asked,
             crashes,
             draining,
-            offers,
+            received_configurations: offers,
             updates: sender,
             usage,
         };
@@ -105,32 +105,35 @@
     fn take(&self, update: DirectoryUpdate) -> Option<Event> {
         let logger = &self.logger;
         Some(match update {
-            DirectoryUpdate::Configuration { numbered, reading } => {
+            DirectoryUpdate::Configuration {
+                numbered,
+                read_stats: reading,
+            } => {
                 info!(logger, "directory: configuration read";
                     "bytes" => reading.bytes.get(),
-                    "lasted_ms" => reading.lasted.as_millis() as u64,
+                    "lasted_ms" => reading.duration.as_millis() as u64,
                     "version" => %numbered.version);
                 Event::ConfigurationRead(numbered)
             }
-            DirectoryUpdate::ConfigurationUnread { error } => {
+            DirectoryUpdate::ConfigurationReadFailed { error } => {
                 warn!(logger, "directory: configuration not read"; "error" => error);
                 return None;
             }
-            DirectoryUpdate::ConfigurationElsewhere { from, version } => {
+            DirectoryUpdate::NewerConfigurationAtPeer { from, version } => {
                 Event::ConfigurationElsewhere { from, version }
             }
-            DirectoryUpdate::ConfigurationAnnounced { bytes } => {
+            DirectoryUpdate::LargeConfigurationStarted { bytes } => {
                 info!(logger, "directory: large configuration begins"; "bytes" => bytes.get());
                 Event::ConfigurationAnnounced
             }
-            DirectoryUpdate::ConfigurationPacked(document) => {
+            DirectoryUpdate::ConfigurationCompressed(document) => {
                 let version = document.version;
                 let as_of = None;
                 self.allocation
                     .store(Some(Arc::new(Allocation { as_of, document })));
                 Event::ConfigurationPacked(version)
             }
-            DirectoryUpdate::Confirmed { as_of } => {
+            DirectoryUpdate::ConfigurationConfirmed { as_of } => {
                 confirm(&self.allocation, as_of);
                 Event::ConfigurationConfirmed { as_of }
             }
@@ -140,29 +143,37 @@
                 duty_log::log(logger, &report);
                 return None;
             }
-            DirectoryUpdate::ReachableAgain { silent } => {
+            DirectoryUpdate::StoreReachableAgain {
+                unreachable_for: silent,
+            } => {
                 info!(logger, "directory: reachable again";
                     "silent_ms" => silent.as_millis() as u64);
                 self.received().note_reachable_again();
                 Event::DirectoryReachableAgain
             }
-            DirectoryUpdate::Lost { error } => {
+            DirectoryUpdate::StoreLost { error } => {
                 warn!(logger, "directory: lost"; "error" => error);
                 self.received().note_lost();
                 Event::DirectoryLost
             }
-            DirectoryUpdate::Peers { hosts, in_all } => Event::PeersListed {
+            DirectoryUpdate::Peers {
+                hosts,
+                hosts_in_all: in_all,
+            } => Event::PeersListed {
                 in_all,
                 peers: hosts,
             },
-            DirectoryUpdate::Regained { ago, silent } => {
+            DirectoryUpdate::StoreRegained {
+                ago,
+                unreachable_for: silent,
+            } => {
                 info!(logger, "directory: regained";
                     "ago_ms" => ago.as_millis() as u64, "silent_ms" => silent.as_millis() as u64);
                 let at = self.clock.now() - ago;
                 self.received().note_regained(at);
                 Event::DirectoryRegained { at }
             }
-            DirectoryUpdate::Unusable { error } => {
+            DirectoryUpdate::UnusableAnswer { error } => {
                 warn!(logger, "directory: answer not used"; "error" => error);
                 return None;
             }
--- a/crates/router/src/duty_log.rs
+++ b/crates/router/src/duty_log.rs
@@ -29,7 +29,7 @@
             info!(logger, "duties: lease taken"; "token" => token);
             gauge!("rhubarbcove_duty_lease_held").set(1.0);
         }
-        DutyReport::Ordered {
+        DutyReport::UpstreamsOrdered {
             bound,
             busy,
             busiest,
@@ -47,13 +47,13 @@
             counter!("rhubarbcove_upstream_orders_total", "outcome" => outcome.clone())
                 .increment(1);
         }
-        DutyReport::PricesJudged {
+        DutyReport::PricesChecked {
             are_usable: true,
             service,
         } => {
             info!(logger, "duties: prices by failure domain used"; "service" => %service);
         }
-        DutyReport::PricesJudged {
+        DutyReport::PricesChecked {
             are_usable: false,
             service,
         } => {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -31,9 +31,10 @@
         Matcher, PrometheusBuilder, PrometheusHandle, PrometheusRecorder,
     },
     peer::{
-        Coverage, Crash, CrashNote, DividedPlace, DutyNote, Heartbeat, HeartbeatAnswer, LoadNote,
-        MessageError, PeerClient, PeerHandler, PeerHost, PeerServer, TableNews, TableRow,
-        TablesNews, TablesQuestion, TokenAsk, TokenGrant, UpstreamNote, UsageNote, VersionNote,
+        Coverage, Crash, CrashNote, DutyNote, Heartbeat, HeartbeatAnswer, LoadNote, MessageError,
+        PeerClient, PeerHandler, PeerHost, PeerServer, ServiceDivision, TableRow, TableUpdate,
+        TablesRequest, TablesResponse, TokenGrant, TokenRequest, UpstreamNote, UsageNote,
+        VersionNote,
     },
     policy::{
         Action, AdmissionChange, Arrival, AttemptEnd, BrittleNoted, ClaimRequest, ClaimResult,
@@ -43,9 +44,9 @@
         SpeedNoted, StoredResponse, Target, TransferSlots, WasteCause, WorkingSet,
     },
     ports::{
-        Clock, Directory, DirectoryChannels, DirectoryUpdate, DutyReport, HeadError, Judgement,
-        Offer, Passing, Protocol, Reading, RequestHead, SharedTable, SourceDocument, TableReading,
-        TableSource, header_number,
+        Clock, Directory, DirectoryChannels, DirectoryUpdate, DutyReport, ForwardingContext,
+        HeadError, Protocol, ReadStats, ReceivedConfiguration, RequestHead, ResponseClass,
+        SharedTable, SharedTableUpdate, SourceDocument, TableSource, header_number,
     },
     rand::Rng,
     serde::{Deserialize, Serialize},
--- a/crates/router/src/note_sender.rs
+++ b/crates/router/src/note_sender.rs
@@ -41,7 +41,7 @@
     }
 
     /// Asks the keeper of an upstream's limit; a lost question is asked again.
-    pub(crate) fn ask_tokens(&self, ask: &TokenAsk, to: SocketAddr) {
+    pub(crate) fn ask_tokens(&self, ask: &TokenRequest, to: SocketAddr) {
         self.send_to("ask", &ask.to_datagram(&self.token), to);
     }
 
--- a/crates/router/src/note_thread.rs
+++ b/crates/router/src/note_thread.rs
@@ -65,7 +65,7 @@
     if let Ok(note) = LoadNote::from_datagram(datagram, token) {
         return Ok(Received::Event(Event::NoteReceived { from, note }));
     }
-    if let Ok(ask) = TokenAsk::from_datagram(datagram, token) {
+    if let Ok(ask) = TokenRequest::from_datagram(datagram, token) {
         return Ok(Received::Event(Event::TokensAsked { ask, from }));
     }
     if let Ok(grant) = TokenGrant::from_datagram(datagram, token) {
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -3,9 +3,10 @@
 
 use {
     super::*,
-    peer::handing::{
-        AGE_HEADER, DOCUMENT_PATH, LISTENS_HEADER, LOST_HEADER, REFERRED_HEADER, REGAINED_HEADER,
-        REVISION_HEADER, TABLES_COPY_PATH, TABLES_PATH, TRANSIT_PATH, VERSION_HEADER, bearer,
+    peer::http_api::{
+        CONFIGURATION_AGE_HEADER, DOCUMENT_PATH, LISTEN_ADDRESS_HEADER, REFERRAL_HEADER,
+        REVISION_HEADER, STORE_LOST_HEADER, STORE_REGAINED_HEADER, TABLES_COPY_PATH, TABLES_PATH,
+        TRANSIT_PATH, VERSION_HEADER, bearer,
     },
 };
 
@@ -79,7 +80,7 @@
     }
 
     /// What the store said of its tables, and how old the configuration is.
-    fn tables(&self, question: &TablesQuestion, to: Option<SocketAddr>) -> Response<AnswerBody> {
+    fn tables(&self, question: &TablesRequest, to: Option<SocketAddr>) -> Response<AnswerBody> {
         let advertised = lock(&self.received).advertised(self.clock.now());
         let allocation = self.allocation.load_full();
         if !matches!(advertised, TablesAdvertised::News { .. }) {
@@ -89,14 +90,14 @@
         match (advertised, allocation) {
             (TablesAdvertised::StoreLost, _) => {
                 let mut response = refused();
-                response.headers_mut().insert(LOST_HEADER, 1.into());
+                response.headers_mut().insert(STORE_LOST_HEADER, 1.into());
                 response
             }
             (TablesAdvertised::News { regained }, Some(allocation)) => {
                 let mut response = self.send_news(question, to);
                 let headers = response.headers_mut();
                 if let Some(since) = regained {
-                    headers.insert(REGAINED_HEADER, (since.as_millis() as u64).into());
+                    headers.insert(STORE_REGAINED_HEADER, (since.as_millis() as u64).into());
                 }
                 self.tell_knowledge(&allocation, headers);
                 response
@@ -106,7 +107,7 @@
     }
 
     /// A copy of the tables, for a host that found the one busy that asks the store.
-    fn copy(&self, question: &TablesQuestion, to: Option<SocketAddr>) -> Response<AnswerBody> {
+    fn copy(&self, question: &TablesRequest, to: Option<SocketAddr>) -> Response<AnswerBody> {
         match lock(&self.received).rows_for(question) {
             Some(_) => self.send_news(question, to),
             None => refused(),
@@ -115,7 +116,7 @@
 
     /// Sends what changed after the revisions; where that is large and others get it
     /// already, refers to hosts that have it.
-    fn send_news(&self, question: &TablesQuestion, to: Option<SocketAddr>) -> Response<AnswerBody> {
+    fn send_news(&self, question: &TablesRequest, to: Option<SocketAddr>) -> Response<AnswerBody> {
         let rows = lock(&self.received).rows_for(question);
         let slot = if rows.unwrap_or_default() < LARGE_ROWS {
             None
@@ -149,7 +150,7 @@
         let recipients = lock(&self.transfers).recipients();
         let recipients: Vec<String> = recipients.iter().map(SocketAddr::to_string).collect();
         if let Ok(value) = recipients.join(",").parse() {
-            response.headers_mut().insert(REFERRED_HEADER, value);
+            response.headers_mut().insert(REFERRAL_HEADER, value);
         }
         response
     }
@@ -166,7 +167,7 @@
         headers.insert(VERSION_HEADER, allocation.document.version.get().into());
         if let Some(as_of) = allocation.as_of {
             let age = self.clock.now().since(as_of);
-            headers.insert(AGE_HEADER, (age.as_millis() as u64).into());
+            headers.insert(CONFIGURATION_AGE_HEADER, (age.as_millis() as u64).into());
         }
     }
 }
@@ -181,7 +182,12 @@
 
 /// Where the asking host serves others, if it says so.
 fn listens(headers: &HeaderMap) -> Option<SocketAddr> {
-    headers.get(LISTENS_HEADER)?.to_str().ok()?.parse().ok()
+    headers
+        .get(LISTEN_ADDRESS_HEADER)?
+        .to_str()
+        .ok()?
+        .parse()
+        .ok()
 }
 
 /// A slot for a large answer; it is given back with this value.
@@ -211,11 +217,11 @@
 /// The large news packed last: hosts that start together ask for the same.
 #[derive(Default)]
 pub(crate) struct PackedNews {
-    last: Option<(TablesNews, Bytes)>,
+    last: Option<(TablesResponse, Bytes)>,
 }
 
 impl PackedNews {
-    fn pack(&mut self, news: TablesNews) -> Result<Bytes, MessageError> {
+    fn pack(&mut self, news: TablesResponse) -> Result<Bytes, MessageError> {
         if news.rows() < LARGE_ROWS {
             return Ok(news.to_bytes()?.into());
         }
@@ -231,7 +237,7 @@
 }
 
 /// The question for the tables in a path that begins so.
-fn question(path: &str, prefix: &str) -> Option<TablesQuestion> {
+fn question(path: &str, prefix: &str) -> Option<TablesRequest> {
     path.strip_prefix(prefix)?.parse().ok()
 }
 
--- a/crates/router/src/received_tables.rs
+++ b/crates/router/src/received_tables.rs
@@ -14,7 +14,7 @@
 pub(crate) struct ReceivedTables {
     /// Which upstreams the copy holds.
     coverage: Coverage,
-    divided: Vec<DividedPlace>,
+    divided: Vec<ServiceDivision>,
     /// When the store last said something of the upstreams.
     received: Option<Time>,
     hosts: TableCopy,
@@ -38,17 +38,17 @@
 
 impl ReceivedTables {
     /// Takes what the store or another host said just now.
-    pub(crate) fn take(&mut self, now: Time, reading: TableReading) {
+    pub(crate) fn take(&mut self, now: Time, reading: SharedTableUpdate) {
         match reading.table {
             SharedTable::Hosts => {
-                self.hosts.take(reading.news);
+                self.hosts.take(reading.update);
                 self.hosts_in_all = reading.hosts_in_all;
             }
             SharedTable::Upstreams => {
                 if reading.source == TableSource::Store {
                     self.received = Some(now);
                 }
-                self.upstreams.take(reading.news);
+                self.upstreams.take(reading.update);
                 if reading.coverage.level < self.coverage.level {
                     self.upstreams.keep_up_to(reading.coverage.level);
                 }
@@ -67,37 +67,37 @@
     }
 
     /// What a host lacks that asks a question, as far as it is known here.
-    pub(crate) fn news_for(&self, question: &TablesQuestion) -> Option<TablesNews> {
+    pub(crate) fn news_for(&self, question: &TablesRequest) -> Option<TablesResponse> {
         let (coverage, upstreams) = self.part_for(question)?;
         let upstreams = self.upstreams.after(upstreams, coverage.level)?;
         let divided = upstreams.whole && coverage.division != 0;
-        Some(TablesNews {
+        Some(TablesResponse {
             coverage,
             divided: if divided {
                 self.divided.clone()
             } else {
                 Vec::new()
             },
-            hosts: self.hosts_after(question.hosts),
+            hosts: self.hosts_after(question.hosts_revision),
             hosts_in_all: self.hosts_in_all,
             upstreams,
         })
     }
 
     /// Rows that such a host lacks, at the most; `None` if it lacks nothing of the upstreams.
-    pub(crate) fn rows_for(&self, question: &TablesQuestion) -> Option<usize> {
+    pub(crate) fn rows_for(&self, question: &TablesRequest) -> Option<usize> {
         let (coverage, upstreams) = self.part_for(question)?;
         let (known_to, upstream_rows) = self.upstreams.rows_after(upstreams, coverage.level)?;
-        let host_rows = self.hosts.rows_after(question.hosts, 0);
+        let host_rows = self.hosts.rows_after(question.hosts_revision, 0);
         let host_rows = host_rows.map_or(0, |(_, rows)| rows);
         (known_to > upstreams).then_some(upstream_rows + host_rows)
     }
 
     /// What changed of the hosts; nothing before they were read here, as what upstreams say
     /// must not wait for that.
-    fn hosts_after(&self, revision: u64) -> TableNews {
+    fn hosts_after(&self, revision: u64) -> TableUpdate {
         let news = self.hosts.after(revision, 0);
-        news.unwrap_or_else(|| TableNews {
+        news.unwrap_or_else(|| TableUpdate {
             revision,
             rows: Vec::new(),
             whole: false,
@@ -106,10 +106,17 @@
 
     /// Which upstreams a host is notified of, and after which revision: it needs all of them if
     /// it knows another division.
-    fn part_for(&self, question: &TablesQuestion) -> Option<(Coverage, u64)> {
-        let coverage = self.coverage.part(question.coverage.level)?;
+    fn part_for(&self, question: &TablesRequest) -> Option<(Coverage, u64)> {
+        let coverage = self.coverage.at_level(question.coverage.level)?;
         let is_known = coverage.division == question.coverage.division;
-        Some((coverage, if is_known { question.upstreams } else { 0 }))
+        Some((
+            coverage,
+            if is_known {
+                question.upstreams_revision
+            } else {
+                0
+            },
+        ))
     }
 
     /// Rows that are held for other hosts, by table.
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -86,24 +86,26 @@
             Ok((response, sender)) => {
                 let head = &self.request.head;
                 let status = response.status();
-                let judgement = self.protocol.judge(head, status, response.headers());
+                let judgement = self
+                    .protocol
+                    .classify_response(head, status, response.headers());
                 if judgement.is_of_upstream() {
-                    let notice = self.protocol.notice(status, response.headers());
+                    let notice = self.protocol.read_notice(status, response.headers());
                     self.task.tell_notice(order, notice, sent).await;
                 }
                 match judgement {
-                    Judgement::NotRun(cause) => {
+                    ResponseClass::NotRun(cause) => {
                         self.keep_refused(order, response, sender).await;
                         Stopped::Failed(CallFailure::not_run(cause))
                     }
-                    Judgement::Foreign => {
+                    ResponseClass::Mismatched => {
                         Stopped::Failed(CallFailure::may_have_run(FailureCause::Truncated))
                     }
-                    Judgement::Unproven => {
+                    ResponseClass::UnconfirmedNotRun => {
                         self.keep_refused(order, response, sender).await;
                         Stopped::Failed(CallFailure::may_have_run(FailureCause::ErrorStatus))
                     }
-                    Judgement::Success if is_event_stream(&response) => {
+                    ResponseClass::Success if is_event_stream(&response) => {
                         match self.stream(order, response, sender).await {
                             Ok(()) => return Next::End,
                             Err(stopped) => stopped,
@@ -141,7 +143,7 @@
                 FailureCause::TimedOut,
             )));
         }
-        let passing = Passing {
+        let passing = ForwardingContext {
             fetch_from: order.fetch_from,
             instance: &order.upstream,
             last_event: order.resume.and(self.last_event.as_deref()),
@@ -238,10 +240,10 @@
     async fn pass_whole(
         &mut self,
         order: &SendOrder,
-        judgement: Judgement,
+        judgement: ResponseClass,
         answer: Response<WholeAnswer>,
     ) -> Next {
-        if judgement == Judgement::Failed && answer.status().is_server_error() {
+        if judgement == ResponseClass::Failed && answer.status().is_server_error() {
             // The upstream ran it and failed. Where it may be repeated, another
             // one may do better; else the failure is passed on.
             self.held = Some(answer);
--- a/crates/router/src/relay_service.rs
+++ b/crates/router/src/relay_service.rs
@@ -178,11 +178,11 @@
         key_hash: head.key.as_deref().map(KeyHash::of_key),
         max_output: head.max_output,
         prefix: None,
-        prompt_tokens: head.prompt,
+        prompt_tokens: head.prompt_tokens,
         repeatability: Repeatability::AsConfigured,
         request,
         routed: Some(RoutedRequest {
-            parts: head.parts.clone(),
+            parts: head.prompt_parts.clone(),
             public: route.public,
             time_limit: head.time_limit,
         }),
--- a/crates/router/src/relayed_request.rs
+++ b/crates/router/src/relayed_request.rs
@@ -16,7 +16,7 @@
     pub(crate) fn for_upstream(
         &self,
         protocol: &dyn Protocol,
-        passing: &Passing<'_>,
+        passing: &ForwardingContext<'_>,
     ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
         let mut request = Request::builder()
             .method(self.method.clone())
--- a/crates/router/src/table_copy.rs
+++ b/crates/router/src/table_copy.rs
@@ -26,7 +26,7 @@
 impl TableCopy {
     /// Takes what the store said. Changes to a table that was never read whole are of no
     /// use, and an answer that was overtaken by a newer one is dropped.
-    pub(crate) fn take(&mut self, news: TableNews) {
+    pub(crate) fn take(&mut self, news: TableUpdate) {
         let before = self.known.map(|known| known.to);
         if before.is_some_and(|before| news.revision < before) {
             return;
@@ -63,7 +63,7 @@
 
     /// What has changed after a revision in rows up to a level; all of those if that is too
     /// long ago. `None` if the table is not known.
-    pub(crate) fn after(&self, revision: u64, level: u8) -> Option<TableNews> {
+    pub(crate) fn after(&self, revision: u64, level: u8) -> Option<TableUpdate> {
         let known = self.known?;
         let whole = revision < known.from;
         let rows = if whole {
@@ -76,7 +76,7 @@
             rows.sort_by(|a, b| a.key.cmp(&b.key));
             rows
         };
-        Some(TableNews {
+        Some(TableUpdate {
             revision: known.to,
             rows,
             whole,
@@ -138,7 +138,7 @@
         self.by_revision.insert(place);
     }
 
-    fn remove_missing(&mut self, news: &TableNews) {
+    fn remove_missing(&mut self, news: &TableUpdate) {
         let read: BTreeSet<&str> = news.rows.iter().map(|row| row.key.as_str()).collect();
         let is_missing = |row: &&TableRow| !row.removed && !read.contains(row.key.as_str());
         let missing = self.rows.values().filter(is_missing);
--- a/crates/router/src/transit_service.rs
+++ b/crates/router/src/transit_service.rs
@@ -1,6 +1,6 @@
 use {
     super::*,
-    peer::handing::{TRANSIT_PROTOCOL, UPSTREAM_HEADER},
+    peer::http_api::{TRANSIT_PROTOCOL, UPSTREAM_HEADER},
 };
 
 /// Longest time to connect to an upstream for another host, which tries several ones.
--- a/crates/router/src/upstream_thread.rs
+++ b/crates/router/src/upstream_thread.rs
@@ -111,7 +111,7 @@
         if !protocol.is_of_upstream(upstream, &headers) {
             return false;
         }
-        let notice = protocol.notice(status, &headers);
+        let notice = protocol.read_notice(status, &headers);
         if !notice.is_empty() {
             self.tell(Event::NoticeAnswered {
                 notice,
--- a/crates/router/tests/unit/received_tables.rs
+++ b/crates/router/tests/unit/received_tables.rs
@@ -12,19 +12,19 @@
     }
 }
 
-fn reading(table: SharedTable, division: u32, news: TableNews) -> TableReading {
-    TableReading {
-        coverage: Coverage::whole(division),
+fn reading(table: SharedTable, division: u32, news: TableUpdate) -> SharedTableUpdate {
+    SharedTableUpdate {
+        coverage: Coverage::all(division),
         divided: Vec::new(),
         hosts_in_all: 0,
-        news,
+        update: news,
         source: TableSource::Store,
         table,
     }
 }
 
-fn news(revision: u64, whole: bool, rows: Vec<TableRow>) -> TableNews {
-    TableNews {
+fn news(revision: u64, whole: bool, rows: Vec<TableRow>) -> TableUpdate {
+    TableUpdate {
         revision,
         rows,
         whole,
@@ -47,16 +47,16 @@
     received
 }
 
-fn question(upstreams: u64, division: u32, level: u8) -> TablesQuestion {
-    TablesQuestion {
+fn question(upstreams: u64, division: u32, level: u8) -> TablesRequest {
+    TablesRequest {
         coverage: Coverage { division, level },
-        hosts: 9,
-        upstreams,
+        hosts_revision: 9,
+        upstreams_revision: upstreams,
     }
 }
 
 /// What is announced: the coverage, `all` or `changes`, and the rows.
-fn advertised(received: &ReceivedTables, question: &TablesQuestion) -> String {
+fn advertised(received: &ReceivedTables, question: &TablesRequest) -> String {
     let Some(news) = received.news_for(question) else {
         return "unknown".to_string();
     };
@@ -133,19 +133,19 @@
 #[test]
 fn a_copy_of_some_rows_tells_nothing_to_a_host_that_needs_more() {
     let mut received = asked_host();
-    let from_nothing = TablesQuestion {
-        hosts: 0,
+    let from_nothing = TablesRequest {
+        hosts_revision: 0,
         ..question(0, 0, 1)
     };
     let news = received.news_for(&from_nothing).unwrap();
     let mut copy = ReceivedTables::default();
     let hosts = reading(SharedTable::Hosts, 0, news.hosts);
     copy.take(Time::from_ms(2_000), hosts);
-    let upstreams = TableReading {
+    let upstreams = SharedTableUpdate {
         coverage: news.coverage,
         divided: Vec::new(),
         hosts_in_all: 0,
-        news: news.upstreams,
+        update: news.upstreams,
         source: TableSource::Host,
         table: SharedTable::Upstreams,
     };
--- a/crates/router/tests/unit/table_copy.rs
+++ b/crates/router/tests/unit/table_copy.rs
@@ -18,8 +18,8 @@
     }
 }
 
-fn news(revision: u64, whole: bool, rows: Vec<TableRow>) -> TableNews {
-    TableNews {
+fn news(revision: u64, whole: bool, rows: Vec<TableRow>) -> TableUpdate {
+    TableUpdate {
         revision,
         rows,
         whole,
--- a/crates/upstream/src/transit.rs
+++ b/crates/upstream/src/transit.rs
@@ -3,7 +3,7 @@
 use {
     super::*,
     hyper::header::{AUTHORIZATION, CONNECTION, UPGRADE},
-    peer::handing::{TRANSIT_PATH, TRANSIT_PROTOCOL, UPSTREAM_HEADER, bearer},
+    peer::http_api::{TRANSIT_PATH, TRANSIT_PROTOCOL, UPSTREAM_HEADER, bearer},
 };
 
 /// Asks another host for a connection to an upstream; the stream that is given back carries what
