--- a/crates/peer/src/advertised_limit.rs
+++ b/crates/peer/src/advertised_limit.rs
@@ -1,12 +1,13 @@
 use super::*;
 
-/// What an upstream names as its limit for all hosts together.
+/// The rate limit that an upstream advertises for all hosts together.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AdvertisedLimit {
-    /// How long ago the request was sent whose answer named it.
+    /// Time since the request was sent whose response advertised the limit.
     pub age_ms: u32,
-    /// Requests that it takes from all hosts together; `None` for any number.
+    /// Rate of requests that the upstream accepts from all hosts together; `None` if it is
+    /// unlimited.
     pub limit: Option<Rate>,
-    /// The upstream.
+    /// The upstream that advertised the limit.
     pub upstream: UpstreamId,
 }
--- a/crates/peer/src/coverage.rs
+++ b/crates/peer/src/coverage.rs
@@ -1,18 +1,19 @@
 use super::*;
 
-/// Which upstreams of an installation some news hold.
+/// Which upstreams of an installation a message or a copy of the upstream table covers.
 ///
-/// Where there are many, the hosts of a failure domain know a part of them, their working set.
+/// In a large installation the hosts of a failure domain know only a part of the upstreams, their
+/// working set.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Coverage {
-    /// Tells one division of the upstreams from another; 0 where every host knows all of them.
+    /// Identifies a division of the upstreams into levels; 0 where every host knows all upstreams.
     pub division: u32,
-    /// Level up to which rows are held.
+    /// Highest level of the rows that are covered.
     pub level: u8,
 }
 
 impl Coverage {
-    /// All upstreams, however they are divided.
+    /// Covers all upstreams, whatever their level.
     pub const fn all(division: u32) -> Self {
         Self {
             division,
@@ -20,7 +21,8 @@
         }
     }
 
-    /// The part of what is held here that a host of a level knows; `None` if it is not all held.
+    /// Restricts this coverage to the rows of a host of the given level. Returns `None` if this
+    /// coverage does not include all of them.
     pub const fn at_level(self, level: u8) -> Option<Self> {
         if self.division == 0 {
             return Some(Self {
--- a/crates/peer/src/crash_note.rs
+++ b/crates/peer/src/crash_note.rs
@@ -1,38 +1,39 @@
 use super::*;
 
-/// Most crashes in one note: with them it fits into one packet.
+/// Maximum number of crashes in one note, so that the note fits into one packet.
 pub const MAX_CRASHES: usize = 12;
 
-/// An upstream that ended while a request ran there or waited there to run.
+/// A request that was running or queued on an upstream when that upstream crashed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Crash {
-    /// How long ago.
+    /// Time since the crash.
     pub age_ms: u32,
-    /// The request, as one of its team.
+    /// Fingerprint of the request within its team.
     pub fingerprint: Fingerprint,
-    /// Whether little speaks against the request: its answer had begun, or an identical one
-    /// had lately run to its end.
+    /// Whether the crash is weak evidence against the request: its response had begun, or an
+    /// identical request had completed recently.
     pub is_weak: bool,
-    /// The upstream; its id holds the start, where upstreams tell it.
+    /// The upstream that crashed. The id includes the incarnation if the upstream reports it.
     pub upstream: UpstreamId,
 }
 
-/// A request that ran to its end, so that earlier crashes say nothing against it.
+/// A request that completed, so that earlier crashes are no evidence against it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClearedRequest {
-    /// How long ago it did.
+    /// Time since the request completed.
     pub age_ms: u32,
-    /// The request, as one of its team.
+    /// Fingerprint of the request within its team.
     pub fingerprint: Fingerprint,
 }
 
-/// Tells another host, in one datagram, which requests were on upstreams that ended. One
-/// may be lost: each crash is announced several times.
+/// Tells another host in one datagram which requests were on upstreams that crashed. The datagram
+/// may be lost, so each crash is announced several times.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CrashNote {
-    /// Requests of which the sender had announced crashes, and that ran to their end there since.
+    /// Requests that completed on the sender after the sender had announced crashes of them.
     pub cleared: Vec<ClearedRequest>,
-    /// What the sender saw itself. What it received is not passed on.
+    /// Crashes that the sender observed itself. Crashes that it received from others are not
+    /// forwarded.
     pub crashes: Vec<Crash>,
     /// The sender.
     pub host: HostId,
@@ -41,12 +42,13 @@
 }
 
 impl CrashNote {
-    /// The note as a datagram.
+    /// Encodes the note as an authenticated datagram.
     pub fn to_datagram(&self, token: &str) -> Vec<u8> {
         datagram::encode(datagram::Kind::Crash, token, self)
     }
 
-    /// Reads a datagram; one without the right mark is not a note of this kind.
+    /// Decodes a datagram. Fails unless the datagram has a valid authentication tag for this kind
+    /// of note.
     pub fn from_datagram(datagram: &[u8], token: &str) -> Result<Self, MessageError> {
         let note: Self = datagram::decode(datagram::Kind::Crash, token, datagram)?;
         MessageError::check_protocol(note.protocol)?;
--- a/crates/peer/src/datagram.rs
+++ b/crates/peer/src/datagram.rs
@@ -1,11 +1,13 @@
-//! Datagrams between hosts, with a mark that only hosts of the same secret can make.
+//! Datagrams between hosts, with an authentication tag that only hosts with the same secret can
+//! compute.
 
 use super::*;
 
-/// Bytes of the mark that proves the sender.
+/// Length in bytes of the tag that authenticates the sender.
 const TAG_LEN: usize = 16;
 
-/// What a datagram holds. It goes into the mark, so that one kind is never read as another.
+/// What a datagram holds. The kind is covered by the authentication tag, so that a datagram of one
+/// kind is never decoded as another.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Kind {
     Crash,
@@ -34,13 +36,13 @@
 }
 
 pub(crate) fn encode<T: Serialize>(kind: Kind, token: &str, content: &T) -> Vec<u8> {
-    let body = postcard::to_allocvec(content).expect("a note has only plain fields");
+    let body = postcard::to_allocvec(content).expect("messages contain only serializable fields");
     let mut datagram = authentication_tag(kind, token, &body).to_vec();
     datagram.extend_from_slice(&body);
     datagram
 }
 
-/// Reads a datagram; one without the right mark is not a note of this kind.
+/// Decodes a datagram. Fails unless the datagram has a valid authentication tag for `kind`.
 pub(crate) fn decode<T: DeserializeOwned>(
     kind: Kind,
     token: &str,
@@ -49,7 +51,7 @@
     decode_prefix(kind, token, datagram).map(|(content, _)| content)
 }
 
-/// Reads a datagram, and gives what stands behind its content.
+/// Decodes a datagram and also returns the bytes that follow the decoded content.
 pub(crate) fn decode_prefix<'a, T: DeserializeOwned>(
     kind: Kind,
     token: &str,
--- a/crates/peer/src/heartbeat.rs
+++ b/crates/peer/src/heartbeat.rs
@@ -1,28 +1,28 @@
 use super::*;
 
-/// What a host tells the coordinator of its domain.
+/// Reports a host's state to the coordinator of its failure domain.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// What it could use, by target.
+    /// The host's queued and running requests by target, from which its share is computed.
     pub demand: BTreeMap<String, Demand>,
-    /// Failure domain it stands in.
+    /// Failure domain of the host.
     pub failure_domain: FailureDomainId,
-    /// Who it is.
+    /// The host that sends the heartbeat.
     pub host: HostId,
-    /// Which start of it this is.
+    /// Incarnation of the host.
     pub incarnation: Incarnation,
-    /// Upstreams that it knows to be leaving.
+    /// Upstreams that the host knows to be leaving.
     pub leaving: Vec<UpstreamId>,
-    /// Where it is in its life.
+    /// Lifecycle phase of the host.
     pub phase: PeerPhase,
-    /// Version of the protocol.
+    /// Version of this protocol.
     pub protocol: u32,
-    /// Version of the configuration that it has in force.
+    /// Version of the configuration in force at the host.
     pub version: Option<ConfigVersion>,
 }
 
 impl Heartbeat {
-    /// Checks what a decoder cannot: version and sizes.
+    /// Checks what the decoder does not check: the protocol version and the sizes.
     pub fn check(&self) -> Result<(), MessageError> {
         MessageError::check_protocol(self.protocol)?;
         MessageError::check_size("targets", self.demand.len(), MAX_TARGETS)?;
--- a/crates/peer/src/http_api.rs
+++ b/crates/peer/src/http_api.rs
@@ -1,39 +1,41 @@
-//! What hosts of an installation ask each other over HTTP: paths and headers.
+//! Paths and headers of the HTTP requests between the hosts of an installation.
 
-/// Path of the configuration; the version that the asking host has is appended.
+/// Path of the configuration. The version that the requesting host has is appended.
 pub const DOCUMENT_PATH: &str = "/document/newer-than/";
 
-/// Path of the tables that few hosts read for all; a `TablesRequest` is appended.
+/// Path of the store's tables, which only a few hosts read from the store. A `TablesRequest` is
+/// appended.
 pub const TABLES_PATH: &str = "/tables/changed-after/";
 
-/// Path of a copy of the tables, however old; the same question is appended.
+/// Path of a copy of the tables of any age. A `TablesRequest` is appended.
 pub const TABLES_COPY_PATH: &str = "/tables/copied-after/";
 
-/// Path of a connection to an upstream, which the header [`UPSTREAM_HEADER`] names.
+/// Path for opening a connection to an upstream through another host. The header
+/// [`UPSTREAM_HEADER`] names the upstream.
 pub const TRANSIT_PATH: &str = "/transit";
 
-/// Protocol to which a connection is switched that is passed on to an upstream.
+/// Protocol name in the HTTP upgrade to a connection that is relayed to an upstream.
 pub const TRANSIT_PROTOCOL: &str = "rhubarbcove-transit";
 
-/// Id of the upstream to which a connection is wanted.
+/// Id of the upstream to which the requesting host wants a connection.
 pub const UPSTREAM_HEADER: &str = "rhubarbcove-upstream";
 
-/// Where the asking host serves other hosts, so that they can be referred to it.
+/// Address at which the requesting host serves other hosts, so that they can be referred to it.
 pub const LISTEN_ADDRESS_HEADER: &str = "rhubarbcove-listens";
 
-/// Hosts that can pass a large answer on, separated by commas, of a host that is busy with
-/// sending it.
+/// Addresses of hosts, separated by commas, that can serve a large response instead of the sender,
+/// which is busy sending it to others.
 pub const REFERRAL_HEADER: &str = "rhubarbcove-referred";
 
-/// Milliseconds since the sender's configuration was known to be the newest one.
+/// Milliseconds since the sender's configuration was last known to be the newest.
 pub const CONFIGURATION_AGE_HEADER: &str = "rhubarbcove-age-ms";
 
-/// Present if the sender has lost the installation's store.
+/// Present if the sender has lost its connection to the installation's store.
 pub const STORE_LOST_HEADER: &str = "rhubarbcove-store-lost";
 
-/// Milliseconds since the sender found the installation's store again, for the first
-/// seconds after that: entries that are missing from the upstreams' table may only have
-/// lapsed.
+/// Milliseconds since the sender reached the installation's store again. Sent only for the first
+/// seconds after that, when entries that are missing from the upstream table may merely have
+/// expired during the outage.
 pub const STORE_REGAINED_HEADER: &str = "rhubarbcove-store-regained-ms";
 
 /// Revision of the installation's store at which the configuration was written.
@@ -42,7 +44,8 @@
 /// Version of the sender's configuration.
 pub const VERSION_HEADER: &str = "rhubarbcove-version";
 
-/// The value of the header `authorization` by which hosts of one secret know each other.
+/// Value of the `authorization` header with which hosts that share a secret authenticate each
+/// other.
 pub fn bearer(token: &str) -> String {
     format!("Bearer {token}")
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,9 +1,13 @@
-//! The protocol between hosts. There are two exchanges. A host tells the coordinator
-//! of its failure domain that it lives and what it could use (heartbeat), and
-//! the coordinator answers with the host's shares and with what it has received. In an
-//! installation, hosts tell each other their load by datagrams (notes). The
-//! coordinator is a hint that each host computes for itself; nothing here is needed
-//! for a promise to hold.
+//! The protocol between hosts.
+//!
+//! A host sends a heartbeat to the coordinator of its failure domain, with its state and its
+//! demand. The coordinator answers with the host's shares and with what it knows itself. The hosts
+//! of an installation also send each other notes, which are single datagrams without
+//! acknowledgement, for example about their load. Hosts request the configuration and the store's
+//! tables from each other over HTTP.
+//!
+//! Each host computes the coordinator for itself, so hosts may disagree about it. No guarantee of
+//! the router depends on these messages.
 
 use {
     flate2::{Compression, read::GzDecoder, write::GzEncoder},
@@ -83,17 +87,18 @@
 #[cfg(feature = "rpc")]
 pub use rpc::{PeerClient, PeerHandler, PeerServer};
 
-/// Version of the protocol. A host answers the version before its own too.
+/// Version of the protocol. A host also accepts the next version, and older versions from
+/// [`OLDEST_PROTOCOL`] on.
 pub const PROTOCOL: u32 = 1;
 
-/// Oldest version that is answered.
+/// Oldest version that a host accepts.
 pub const OLDEST_PROTOCOL: u32 = 1;
 
-/// Most targets or groups in one message; a domain serves far fewer.
+/// Maximum number of targets or groups in one message. A failure domain serves far fewer.
 pub const MAX_TARGETS: usize = 256;
 
-/// Most shared parts in one note: with them it still fits into one packet.
+/// Maximum number of cached prompt parts in one note, so that the note still fits into one packet.
 pub const MAX_READS: usize = 16;
 
-/// Most upstreams in one message.
+/// Maximum number of upstreams in one message.
 pub const MAX_UPSTREAMS: usize = 1_024;
--- a/crates/peer/src/load_note.rs
+++ b/crates/peer/src/load_note.rs
@@ -1,13 +1,12 @@
 use super::*;
 
-/// What a host tells the others, in one datagram, of the load that it has put
-/// on upstreams and of the configuration that it knows. One may be lost: the
-/// next one says all again.
+/// Tells another host in one datagram the load that the sender has put on upstreams and the
+/// configuration that it knows. The datagram may be lost; the next note contains everything again.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadNote {
-    /// How long ago the version was known to be the newest.
+    /// Time since the configuration was last known to be the newest.
     pub confirmed_age_ms: Option<u32>,
-    /// The receiver's last note that the sender has got.
+    /// The last note of the receiver that the sender received.
     pub echo: Option<Echo>,
     /// The sender.
     pub host: HostId,
@@ -15,64 +14,64 @@
     pub incarnation: Incarnation,
     /// Upstreams that are leaving.
     pub leaving: Vec<UpstreamId>,
-    /// Load by upstream; those without any are left out.
+    /// Load by upstream. Upstreams without load are omitted.
     pub loads: Vec<UpstreamLoad>,
     /// Version of this protocol.
     pub protocol: u32,
-    /// Whether others can reach upstreams through the sender. It follows the speeds.
+    /// Whether other hosts can reach upstreams through the sender. Encoded after `speeds`.
     #[serde(skip)]
     pub reach: Reachability,
-    /// Shared parts of prompts that the sender has lately had read anew.
+    /// Shared prompt parts that engines have recently prefilled and cached for requests of the
+    /// sender.
     pub reads: Vec<PromptRead>,
-    /// When it was sent, on the sender's clock.
+    /// Time at which the note was sent, on the sender's clock.
     pub sent_us: u64,
-    /// How fast the sender believes some engines to be. They stand behind the rest of the note,
-    /// where hosts of the release before pass over them.
+    /// The sender's estimates of the speed of some engines. Encoded after the rest of the note,
+    /// where hosts of the previous release ignore them.
     #[serde(skip)]
     pub speeds: Vec<SpeedVote>,
     /// Version of the configuration in force at the sender.
     pub version: Option<ConfigVersion>,
 }
 
-/// Names a note that was got.
+/// Identifies a note that was received.
 ///
-/// It ties an age to the receiver's own clock: what the sender says is not
-/// older than the note that it names, however long the answer was under way.
+/// The echo bounds the age of the sender's data on the receiver's own clock: the data is not older
+/// than the note that is echoed, however long the answer was in transit.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Echo {
-    /// The incarnation that sent it.
+    /// The incarnation that sent the echoed note.
     pub incarnation: Incarnation,
-    /// When it was sent, on that incarnation's clock.
+    /// Time at which the echoed note was sent, on the clock of that incarnation.
     pub sent_us: u64,
 }
 
-/// A host's load on one upstream.
+/// The load of one host on one upstream.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct UpstreamLoad {
-    /// Prompt tokens sent there that have brought no first token yet.
+    /// Prompt tokens of requests there that have not produced their first token yet.
     pub backlog: Tokens,
-    /// Requests there.
+    /// Requests in flight there.
     pub in_flight: u32,
-    /// Those of them that long prompts beside them can make late.
+    /// How many of these requests can become late because of long prompts on the same engine.
     pub pause_bound: u32,
     /// The upstream.
     pub upstream: UpstreamId,
 }
 
-/// A shared part of a prompt that an engine reads, and keeps from then on.
+/// A shared part of a prompt that an engine prefills, and keeps in its cache afterwards.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PromptRead {
-    /// Hash of the chain of parts up to this one.
+    /// Hash of the sequence of prompt parts up to and including this one.
     pub chain: u64,
-    /// Tokens of this part.
+    /// Length of this part in tokens.
     pub tokens: Tokens,
     /// The engine.
     pub upstream: UpstreamId,
 }
 
 impl LoadNote {
-    /// The note as a datagram, with a mark that only hosts of the same secret
-    /// can make.
+    /// Encodes the note as an authenticated datagram.
     pub fn to_datagram(&self, token: &str) -> Vec<u8> {
         let kind = datagram::Kind::Load;
         let no_reach = self.reach == Reachability::default();
@@ -83,7 +82,8 @@
         }
     }
 
-    /// Reads a datagram; one without the right mark is not a note.
+    /// Decodes a datagram. Fails unless the datagram has a valid authentication tag for this kind
+    /// of note.
     pub fn from_datagram(datagram: &[u8], token: &str) -> Result<Self, MessageError> {
         let kind = datagram::Kind::Load;
         let (mut note, rest): (Self, &[u8]) = datagram::decode_prefix(kind, token, datagram)?;
--- a/crates/peer/src/message_error.rs
+++ b/crates/peer/src/message_error.rs
@@ -1,26 +1,26 @@
 use super::*;
 
-/// Why a message of another host is not used.
+/// Why a message of another host is rejected.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MessageError {
-    /// It is not a note of a host with the same secret.
+    /// The datagram does not come from a host with the same secret, or it is malformed.
     InvalidDatagram,
-    /// It does not hold news of tables.
+    /// The response with tables is malformed.
     InvalidTablesResponse,
-    /// It is not a question for tables.
+    /// The request for tables is malformed.
     InvalidTablesRequest,
-    /// It has a version that this host does not speak.
+    /// The message has a protocol version that this host does not support.
     Protocol {
-        /// The version.
+        /// Version of the message.
         found: u32,
     },
-    /// A part of it is larger than allowed.
+    /// A part of the message is larger than allowed.
     Size {
-        /// How large it is.
+        /// Size of the part.
         found: usize,
-        /// The most that is allowed.
+        /// Maximum size.
         max: usize,
-        /// The part.
+        /// Name of the part.
         part: String,
     },
 }
@@ -49,10 +49,10 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Self::InvalidDatagram => {
-                f.write_str("datagram is not a note of a host with the same secret")
+                f.write_str("datagram is malformed or not from a host with the same secret")
             }
-            Self::InvalidTablesResponse => f.write_str("message does not hold news of tables"),
-            Self::InvalidTablesRequest => f.write_str("message is not a question for tables"),
+            Self::InvalidTablesResponse => f.write_str("response with tables is malformed"),
+            Self::InvalidTablesRequest => f.write_str("request for tables is malformed"),
             Self::Protocol { found } => write!(f, "message has protocol version {found}"),
             Self::Size { found, max, part } => {
                 write!(f, "message has {found} {part}, at most {max} are allowed")
--- a/crates/peer/src/peer_host.rs
+++ b/crates/peer/src/peer_host.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// A host as the platform lists it.
+/// A host as listed in the installation's store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PeerHost {
-    /// Where other hosts reach it.
+    /// Address at which other hosts reach this host.
     pub address: SocketAddr,
-    /// Failure domain it stands in.
+    /// Failure domain of the host.
     pub failure_domain: FailureDomainId,
-    /// Id.
+    /// Id of the host.
     pub host: HostId,
-    /// Asked to leave.
+    /// Whether the host was asked to leave.
     pub leaving: bool,
 }
--- a/crates/peer/src/peer_phase.rs
+++ b/crates/peer/src/peer_phase.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Where a host is in its life, as it tells others.
+/// Lifecycle phase of a host, as announced to other hosts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerPhase {
-    /// Finishes what it has.
+    /// Finishes its requests and accepts no new ones.
     Draining,
-    /// Takes requests.
+    /// Accepts requests.
     Serving,
     /// Has no configuration yet.
     Starting,
--- a/crates/peer/src/reachability.rs
+++ b/crates/peer/src/reachability.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// Whether other hosts can reach upstreams through this one.
+/// Whether other hosts can reach upstreams through the sender.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Reachability {
-    /// Targets none of whose upstreams it reaches.
+    /// Targets of which the sender reaches no upstream.
     pub cut_off: Vec<String>,
-    /// Whether it opens no connections for others.
+    /// Whether the sender refuses to open connections for other hosts.
     pub declines: bool,
 }
--- a/crates/peer/src/rpc.rs
+++ b/crates/peer/src/rpc.rs
@@ -1,5 +1,5 @@
-//! The transport: JSON-RPC over HTTP by `jsonrpsee`. A peer is known by a
-//! secret that all hosts have in their settings; it comes with each call.
+//! The JSON-RPC transport over HTTP. Each call contains a secret that all hosts have in their
+//! settings, and that authenticates the caller.
 
 use {
     super::*,
@@ -14,31 +14,31 @@
     subtle::ConstantTimeEq,
 };
 
-/// Largest message, in bytes.
+/// Maximum size of a message.
 const MAX_MESSAGE_BYTES: u32 = 256 * 1024;
 
-/// Most connections of other hosts; a domain has far fewer.
+/// Maximum number of connections of other hosts. A failure domain has far fewer.
 const MAX_CONNECTIONS: u32 = 256;
 
-/// JSON-RPC error code of a call without the right secret.
+/// JSON-RPC error code for a call without the right secret.
 const UNAUTHORIZED: i32 = -32_001;
 
-/// JSON-RPC error code of a message that is not used.
+/// JSON-RPC error code for a message that is rejected.
 const BAD_MESSAGE: i32 = -32_002;
 
-/// JSON-RPC error code of a host that cannot answer now.
+/// JSON-RPC error code of a host that cannot answer at the moment.
 const UNAVAILABLE: i32 = -32_003;
 
-/// The calls between hosts.
+/// The remote procedure calls between hosts.
 #[rpc(client, server)]
 pub trait PeerRpc {
-    /// Tells the coordinator of a domain that a host lives; the answer has its
+    /// Reports a host's state to the coordinator of its failure domain and returns the host's
     /// shares.
     #[method(name = "heartbeat")]
     async fn heartbeat(&self, token: String, heartbeat: Heartbeat) -> RpcResult<HeartbeatAnswer>;
 }
 
-/// What answers heartbeats: `None` if it cannot now.
+/// Handles a heartbeat. Returns `None` if the host cannot answer at the moment.
 pub type PeerHandler = Arc<
     dyn Fn(Heartbeat) -> Pin<Box<dyn Future<Output = Option<HeartbeatAnswer>> + Send>>
         + Send
@@ -69,7 +69,7 @@
     ErrorObjectOwned::owned(code, message.to_string(), None::<()>)
 }
 
-/// Listens for other hosts.
+/// Server for the calls of other hosts.
 #[derive(Debug)]
 pub struct PeerServer {
     address: SocketAddr,
@@ -77,7 +77,7 @@
 }
 
 impl PeerServer {
-    /// Serves other hosts on a listener.
+    /// Starts to serve other hosts on a listener.
     pub async fn start(
         listener: std::net::TcpListener,
         token: String,
@@ -94,19 +94,19 @@
         Ok(Self { address, handle })
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops and waits for the end.
+    /// Stops the server and waits until it has ended.
     pub async fn stop(self) {
         let _ = self.handle.stop();
         self.handle.stopped().await;
     }
 }
 
-/// Calls one other host.
+/// Client for calls to one other host.
 #[derive(Clone, Debug)]
 pub struct PeerClient {
     client: HttpClient,
@@ -114,7 +114,7 @@
 }
 
 impl PeerClient {
-    /// A client of the host at an address; each call has `timeout`.
+    /// Creates a client for the host at `address`. Each call is limited to `timeout`.
     pub fn new(address: SocketAddr, token: String, timeout: Duration) -> Result<Self, ClientError> {
         let client = HttpClientBuilder::default()
             .max_request_size(MAX_MESSAGE_BYTES)
@@ -124,7 +124,7 @@
         Ok(Self { client, token })
     }
 
-    /// Sends a heartbeat; `None` if no answer came that can be used.
+    /// Sends a heartbeat. Returns `None` if no valid answer arrives.
     pub async fn heartbeat(&self, heartbeat: Heartbeat) -> Option<HeartbeatAnswer> {
         let answer = PeerRpcClient::heartbeat(&self.client, self.token.clone(), heartbeat).await;
         answer.ok().filter(|answer| answer.check().is_ok())
--- a/crates/peer/src/speed_vote.rs
+++ b/crates/peer/src/speed_vote.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// Most votes that a host takes from one note.
+/// Maximum number of speed votes in one note.
 pub const MAX_VOTES: usize = 16;
 
-/// How fast an engine reads, by the requests of one host.
+/// The speed of an engine as measured by the requests of one host.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SpeedVote {
     /// The engine.
     pub engine: EngineKey,
-    /// Its pace, where little delayed it.
+    /// Prefill time per token, from requests with little delay by other work.
     pub pace: PrefillTokenTime,
 }
--- a/crates/peer/src/tables_request.rs
+++ b/crates/peer/src/tables_request.rs
@@ -1,13 +1,15 @@
 use super::*;
 
-/// What a host asks another one for in place of the installation's store.
+/// Request for the store's tables, which a host sends to another host instead of reading the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TablesRequest {
-    /// The division that it knows, and the level that it wants.
+    /// The division that the requesting host knows, and the level that it wants.
     pub coverage: Coverage,
-    /// Revision up to which it knows the hosts' table; 0 for none.
+    /// Revision up to which the requesting host knows the host table; 0 if it does not know the
+    /// table.
     pub hosts_revision: u64,
-    /// Revision up to which it knows the upstreams' table with that coverage; 0 for none.
+    /// Revision up to which the requesting host knows the upstream table with this coverage; 0 if
+    /// it does not know the table.
     pub upstreams_revision: u64,
 }
 
--- a/crates/peer/src/tables_response.rs
+++ b/crates/peer/src/tables_response.rs
@@ -1,49 +1,50 @@
 use super::*;
 
-/// What a host tells another one of a table of the installation's store.
+/// Changes or the whole content of a table of the installation's store, as sent between hosts.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TableUpdate {
-    /// Revision up to which the table is known with these rows.
+    /// Revision of the table once these rows are applied.
     pub revision: u64,
-    /// Rows that changed; all rows if they are the whole table.
+    /// Rows that changed, or all rows if `whole` is set.
     pub rows: Vec<TableRow>,
-    /// Whether these are all rows, so that any other one is gone.
+    /// Whether these are all rows of the table, so that any other row has been removed.
     pub whole: bool,
 }
 
-/// Bytes from which news are compressed.
+/// Minimum size from which responses are compressed.
 const MIN_COMPRESSED_BYTES: usize = 1_024;
 
-/// Most bytes that news have when they are decompressed: 10,000 rows of 3 KB.
+/// Maximum size of a decompressed response: 10,000 rows of 3 KB.
 const MAX_DECOMPRESSED_BYTES: u64 = 32 * 1024 * 1024;
 
-/// First byte of encoded news: how the rest is written.
+/// First byte of an encoded response, which names the encoding of the remaining bytes.
 const PLAIN: u8 = 0;
 const COMPRESSED: u8 = 1;
 
-/// News of all tables that few hosts read for the others.
+/// Answers a [`TablesRequest`] with the changes of all tables that only a few hosts read from the
+/// store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TablesResponse {
-    /// Which upstreams are announced.
+    /// Which upstreams the response covers.
     pub coverage: Coverage,
-    /// How upstreams are divided, beside all rows of the upstreams.
+    /// How the upstreams are divided. Sent with all rows of the upstream table.
     pub divided: Vec<ServiceDivision>,
-    /// The hosts of the installation.
+    /// Update of the host table.
     pub hosts: TableUpdate,
-    /// Hosts of the whole installation; where there are many, a host learns those of its own
-    /// failure domain. 0 if the sender has not read them.
+    /// Number of hosts in the whole installation; 0 if the sender has not read the number. In a
+    /// large installation, `hosts` contains only the receiver's failure domain.
     pub hosts_in_all: u32,
-    /// The upstreams.
+    /// Update of the upstream table.
     pub upstreams: TableUpdate,
 }
 
 impl TablesResponse {
-    /// Rows in all tables.
+    /// Number of rows in all tables.
     pub const fn rows(&self) -> usize {
         self.hosts.rows.len() + self.upstreams.rows.len()
     }
 
-    /// The news as hosts send them, compressed where that is worth it.
+    /// Encodes the response, and compresses it if it is large enough.
     pub fn to_bytes(&self) -> Result<Vec<u8>, MessageError> {
         let plain = postcard::to_allocvec(self).map_err(|_| MessageError::InvalidTablesResponse)?;
         if plain.len() < MIN_COMPRESSED_BYTES {
@@ -56,7 +57,7 @@
             .map_err(|_| MessageError::InvalidTablesResponse)
     }
 
-    /// Reads news of another host.
+    /// Decodes a response of another host.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, MessageError> {
         let (kind, rest) = bytes
             .split_first()
--- a/crates/peer/src/token_request.rs
+++ b/crates/peer/src/token_request.rs
@@ -1,43 +1,44 @@
 use super::*;
 
-/// Most priorities in one question: with them it fits into one packet.
+/// Maximum number of priorities in one request, so that the request fits into one packet.
 pub const MAX_WANTED: usize = 16;
 
-/// Tokens that requests of one priority wait for.
+/// Tokens for the waiting requests of one priority.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WantedTokens {
-    /// How many.
+    /// Number of tokens.
     pub count: u32,
-    /// Priority of the requests, 0 the most urgent; `None` if none waits yet.
+    /// Priority of the requests, 0 the most urgent; `None` if no request is waiting yet.
     pub priority: Option<u8>,
 }
 
-/// Asks the keeper of an upstream's limit for tokens, in one datagram. A token is the right to
-/// send the upstream one request within a moment.
+/// Asks the host that issues tokens for an upstream's rate limit for tokens, in one datagram. A
+/// token is the right to send one request to the upstream within a short time.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TokenRequest {
-    /// When it was sent, on the sender's own clock; the grant repeats it.
+    /// Time at which the request was sent, on the sender's clock. The grant repeats it.
     pub asked_us: u64,
     /// The sender.
     pub host: HostId,
-    /// What the sender knows of the limit.
+    /// What the sender knows about the limit.
     pub limit: AdvertisedLimit,
     /// Version of this protocol.
     pub protocol: u32,
-    /// Tokens that are wanted, the most urgent first; none to ask only whether the keeper is
-    /// there.
+    /// Tokens that the sender wants, most urgent first. Empty if the sender only checks whether the
+    /// issuing host responds.
     pub wanted: Vec<WantedTokens>,
-    /// How long the tokens are wanted.
+    /// Time for which the tokens are wanted.
     pub wanted_ms: u32,
 }
 
 impl TokenRequest {
-    /// The message as a datagram.
+    /// Encodes the message as an authenticated datagram.
     pub fn to_datagram(&self, token: &str) -> Vec<u8> {
         datagram::encode(datagram::Kind::TokenRequest, token, self)
     }
 
-    /// Reads a datagram; one without the right mark is not a message of this kind.
+    /// Decodes a datagram. Fails unless the datagram has a valid authentication tag for this kind
+    /// of message.
     pub fn from_datagram(datagram: &[u8], token: &str) -> Result<Self, MessageError> {
         let request: Self = datagram::decode(datagram::Kind::TokenRequest, token, datagram)?;
         MessageError::check_protocol(request.protocol)?;
--- a/crates/peer/src/upstream_note.rs
+++ b/crates/peer/src/upstream_note.rs
@@ -1,31 +1,31 @@
 use super::*;
 
-/// Most limits in one note: with them it fits into one packet.
+/// Maximum number of limits in one note, so that the note fits into one packet.
 pub const MAX_LIMITS: usize = 20;
 
-/// Most leaving upstreams in one note.
+/// Maximum number of leaving upstreams, and of rejecting ones, in one note.
 pub const MAX_LEAVING: usize = 20;
 
-/// Tells another host, in one datagram, what upstreams say of themselves in their answers. One
-/// may be lost: each change is announced several times.
+/// Tells another host in one datagram what upstreams reported about themselves in their responses.
+/// The datagram may be lost, so each change is announced several times.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct UpstreamNote {
     /// The sender.
     pub host: HostId,
-    /// Upstreams that leave, by answers to the sender's own requests.
+    /// Upstreams that are leaving, according to responses to the sender's own requests.
     pub leaving: Vec<UpstreamId>,
-    /// What upstreams name as their limits, as far as the sender knows.
+    /// Rate limits that upstreams advertise, as far as the sender knows them.
     pub limits: Vec<AdvertisedLimit>,
     /// Version of this protocol.
     pub protocol: u32,
-    /// Brittle upstreams that have just rejected a request of the sender. They follow the
-    /// rest of the note, where hosts of the release before pass over them.
+    /// Brittle upstreams that have just rejected a request of the sender. Encoded after the rest of
+    /// the note, where hosts of the previous release ignore them.
     #[serde(skip)]
     pub rejected: Vec<UpstreamId>,
 }
 
 impl UpstreamNote {
-    /// The note as a datagram.
+    /// Encodes the note as an authenticated datagram.
     pub fn to_datagram(&self, token: &str) -> Vec<u8> {
         let kind = datagram::Kind::Upstream;
         if self.rejected.is_empty() {
@@ -34,7 +34,8 @@
         datagram::encode(kind, token, &(self, &self.rejected))
     }
 
-    /// Reads a datagram; one without the right mark is not a note of this kind.
+    /// Decodes a datagram. Fails unless the datagram has a valid authentication tag for this kind
+    /// of note.
     pub fn from_datagram(datagram: &[u8], token: &str) -> Result<Self, MessageError> {
         let kind = datagram::Kind::Upstream;
         let (mut note, rest): (Self, &[u8]) = datagram::decode_prefix(kind, token, datagram)?;
--- a/crates/peer/src/usage_note.rs
+++ b/crates/peer/src/usage_note.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// Most counts in one note: with them it fits into one datagram.
+/// Maximum number of counts in one note, so that the note fits into one datagram.
 pub const MAX_COUNTS: usize = 2_000;
 
-/// Most models whose work is told.
+/// Maximum number of models for which a note reports work.
 pub const MAX_MODELS: usize = 64;
 
-/// Requests of each team that began to run in one window, on one host's account.
+/// Requests of each team that began to run within one usage window, as counted by one host.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WindowCounts {
-    /// How many, by team.
+    /// Number of requests by team.
     pub counts: Vec<(TeamId, u32)>,
     /// Number of the window.
     pub window: u64,
 }
 
-/// Tells the holder of the duties, in one datagram, a host's totals of the windows that are
-/// not reported yet. One may be lost or doubled: totals only grow.
+/// Tells the holder of the duties lease in one datagram a host's totals of the usage windows that
+/// are not reported yet. The datagram may be lost or duplicated, because totals only grow.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageNote {
     /// The sender.
@@ -25,15 +25,16 @@
     pub incarnation: Incarnation,
     /// Version of this protocol.
     pub protocol: u32,
-    /// The sender's time of day, Unix time in milliseconds.
+    /// The sender's Unix time in milliseconds.
     pub unix_ms: u64,
-    /// Its totals.
+    /// The sender's totals by window.
     pub windows: Vec<WindowCounts>,
-    /// What it has put on engines, by model. Not in notes of earlier releases, so it is last.
+    /// Prefill work that the sender has put on engines, by model. Notes of earlier releases do not
+    /// have this field, so it is last.
     pub work: Vec<ModelWork>,
 }
 
-/// The note of releases that don't tell their work.
+/// The note of releases that do not report their work.
 #[derive(Deserialize)]
 struct NoteWithoutWork {
     host: HostId,
@@ -57,12 +58,13 @@
 }
 
 impl UsageNote {
-    /// The note as a datagram.
+    /// Encodes the note as an authenticated datagram.
     pub fn to_datagram(&self, token: &str) -> Vec<u8> {
         datagram::encode(datagram::Kind::Usage, token, self)
     }
 
-    /// Reads a datagram; one without the right mark is not a note of this kind.
+    /// Decodes a datagram. Fails unless the datagram has a valid authentication tag for this kind
+    /// of note.
     pub fn from_datagram(datagram: &[u8], token: &str) -> Result<Self, MessageError> {
         let kind = datagram::Kind::Usage;
         let note: Self = datagram::decode(kind, token, datagram).or_else(|_| {
--- a/crates/peer/src/version_note.rs
+++ b/crates/peer/src/version_note.rs
@@ -1,24 +1,25 @@
 use super::*;
 
-/// Tells another host, in one datagram, that the sender can hand a version of the
-/// configuration over. One may be lost: others tell the same.
+/// Announces in one datagram that the sender can serve a version of the configuration. The datagram
+/// may be lost, because other hosts announce the same version.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VersionNote {
     /// The sender.
     pub host: HostId,
     /// Version of this protocol.
     pub protocol: u32,
-    /// The version.
+    /// The version that the sender can serve.
     pub version: ConfigVersion,
 }
 
 impl VersionNote {
-    /// The note as a datagram.
+    /// Encodes the note as an authenticated datagram.
     pub fn to_datagram(&self, token: &str) -> Vec<u8> {
         datagram::encode(datagram::Kind::Version, token, self)
     }
 
-    /// Reads a datagram; one without the right mark is not a note.
+    /// Decodes a datagram. Fails unless the datagram has a valid authentication tag for this kind
+    /// of note.
     pub fn from_datagram(datagram: &[u8], token: &str) -> Result<Self, MessageError> {
         let note: Self = datagram::decode(datagram::Kind::Version, token, datagram)?;
         MessageError::check_protocol(note.protocol)?;
--- a/crates/peer/tests/messages.rs
+++ b/crates/peer/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts: what is not used, and what must not panic.
+//! Messages between hosts: invalid ones are rejected, and none makes the decoder panic.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -24,7 +24,7 @@
 fn a_neighbouring_version_is_understood_and_others_are_not() {
     let mut newer = heartbeat();
     newer["protocol"] = json!(PROTOCOL + 1);
-    newer["added_later"] = json!("is passed over");
+    newer["added_later"] = json!("is ignored");
     assert_eq!(parse(newer).check(), Ok(()));
     let mut far = heartbeat();
     far["protocol"] = json!(PROTOCOL + 2);
--- a/crates/peer/tests/unit/usage_note.rs
+++ b/crates/peer/tests/unit/usage_note.rs
@@ -18,7 +18,8 @@
     }
 }
 
-/// Guards against windows that are lost while hosts of two releases run side by side.
+/// Guards against usage windows that are lost while hosts of two releases run side by side. Each
+/// release must decode the notes of the other.
 #[test]
 fn releases_without_work_understand_and_are_understood() {
     let note = note();
