--- a/crates/ports/src/directory.rs
+++ b/crates/ports/src/directory.rs
@@ -1,26 +1,27 @@
 use super::*;
 
-/// What a directory is informed of, and where it tells what it read.
+/// Channels between a directory and the rest of the host.
 pub struct DirectoryChannels {
-    /// Notified when another host asks this one in place of the store, and it cannot tell.
+    /// Receives a signal when another host requests tables that this host cannot provide, so that
+    /// the directory reads them from the store.
     pub unanswered_requests: flume::Receiver<()>,
-    /// Crashes to be kept for hosts that start later, where there is a place for them.
+    /// Crashes that the directory should store for hosts that start later, if it has a place for
+    /// them.
     pub crashes: flume::Receiver<Vec<Crash>>,
-    /// Set once the host is to stop: it gives up what it does for all hosts.
+    /// Set once the host is asked to stop. The directory then gives up the duties that it does for
+    /// all hosts.
     pub draining: Arc<AtomicBool>,
-    /// Configurations of other hosts, to be taken if they are newer than the one known.
+    /// Configurations of other hosts. The directory applies those that are newer than its own.
     pub received_configurations: flume::Receiver<ReceivedConfiguration>,
-    /// Where updates go.
+    /// Sends what the directory has read.
     pub updates: flume::Sender<DirectoryUpdate>,
-    /// What hosts counted for the usage reports, this one among them.
+    /// Usage counts for the usage reports, from this host and from others.
     pub usage: flume::Receiver<UsageNote>,
 }
 
-/// Reads the configuration and the upstreams of an installation, and goes on
-/// reading what changes.
+/// Reads the configuration and the upstreams of an installation and follows their changes.
 pub trait Directory: Send {
-    /// Follows the installation until the future is dropped. Times in the
-    /// updates are moments on `clock`.
+    /// Follows the installation until the future is dropped. Times in the updates are on `clock`.
     fn follow(
         self: Box<Self>,
         clock: Clock,
--- a/crates/ports/src/directory_update.rs
+++ b/crates/ports/src/directory_update.rs
@@ -1,92 +1,94 @@
 use super::*;
 
-/// What a directory read.
+/// An update that a directory sends to the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DirectoryUpdate {
-    /// A version of the configuration. Upstreams are announced apart from it.
+    /// A version of the configuration was read. Upstreams are announced separately.
     Configuration {
-        /// The version.
+        /// The configuration with its version.
         numbered: Arc<Numbered>,
-        /// How it was read.
+        /// Size and duration of the read.
         read_stats: ReadStats,
     },
-    /// Another host, which this one asks in place of the store, has a newer configuration.
+    /// Another host, which this host asks instead of the store, has a newer configuration.
     NewerConfigurationAtPeer {
-        /// Where it is reached.
+        /// Address of the other host.
         from: SocketAddr,
-        /// Its version.
+        /// Version of that configuration.
         version: ConfigVersion,
     },
-    /// A newer configuration begins to arrive, and will take long.
+    /// The transfer of a newer configuration has started and will take long.
     LargeConfigurationStarted {
-        /// Its size.
+        /// Size of the configuration.
         bytes: ByteSize,
     },
-    /// The version announced last can be handed to other hosts.
+    /// The configuration announced last is compressed and can be sent to other hosts.
     ConfigurationCompressed(Arc<SourceDocument>),
-    /// The store gave no answer about the configuration.
+    /// The configuration could not be read from the store.
     ConfigurationReadFailed {
-        /// What went wrong, and how much of the answer had come.
+        /// What went wrong, and how much of the response had arrived.
         error: String,
     },
-    /// The version announced last was the newest one at this moment.
+    /// The version announced last was still the newest one at a given time.
     ConfigurationConfirmed {
-        /// When the question was sent that was answered so.
+        /// Time at which the request was sent that confirmed the version.
         as_of: Time,
     },
-    /// Crashes that hosts keep in the store; those that were announced before among them.
+    /// Crashes that hosts keep in the store, including those announced before.
     Crashes(Vec<Crash>),
-    /// This host holds the duties that one host does for all.
+    /// This host holds the lease for the duties that one host does for all hosts.
     DutyHeld(DutyNote),
-    /// Something that was done under the lease of the duties, or could not be.
+    /// Outcome of an action under the lease for the duties, or the reason why it failed.
     DutyReported(DutyReport),
-    /// The installation's store gives no answer.
+    /// The installation's store does not respond.
     StoreLost {
-        /// What went wrong.
+        /// Why the store could not be reached.
         error: String,
     },
-    /// The hosts of the installation.
+    /// The hosts of the installation were listed.
     Peers {
-        /// Hosts, this one perhaps among them; where there are many, those of its own failure
-        /// domain.
+        /// Hosts, possibly including this one. In a large installation, only the hosts of its own
+        /// failure domain.
         hosts: Vec<PeerHost>,
-        /// Hosts of the whole installation; `None` if that is not known yet.
+        /// Number of hosts in the whole installation; `None` if it is not known yet.
         hosts_in_all: Option<usize>,
     },
-    /// Another host reaches the store, and never lost it: what this host received last was only
-    /// long ago, and no entry lapsed meanwhile.
+    /// Another host reaches the store and never lost it. Only the data of this host was out of
+    /// date, and no entry expired in the meantime.
     StoreReachableAgain {
-        /// How long this host had no word of the store.
+        /// Time for which this host had no data from the store.
         unreachable_for: Duration,
     },
-    /// The store answers again.
+    /// The store responds again after an outage.
     StoreRegained {
-        /// How long ago the first host found that, as far as this one knows.
+        /// Time since the first host reached the store again, as far as this host knows.
         ago: Duration,
-        /// How long this host had no word of the store.
+        /// Time for which this host had no data from the store.
         unreachable_for: Duration,
     },
-    /// The store answered with something that cannot be used; it is passed over.
+    /// The store sent an unusable response, which is ignored.
     UnusableAnswer {
-        /// What is wrong with it.
+        /// What is wrong with the response.
         error: String,
     },
-    /// The upstreams are divided anew: levels of the rows of their table by key.
+    /// The upstreams were divided anew. Contains the level of each row of the upstream table by
+    /// key.
     TableDivided {
-        /// Which of them this host holds for others.
+        /// Which upstreams this host holds for other hosts.
         coverage: Coverage,
-        /// Levels of all rows.
+        /// Keys and levels of all rows.
         levels: Vec<(String, u8)>,
     },
-    /// What the store said of a table, for other hosts.
+    /// The store's data of a table, to be passed on to other hosts.
     TableRead(SharedTableUpdate),
     /// All upstreams that the store lists.
     Upstreams {
-        /// Those that the hosts of all failure domains know; `None` where that is each of them.
+        /// Upstreams that the hosts of all failure domains know; `None` if all hosts know all
+        /// upstreams.
         common: Option<BTreeSet<UpstreamId>>,
-        /// Those that are leaving, among them.
+        /// The listed upstreams that are leaving.
         leaving: BTreeSet<UpstreamId>,
-        /// Where they are and what they can do.
+        /// Addresses and capabilities of the upstreams.
         upstreams: BTreeMap<UpstreamId, Upstream>,
     },
 }
--- a/crates/ports/src/duty_report.rs
+++ b/crates/ports/src/duty_report.rs
@@ -1,67 +1,67 @@
 use super::*;
 
-/// What a host did under the lease of the duties that one host does for all.
+/// What a host did under the lease for the duties that one host does for all hosts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DutyReport {
-    /// How many upstreams of a service are busy and wanted.
+    /// Current and desired number of upstreams of a service.
     Demand {
-        /// Those that are busy now.
+        /// Number of upstreams that are busy now.
         busy: f64,
-        /// Those that will be busy at the most.
+        /// Highest number of upstreams that are expected to be busy.
         busiest: f64,
         /// The service.
         service: ServiceId,
-        /// Those that are wanted, by failure domain.
+        /// Desired number of upstreams by failure domain.
         wanted: Vec<(FailureDomainId, u32)>,
     },
-    /// The lease was lost, or given up.
+    /// The lease was lost or released.
     LeaseEnded {
-        /// The token of the term.
+        /// The fencing token of the lease.
         token: u64,
     },
-    /// The lease was taken.
+    /// The lease was acquired.
     LeaseTaken {
-        /// The token of the term.
+        /// The fencing token of the lease.
         token: u64,
     },
-    /// Upstreams were ordered, or could not be.
+    /// Upstreams were ordered, or the order failed.
     UpstreamsOrdered {
-        /// What decides how many are wanted of the service.
+        /// What determines the desired number of upstreams of the service.
         bound: String,
-        /// Upstreams of the service that are busy now.
+        /// Number of upstreams of the service that are busy now.
         busy: f64,
-        /// Those that will be busy at the most.
+        /// Highest number of upstreams that are expected to be busy.
         busiest: f64,
-        /// How many there should be of the kind.
+        /// Desired number of upstreams of the ordered kind.
         count: u32,
-        /// Where.
+        /// The failure domain of the order.
         domain: FailureDomainId,
-        /// Whether they are of the kind that may be reclaimed.
+        /// Whether the order is for upstreams that the platform may reclaim.
         is_reclaimable: bool,
-        /// What came of it.
+        /// Result of the order.
         outcome: String,
-        /// Those of both kinds that take work now.
+        /// Number of upstreams of both kinds that accept requests now.
         ready: u32,
-        /// Of which service.
+        /// The service of the order.
         service: ServiceId,
     },
-    /// Prices by failure domain are missing or absurd, and count as equal; or they can be used
-    /// again.
+    /// The prices by failure domain became usable or unusable. Prices that are missing or
+    /// implausible are treated as equal.
     PricesChecked {
-        /// Whether they can be used.
+        /// Whether the prices are usable.
         are_usable: bool,
         /// The service.
         service: ServiceId,
     },
-    /// A window of usage was reported, or could not be.
+    /// A usage window was reported, or the report failed.
     Usage {
-        /// Hosts whose last counts are missing.
+        /// Number of hosts whose last counts are missing.
         missing_hosts: usize,
-        /// What came of it.
+        /// Result of the report.
         outcome: String,
-        /// Requests in it, of all teams.
+        /// Number of requests in the window, of all teams.
         requests: u64,
-        /// The window.
+        /// Number of the window.
         window: u64,
     },
 }
--- a/crates/ports/src/forwarding_context.rs
+++ b/crates/ports/src/forwarding_context.rs
@@ -1,18 +1,19 @@
 use super::*;
 
-/// What a host adds to a request that it passes to an upstream.
+/// What a host adds to a request that it forwards to an upstream.
 #[derive(Clone, Debug)]
 pub struct ForwardingContext<'a> {
-    /// Where an engine listens that keeps a part of the prompt to be fetched.
+    /// Address of an engine from which the upstream can fetch cached prompt parts.
     pub fetch_from: Option<SocketAddr>,
-    /// The upstream that is meant; another one at its address must refuse.
+    /// The upstream for which the request is meant. Another upstream at the same address must
+    /// reject the request.
     pub instance: &'a UpstreamId,
-    /// Id of the last event that the caller has, where a stream goes on.
+    /// Id of the last event that the caller received, if the request resumes a stream.
     pub last_event: Option<&'a str>,
-    /// Priority for an engine, 0 the most urgent.
+    /// Priority for the engine, 0 the most urgent.
     pub priority: u8,
-    /// Team of the caller; `None` for a request without a key.
+    /// Team of the caller; `None` for a request without an API key.
     pub team: Option<&'a TeamId>,
-    /// How long the answer is of use.
+    /// Time left until the caller no longer needs the response.
     pub time_left: Duration,
 }
--- a/crates/ports/src/head_error.rs
+++ b/crates/ports/src/head_error.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Why the head of a request cannot be used.
+/// Why the head of a request is rejected.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum HeadError {
-    /// A header has a value that says nothing.
+    /// A header has an invalid value.
     BadHeader {
         /// Name of the header.
         name: String,
--- a/crates/ports/src/header_number.rs
+++ b/crates/ports/src/header_number.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A whole number in a header; `None` if it is missing or says something else.
+/// Parses a header as an integer. Returns `None` if the header is missing or not an integer.
 pub fn header_number(headers: &HeaderMap, name: &str) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -1,7 +1,6 @@
-//! What a host needs from an installation, in the product's own words: how
-//! requests and answers look on the wire, and where the configuration and the
-//! upstreams are read. An installation implements these traits; no decision is
-//! made behind them.
+//! Interfaces between a host and an installation: how requests and responses are represented on the
+//! wire, and how the configuration and the upstreams are read. An installation implements these
+//! traits. The implementations make no routing decisions.
 
 use {
     bytes::Bytes,
--- a/crates/ports/src/protocol.rs
+++ b/crates/ports/src/protocol.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-/// How an installation writes requests and answers.
+/// The wire format of an installation's requests and responses.
 pub trait Protocol: Send + Sync {
-    /// Reads what a router needs of a caller's request.
+    /// Reads the parts of a caller's request that the router needs.
     fn read_head(&self, parts: &Parts) -> Result<RequestHead, HeadError>;
 
-    /// Headers of the request as it goes to an upstream.
+    /// Returns the headers of the request to an upstream.
     fn upstream_headers(&self, received: &HeaderMap, context: &ForwardingContext<'_>) -> HeaderMap;
 
-    /// Headers of an upstream's answer as they go to the caller.
+    /// Returns the headers of the response to the caller.
     fn answer_headers(&self, received: &HeaderMap) -> HeaderMap;
 
-    /// Whether the answer to a health check is one of the upstream that was meant.
+    /// Whether the response to a health check comes from the given upstream.
     fn is_of_upstream(&self, upstream: &UpstreamId, headers: &HeaderMap) -> bool;
 
-    /// What an upstream says of itself in an answer.
+    /// Reads what an upstream reports about itself in a response.
     fn read_notice(&self, status: StatusCode, headers: &HeaderMap) -> UpstreamNotice;
 
-    /// Judges the head of an upstream's answer.
+    /// Classifies an upstream's response by its head.
     fn classify_response(
         &self,
         head: &RequestHead,
--- a/crates/ports/src/read_stats.rs
+++ b/crates/ports/src/read_stats.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// How large an answer was and how long it took.
+/// Size and duration of a transfer.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ReadStats {
-    /// Bytes of its body, as they came.
+    /// Size of the response body as received.
     pub bytes: ByteSize,
-    /// From its head to the last byte.
+    /// Time from the response head to the last byte.
     pub duration: Duration,
 }
--- a/crates/ports/src/received_configuration.rs
+++ b/crates/ports/src/received_configuration.rs
@@ -1,12 +1,13 @@
 use super::*;
 
-/// A configuration that another host handed over.
+/// A configuration that was received from another host.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReceivedConfiguration {
-    /// When it was the newest one, by what that host knew; `None` if it did not know.
+    /// Time at which the other host last knew the configuration to be the newest; `None` if it did
+    /// not know.
     pub as_of: Option<Time>,
-    /// The configuration.
+    /// The received document.
     pub document: Arc<SourceDocument>,
-    /// How it was read.
+    /// Size and duration of the transfer.
     pub read_stats: ReadStats,
 }
--- a/crates/ports/src/request_head.rs
+++ b/crates/ports/src/request_head.rs
@@ -1,21 +1,20 @@
 use super::*;
 
-/// What a router needs of a caller's request.
+/// The parts of a caller's request that the router needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestHead {
-    /// The caller's own id of this attempt; upstreams repeat it in their
-    /// answers.
+    /// The caller's id for this attempt. Upstreams repeat it in their responses.
     pub attempt: String,
-    /// Host name that the caller asked.
+    /// Host name in the request.
     pub hostname: String,
-    /// Bearer key, if one was sent.
+    /// API key from the bearer token, if the request has one.
     pub key: Option<String>,
-    /// Longest output that the caller allows, for an engine.
+    /// Maximum output length that the caller allows, for requests to an engine.
     pub max_output: Option<Tokens>,
-    /// Parts of the prompt in order, for an engine.
+    /// Parts of the prompt in order, for requests to an engine.
     pub prompt_parts: Vec<PromptPart>,
-    /// Length of the prompt, for an engine.
+    /// Length of the prompt, for requests to an engine.
     pub prompt_tokens: Tokens,
-    /// How long the caller will wait.
+    /// Time for which the caller waits.
     pub time_limit: Option<Duration>,
 }
--- a/crates/ports/src/response_class.rs
+++ b/crates/ports/src/response_class.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// What the head of an upstream's answer says.
+/// Class of an upstream's response, as determined by its head.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ResponseClass {
-    /// A failure of the upstream's own, to be returned unchanged.
+    /// The upstream failed. The response is returned unchanged.
     Failed,
-    /// It is no answer to this request, or none of this upstream.
+    /// The response belongs to another request or comes from another upstream.
     Mismatched,
-    /// The upstream says that it did not and will not run the request.
+    /// The upstream says that it did not run the request and will not run it.
     NotRun(FailureCause),
-    /// A success, if its body comes whole.
+    /// The request succeeded, provided that the whole body arrives.
     Success,
-    /// Its status would promise that the request has not run, and the upstream does not say so.
+    /// The status suggests that the request did not run, but the upstream does not confirm it.
     UnconfirmedNotRun,
 }
 
 impl ResponseClass {
-    /// Whether the answer is one of the upstream that was meant.
+    /// Whether the response comes from the upstream to which the request was sent.
     pub fn is_of_upstream(self) -> bool {
         !matches!(
             self,
@@ -24,7 +24,7 @@
         )
     }
 
-    /// Judges an answer by its status alone; for upstreams that prove nothing.
+    /// Classifies a response by its status alone, without any confirmation by the upstream.
     pub fn from_status(status: StatusCode) -> Self {
         if status.is_success() {
             Self::Success
--- a/crates/ports/src/shared_table.rs
+++ b/crates/ports/src/shared_table.rs
@@ -1,8 +1,9 @@
-/// A table of the installation's store that few hosts read for all.
+/// A table of the installation's store that only a few hosts read. The other hosts get its content
+/// from them.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum SharedTable {
-    /// The hosts of the installation.
+    /// The table of hosts.
     Hosts,
-    /// The upstreams.
+    /// The table of upstreams.
     Upstreams,
 }
--- a/crates/ports/src/shared_table_update.rs
+++ b/crates/ports/src/shared_table_update.rs
@@ -1,34 +1,34 @@
 use super::*;
 
-/// Where a host received what is in a table.
+/// From where a host received the content of a table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TableSource {
-    /// Another host passed it on, some time after the store did.
+    /// From another host, which received the content from the store some time before.
     Host,
-    /// The store itself.
+    /// From the store itself.
     Store,
 }
 
-/// What the installation's store said of one of its tables, for hosts that do not ask the
-/// store themselves.
+/// An update of a table of the installation's store, for hosts that do not read the store
+/// themselves.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SharedTableUpdate {
-    /// Which upstreams it said it of; of no use for the table of hosts.
+    /// Which upstreams the update covers. Not used for the host table.
     pub coverage: Coverage,
-    /// How upstreams are divided; empty where that was announced before.
+    /// How the upstreams are divided; empty if that was announced before.
     pub divided: Vec<ServiceDivision>,
-    /// Hosts of the whole installation, as far as that is known.
+    /// Number of hosts in the whole installation; 0 if it is not known.
     pub hosts_in_all: u32,
-    /// What it said.
+    /// The changed rows, or the whole table.
     pub update: TableUpdate,
-    /// Who said it.
+    /// Where the update comes from.
     pub source: TableSource,
-    /// The table.
+    /// The table that is updated.
     pub table: SharedTable,
 }
 
 impl SharedTableUpdate {
-    /// What was said of a table that is not divided. How many hosts there are is left open.
+    /// Creates an update of a table that is not divided, without the number of hosts.
     pub fn new(table: SharedTable, update: TableUpdate, source: TableSource) -> Self {
         Self {
             coverage: Coverage::default(),
--- a/crates/ports/src/source_document.rs
+++ b/crates/ports/src/source_document.rs
@@ -1,27 +1,27 @@
 use super::*;
 
-/// Largest document that is unpacked: many times the 886 KB of the size that is designed
-/// for.
+/// Maximum size of a decompressed document. The router is designed for documents of 886 KB, which
+/// is far less.
 const MAX_DOCUMENT_BYTES: u64 = 64 * 1024 * 1024;
 
-/// The configuration as an installation keeps it, packed for other hosts.
+/// The configuration document as stored by the installation, compressed for other hosts.
 ///
-/// Hosts pass the source on and not what they made of it, so that a version is read,
-/// checked and put in force in one way, wherever it comes from.
+/// Hosts send each other the original document rather than the parsed configuration, so that every
+/// version is parsed, validated and applied in the same way, whatever its source.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SourceDocument {
-    /// The document, packed by gzip: 1.7 MB of 7,000 routes are 0.13 MB.
+    /// The document in gzip format. A document of 1.7 MB with 7,000 routes takes 0.13 MB.
     pub packed: Bytes,
-    /// Revision of the installation's store at which it was written: changes are asked for
-    /// from here on.
+    /// Revision of the installation's store at which the document was written. Changes are
+    /// requested from this revision on.
     pub revision: u64,
-    /// Its version.
+    /// Version of the configuration.
     pub version: ConfigVersion,
 }
 
 impl SourceDocument {
-    /// Packs a document. The fastest level is taken: the next ones save a fifth of the
-    /// bytes for twice the processor time, of which thin hosts have 0.12 of a core.
+    /// Compresses a document. The fastest level is used: the next levels save a fifth of the bytes
+    /// but take twice the processor time, and small hosts have only 0.12 of a core.
     pub fn pack(document: &[u8], revision: u64, version: ConfigVersion) -> std::io::Result<Self> {
         let mut packer = GzEncoder::new(Vec::new(), Compression::fast());
         packer.write_all(document)?;
@@ -32,7 +32,7 @@
         })
     }
 
-    /// The document as the installation keeps it.
+    /// Decompresses the document.
     pub fn unpack(&self) -> std::io::Result<Vec<u8>> {
         let mut document = Vec::new();
         let unpacker = GzDecoder::new(&self.packed[..]);
