--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -24,7 +24,6 @@
     types::prelude::*,
 };
 
-mod advertised_limit;
 mod coverage;
 mod crash_note;
 mod datagram;
@@ -35,6 +34,7 @@
 mod heartbeat;
 mod heartbeat_answer;
 pub mod http_api;
+mod limit_note;
 mod load_note;
 mod message_error;
 mod model_work;
@@ -56,7 +56,6 @@
 mod version_note;
 
 pub use {
-    advertised_limit::AdvertisedLimit,
     coverage::Coverage,
     crash_note::{ClearedRequest, Crash, CrashNote, MAX_CRASHES},
     demand::Demand,
@@ -65,6 +64,7 @@
     grant::Grant,
     heartbeat::Heartbeat,
     heartbeat_answer::HeartbeatAnswer,
+    limit_note::LimitNote,
     load_note::{Echo, LoadNote, PromptRead, UpstreamLoad},
     message_error::MessageError,
     model_work::ModelWork,
--- a/crates/peer/src/advertised_limit.rs
+++ b/crates/peer/src/limit_note.rs
@@ -2,7 +2,7 @@
 
 /// The rate limit that an upstream advertises for all hosts together.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct AdvertisedLimit {
+pub struct LimitNote {
     /// Time since the request was sent whose response advertised the limit.
     pub age_ms: u32,
     /// Rate of requests that the upstream accepts from all hosts together; `None` if it is
--- a/crates/peer/src/token_request.rs
+++ b/crates/peer/src/token_request.rs
@@ -21,7 +21,7 @@
     /// The sender.
     pub host: HostId,
     /// What the sender knows about the limit.
-    pub limit: AdvertisedLimit,
+    pub limit: LimitNote,
     /// Version of this protocol.
     pub protocol: u32,
     /// Tokens that the sender wants, most urgent first. Empty if the sender only checks whether the
--- a/crates/peer/src/upstream_note.rs
+++ b/crates/peer/src/upstream_note.rs
@@ -15,7 +15,7 @@
     /// Upstreams that are leaving, according to responses to the sender's own requests.
     pub leaving: Vec<UpstreamId>,
     /// Rate limits that upstreams advertise, as far as the sender knows them.
-    pub limits: Vec<AdvertisedLimit>,
+    pub limits: Vec<LimitNote>,
     /// Version of this protocol.
     pub protocol: u32,
     /// Brittle upstreams that have just rejected a request of the sender. Encoded after the rest of
--- a/crates/policy/src/crashes/barring.rs
+++ b/crates/policy/src/crashes/barring.rs
@@ -176,7 +176,7 @@
         let record = &mut self.crashes.record;
         let to_keep = record.take_to_keep(fingerprint, keeps_first);
         if !to_keep.is_empty() {
-            let crashes = to_keep.iter().map(|crash| crash.to_advertised(now));
+            let crashes = to_keep.iter().map(|crash| crash.to_note(now));
             actions.push(Action::KeepCrashes(crashes.collect()));
         }
     }
--- a/crates/policy/src/crashes/observed_crash.rs
+++ b/crates/policy/src/crashes/observed_crash.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    pub(crate) fn to_advertised(&self, now: Time) -> peer::Crash {
+    pub(crate) fn to_note(&self, now: Time) -> peer::Crash {
         let age_ms = now.since(self.at).as_millis();
         peer::Crash {
             age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
--- a/crates/policy/src/crashes/telling.rs
+++ b/crates/policy/src/crashes/telling.rs
@@ -98,7 +98,7 @@
                     age_ms: now.since(*at).as_millis() as u32,
                     fingerprint: *fingerprint,
                 }),
-                News::Crash(crash) => note.crashes.push(crash.to_advertised(now)),
+                News::Crash(crash) => note.crashes.push(crash.to_note(now)),
             }
             announcement.due = now + INTERVAL * 2_u32.pow(TIMES - announcement.left);
             announcement.left -= 1;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,8 +5,8 @@
 use {
     config::{Class, Document, Numbered, Plan, Scheduling, Team, Upstream},
     peer::{
-        AdvertisedLimit, ClearedRequest, Crash, CrashNote, Demand, DutyNote, Echo, EngineKey,
-        ExpectedWait, Grant, Heartbeat, HeartbeatAnswer, LoadNote, ModelWork, PeerHost, PeerPhase,
+        ClearedRequest, Crash, CrashNote, Demand, DutyNote, Echo, EngineKey, ExpectedWait, Grant,
+        Heartbeat, HeartbeatAnswer, LimitNote, LoadNote, ModelWork, PeerHost, PeerPhase,
         PrefillTokenTime, PromptRead, Reachability, ServiceDivision, SpeedVote, TokenGrant,
         TokenRequest, UpstreamLoad, UpstreamNote, UsageNote, VersionNote, WantedTokens,
         WindowCounts,
--- a/crates/policy/src/upstream_limits/issuing.rs
+++ b/crates/policy/src/upstream_limits/issuing.rs
@@ -89,7 +89,7 @@
             return;
         };
         if state.limit.rate().is_none() {
-            let limits = vec![state.limit.to_advertised(upstream, now)];
+            let limits = vec![state.limit.to_note(upstream, now)];
             self.push_upstream_notes(&[], &limits, &[from], actions);
             return;
         }
--- a/crates/policy/src/upstream_limits/limit_announcements.rs
+++ b/crates/policy/src/upstream_limits/limit_announcements.rs
@@ -29,7 +29,7 @@
                 .announcements
                 .take_due(now, reannounce.then_some(interval))
             {
-                advertised.push(limit.to_advertised(upstream, now));
+                advertised.push(limit.to_note(upstream, now));
             }
         }
         let pool = &self.pool;
@@ -47,7 +47,7 @@
         &mut self,
         now: Time,
         host: &HostId,
-        limit: &AdvertisedLimit,
+        limit: &LimitNote,
         actions: &mut Vec<Action>,
     ) {
         let age = Duration::from_millis(u64::from(limit.age_ms)) + REMOTE_AGE_MARGIN;
--- a/crates/policy/src/upstream_limits/token_requests.rs
+++ b/crates/policy/src/upstream_limits/token_requests.rs
@@ -239,7 +239,7 @@
         let request = TokenRequest {
             asked_us: now.as_us(),
             host,
-            limit: state.limit.to_advertised(upstream, now),
+            limit: state.limit.to_note(upstream, now),
             protocol: peer::PROTOCOL,
             wanted,
             wanted_ms: lifetime.as_millis() as u32,
--- a/crates/policy/src/upstream_limits/upstream_limit.rs
+++ b/crates/policy/src/upstream_limits/upstream_limit.rs
@@ -150,9 +150,9 @@
     }
 
     /// The limit as it is announced to other hosts.
-    pub(crate) fn to_advertised(&self, upstream: &UpstreamId, now: Time) -> AdvertisedLimit {
+    pub(crate) fn to_note(&self, upstream: &UpstreamId, now: Time) -> LimitNote {
         let age_ms = now.since(self.as_of).as_millis();
-        AdvertisedLimit {
+        LimitNote {
             age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
             limit: self.rate,
             upstream: upstream.clone(),
--- a/crates/policy/src/upstream_notices/mod.rs
+++ b/crates/policy/src/upstream_notices/mod.rs
@@ -64,7 +64,7 @@
     pub(crate) fn push_upstream_notes(
         &self,
         leaving: &[UpstreamId],
-        limits: &[AdvertisedLimit],
+        limits: &[LimitNote],
         to: &[SocketAddr],
         actions: &mut Vec<Action>,
     ) {
