--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,9 +1,13 @@
-//! The protocol between hosts. There are two exchanges. A host tells the coordinator
-//! of its failure domain that it lives and what it could use (heartbeat), and
-//! the coordinator answers with the host's shares and with what it has received. In an
-//! installation, hosts tell each other their load by datagrams (notes). The
-//! coordinator is a hint that each host computes for itself; nothing here is needed
-//! for a promise to hold.
+//! The protocol between hosts.
+//!
+//! A host sends a heartbeat to the coordinator of its failure domain, with its state and its
+//! demand. The coordinator answers with the host's shares and with what it knows itself. The hosts
+//! of an installation also send each other notes, which are single datagrams without
+//! acknowledgement, for example about their load. Hosts request the configuration and the store's
+//! tables from each other over HTTP.
+//!
+//! Each host computes the coordinator for itself, so hosts may disagree about it. No guarantee of
+//! the router depends on these messages.
 
 use {
     flate2::{Compression, read::GzDecoder, write::GzEncoder},
@@ -24,57 +28,57 @@
 mod crash_note;
 mod datagram;
 mod demand;
-mod divided_place;
 mod duty_note;
 mod engine_key;
 mod grant;
-pub mod handing;
 mod heartbeat;
 mod heartbeat_answer;
+pub mod http_api;
+mod limit_note;
 mod load_note;
 mod message_error;
 mod model_work;
-mod named_limit;
 mod peer_host;
 mod peer_phase;
-mod reach_note;
-mod read_pace;
+mod prefill_token_time;
+mod reachability;
 #[cfg(feature = "rpc")]
 mod rpc;
+mod service_division;
 mod speed_vote;
-mod table_news;
 mod table_row;
-mod tables_question;
-mod token_ask;
+mod tables_request;
+mod tables_response;
 mod token_grant;
+mod token_request;
 mod upstream_note;
 mod usage_note;
 mod version_note;
 
 pub use {
     coverage::Coverage,
-    crash_note::{Cleared, Crash, CrashNote, MAX_CRASHES},
+    crash_note::{ClearedRequest, Crash, CrashNote, MAX_CRASHES},
     demand::Demand,
-    divided_place::DividedPlace,
     duty_note::DutyNote,
     engine_key::EngineKey,
     grant::Grant,
     heartbeat::Heartbeat,
     heartbeat_answer::HeartbeatAnswer,
+    limit_note::LimitNote,
     load_note::{Echo, LoadNote, PromptRead, UpstreamLoad},
     message_error::MessageError,
     model_work::ModelWork,
-    named_limit::NamedLimit,
     peer_host::PeerHost,
     peer_phase::PeerPhase,
-    reach_note::ReachNote,
-    read_pace::ReadPace,
+    prefill_token_time::PrefillTokenTime,
+    reachability::Reachability,
+    service_division::ServiceDivision,
     speed_vote::{MAX_VOTES, SpeedVote},
-    table_news::{TableNews, TablesNews},
     table_row::TableRow,
-    tables_question::TablesQuestion,
-    token_ask::{MAX_WANTED, TokenAsk, WantedTokens},
+    tables_request::TablesRequest,
+    tables_response::{TableUpdate, TablesResponse},
     token_grant::{ExpectedWait, TokenGrant},
+    token_request::{MAX_WANTED, TokenRequest, WantedTokens},
     upstream_note::{MAX_LEAVING, MAX_LIMITS, UpstreamNote},
     usage_note::{MAX_COUNTS, MAX_MODELS, UsageNote, WindowCounts},
     version_note::VersionNote,
@@ -83,17 +87,18 @@
 #[cfg(feature = "rpc")]
 pub use rpc::{PeerClient, PeerHandler, PeerServer};
 
-/// Version of the protocol. A host answers the version before its own too.
+/// Version of the protocol. A host also accepts the next version, and older versions from
+/// [`OLDEST_PROTOCOL`] on.
 pub const PROTOCOL: u32 = 1;
 
-/// Oldest version that is answered.
+/// Oldest version that a host accepts.
 pub const OLDEST_PROTOCOL: u32 = 1;
 
-/// Most targets or groups in one message; a domain serves far fewer.
+/// Maximum number of targets or groups in one message. A failure domain serves far fewer.
 pub const MAX_TARGETS: usize = 256;
 
-/// Most shared parts in one note: with them it still fits into one packet.
+/// Maximum number of cached prompt parts in one note, so that the note still fits into one packet.
 pub const MAX_READS: usize = 16;
 
-/// Most upstreams in one message.
+/// Maximum number of upstreams in one message.
 pub const MAX_UPSTREAMS: usize = 1_024;
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -52,7 +52,7 @@
     /// Request tokens from the token issuer of an upstream's rate limit.
     RequestTokens {
         /// The request for tokens.
-        ask: TokenAsk,
+        ask: TokenRequest,
         /// Address of the token issuer.
         to: SocketAddr,
     },
--- a/crates/policy/src/crashes/crash_announcements.rs
+++ b/crates/policy/src/crashes/crash_announcements.rs
@@ -95,11 +95,11 @@
                 continue;
             }
             match &announcement.update {
-                Update::Cleared(fingerprint, at) => note.cleared.push(Cleared {
+                Update::Cleared(fingerprint, at) => note.cleared.push(ClearedRequest {
                     age_ms: now.since(*at).as_millis() as u32,
                     fingerprint: *fingerprint,
                 }),
-                Update::Crash(crash) => note.crashes.push(crash.to_advertised(now)),
+                Update::Crash(crash) => note.crashes.push(crash.to_note(now)),
             }
             announcement.due =
                 now + FIRST_INTERVAL * 2_u32.pow(ANNOUNCEMENT_COUNT - announcement.remaining);
--- a/crates/policy/src/crashes/crash_handling.rs
+++ b/crates/policy/src/crashes/crash_handling.rs
@@ -179,7 +179,7 @@
         let record = &mut self.crashes.record;
         let unstored = record.take_unstored(fingerprint, stores_first);
         if !unstored.is_empty() {
-            let crashes = unstored.iter().map(|crash| crash.to_advertised(now));
+            let crashes = unstored.iter().map(|crash| crash.to_note(now));
             actions.push(Action::StoreCrashes(crashes.collect()));
         }
     }
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -186,7 +186,7 @@
     /// Another host requests tokens from this host, the token issuer of an upstream's rate limit.
     TokensRequested {
         /// The request for tokens.
-        ask: TokenAsk,
+        ask: TokenRequest,
         /// Address of the sender.
         from: SocketAddr,
     },
--- a/crates/policy/src/upstream_limits/issuing.rs
+++ b/crates/policy/src/upstream_limits/issuing.rs
@@ -80,7 +80,7 @@
         &mut self,
         now: Time,
         from: SocketAddr,
-        ask: &TokenAsk,
+        ask: &TokenRequest,
         actions: &mut Vec<Action>,
     ) {
         self.record_announced_limit(now, &ask.host, &ask.limit, actions);
@@ -89,7 +89,7 @@
             return;
         };
         if state.limit.rate().is_none() {
-            let limits = vec![state.limit.to_advertised(upstream, now)];
+            let limits = vec![state.limit.to_note(upstream, now)];
             self.push_upstream_notes(&[], &limits, &[from], actions);
             return;
         }
@@ -107,7 +107,7 @@
         &mut self,
         now: Time,
         address: Option<SocketAddr>,
-        ask: &TokenAsk,
+        ask: &TokenRequest,
         actions: &mut Vec<Action>,
     ) {
         let upstream = &ask.limit.upstream;
--- a/crates/policy/src/upstreams/engine_speed.rs
+++ b/crates/policy/src/upstreams/engine_speed.rs
@@ -38,7 +38,7 @@
         Self {
             last_announced: None,
             step_updated: Time::default(),
-            key: EngineKey::of(id),
+            key: EngineKey::new(id),
             prefill_tokens_per_ms: DEFAULT_PREFILL_TOKENS_PER_MS,
             prefill_samples: SpeedSamples::default(),
             last_sampled: None,
@@ -120,7 +120,7 @@
         self.last_announced = Some(now);
         Some(SpeedVote {
             engine: self.key,
-            pace: ReadPace::of(ms_per_token),
+            pace: PrefillTokenTime::from_ms(ms_per_token),
         })
     }
 }
--- a/crates/policy/src/upstreams/speed_votes.rs
+++ b/crates/policy/src/upstreams/speed_votes.rs
@@ -16,11 +16,11 @@
 /// Votes of other hosts on the prefill speed of one engine.
 #[derive(Debug, Default)]
 pub(crate) struct SpeedVotes {
-    by_host: HashMap<HostId, (Time, ReadPace)>,
+    by_host: HashMap<HostId, (Time, PrefillTokenTime)>,
 }
 
 impl SpeedVotes {
-    pub(crate) fn record(&mut self, host: &HostId, pace: ReadPace, now: Time) {
+    pub(crate) fn record(&mut self, host: &HostId, pace: PrefillTokenTime, now: Time) {
         self.by_host.insert(host.clone(), (now, pace));
     }
 
@@ -39,8 +39,8 @@
     /// if there are too few of both.
     pub(crate) fn prefill_ms_per_token(&self, own_samples: &SpeedSamples) -> Option<f64> {
         let others = self.by_host.values().map(|(_, pace)| *pace);
-        let mut paces: Vec<ReadPace> = others
-            .chain(own_samples.ms_per_token().map(ReadPace::of))
+        let mut paces: Vec<PrefillTokenTime> = others
+            .chain(own_samples.ms_per_token().map(PrefillTokenTime::from_ms))
             .collect();
         if paces.len() < MIN_VOTES && own_samples.len() < MIN_OWN_SAMPLES {
             return None;
