--- a/crates/router/src/caller_service.rs
+++ b/crates/router/src/caller_service.rs
@@ -5,7 +5,7 @@
 pub(crate) struct CallerService {
     pub(crate) bodies: BodyBudget,
     pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
-    pub(crate) connections: Connections,
+    pub(crate) connections: ConnectionPool,
     pub(crate) events: flume::Sender<RingEvent>,
     pub(crate) limits: LimitsInForce,
     pub(crate) next_request: Arc<AtomicU64>,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -80,8 +80,8 @@
     },
     types::prelude::*,
     upstream::{
-        Answer, Call, CallFailure, Connections, Destination, EngineAdapter, Kept, NO_CONNECTION,
-        ServiceAdapter, StreamItem, TokenStream, UpstreamSender, check_listening,
+        Call, CallFailure, ConnectionPool, Destination, EngineAdapter, NO_CONNECTION, ReuseResult,
+        ServiceAdapter, StreamItem, TokenStream, UpstreamResponse, UpstreamSender, check_listening,
     },
 };
 
--- a/crates/router/src/pump.rs
+++ b/crates/router/src/pump.rs
@@ -20,7 +20,7 @@
 /// The task that serves one request: it does what the controller says, and
 /// passes the answer from the upstream to the caller on one thread.
 pub(crate) struct Pump {
-    connections: Connections,
+    connections: ConnectionPool,
     /// Stream so far, where it is to be kept for a repeated key.
     kept: Option<String>,
     last_event: String,
@@ -134,7 +134,7 @@
 
     /// Passes an answer on that comes as a whole. The caller gets it only when
     /// all of it is here, so that half an answer is never taken for a whole.
-    async fn pass_whole(&mut self, order: &SendOrder, answer: Answer) -> Next {
+    async fn pass_whole(&mut self, order: &SendOrder, answer: UpstreamResponse) -> Next {
         let status = answer.status();
         let content_type = answer.content_type().to_string();
         let idle = Duration::from_millis(self.limits.upstream_idle_timeout_ms);
@@ -174,7 +174,7 @@
         })
     }
 
-    async fn stream(&mut self, order: &SendOrder, answer: Answer) -> Next {
+    async fn stream(&mut self, order: &SendOrder, answer: UpstreamResponse) -> Next {
         let content_type = answer.content_type().to_string();
         match self.pass_events(order, answer).await {
             Streamed::CallerGone => self.on_caller_gone(order).await,
@@ -195,9 +195,9 @@
         }
     }
 
-    async fn pass_events(&mut self, order: &SendOrder, answer: Answer) -> Streamed {
+    async fn pass_events(&mut self, order: &SendOrder, answer: UpstreamResponse) -> Streamed {
         let content_type = answer.content_type().to_string();
-        let mut tokens = answer.into_tokens();
+        let mut tokens = answer.into_token_stream();
         loop {
             let Some(first) = self.next_item(&mut tokens).await else {
                 return Streamed::CallerGone;
@@ -285,11 +285,11 @@
 }
 
 async fn start(
-    connections: &Connections,
+    connections: &ConnectionPool,
     request: &CallerRequest,
     last_event: &str,
     order: &SendOrder,
-) -> Result<Answer, CallFailure> {
+) -> Result<UpstreamResponse, CallFailure> {
     let call = request.call(order);
     match (request.is_for_engine(), order.resume) {
         (false, _) => {
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -27,7 +27,7 @@
 /// passes the answer on unchanged.
 pub(crate) struct Relay {
     clock: Clock,
-    connections: Connections,
+    connections: ConnectionPool,
     /// The last failure that an upstream answered with; it is passed on if
     /// nothing better comes.
     held: Option<Response<WholeAnswer>>,
@@ -159,16 +159,16 @@
             paths: order.paths.clone(),
             upstream: Some(order.upstream.clone()),
         };
-        let kept = connections.send_kept(&to, request, HEAD_TIMEOUT);
+        let kept = connections.send_on_idle(&to, request, HEAD_TIMEOUT);
         let request = match self.in_time(order, kept).await? {
-            Kept::Sent(sent) => return sent.map_err(Stopped::Failed),
-            Kept::Unsent(request) => request,
+            ReuseResult::Sent(sent) => return sent.map_err(Stopped::Failed),
+            ReuseResult::Unsent(request) => request,
         };
         let opening = connections.open(&to);
         let opening = self.in_time(order, opening).await?;
-        self.task.tell_paths(order, opening.tries).await;
+        self.task.tell_paths(order, opening.attempts).await;
         let sender = opening.sender.ok_or(Stopped::Failed(NO_CONNECTION))?;
-        let sent = connections.send_on(sender, request, HEAD_TIMEOUT);
+        let sent = connections.send_on_new(sender, request, HEAD_TIMEOUT);
         self.in_time(order, sent).await?.map_err(Stopped::Failed)
     }
 
--- a/crates/router/src/relay_service.rs
+++ b/crates/router/src/relay_service.rs
@@ -6,7 +6,7 @@
     pub(crate) clock: Clock,
     pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
     pub(crate) bodies: BodyBudget,
-    pub(crate) connections: Connections,
+    pub(crate) connections: ConnectionPool,
     pub(crate) events: flume::Sender<RingEvent>,
     pub(crate) limits: LimitsInForce,
     pub(crate) next_request: Arc<AtomicU64>,
--- a/crates/router/src/transit_service.rs
+++ b/crates/router/src/transit_service.rs
@@ -36,7 +36,7 @@
             debug!(self.logger, "transit: declined"; "upstream" => %upstream);
             return said(StatusCode::SERVICE_UNAVAILABLE, "declined");
         };
-        let connected = timeout(CONNECT_TIMEOUT, Connections::connect_directly(address)).await;
+        let connected = timeout(CONNECT_TIMEOUT, ConnectionPool::connect_directly(address)).await;
         let Ok(Ok(stream)) = connected else {
             info!(self.logger, "transit: upstream not reached"; "upstream" => %upstream);
             return said(StatusCode::BAD_GATEWAY, "unreached");
--- a/crates/router/src/upstream_thread.rs
+++ b/crates/router/src/upstream_thread.rs
@@ -41,7 +41,7 @@
     }
 
     async fn run(self) {
-        let connections = Connections::with_token(&self.token);
+        let connections = ConnectionPool::with_token(&self.token);
         let adapter = EngineAdapter::new(connections.clone());
         tokio::select! {
             () = poll_loads(&self.configuration, &self.status, &adapter, &self.events) => {}
@@ -50,13 +50,13 @@
         }
     }
 
-    async fn serve_probes(&self, adapter: &EngineAdapter, connections: &Connections) {
+    async fn serve_probes(&self, adapter: &EngineAdapter, connections: &ConnectionPool) {
         let jobs = self.probes.stream();
         jobs.for_each_concurrent(MAX_PROBES, |job| self.probe(job, adapter, connections))
             .await;
     }
 
-    async fn probe(&self, job: ProbeJob, adapter: &EngineAdapter, connections: &Connections) {
+    async fn probe(&self, job: ProbeJob, adapter: &EngineAdapter, connections: &ConnectionPool) {
         let ProbeJob {
             address,
             paths,
@@ -86,7 +86,7 @@
             }
             ProbeQuestion::Path => Event::PathsTried {
                 request: None,
-                tries: connections.open(&to).await.tries,
+                tries: connections.open(&to).await.attempts,
                 upstream,
             },
         };
--- a/crates/router/src/wiring.rs
+++ b/crates/router/src/wiring.rs
@@ -291,7 +291,7 @@
                 bodies: self.shared.bodies.clone(),
                 clock: self.shared.clock,
                 configuration,
-                connections: Connections::with_token(&self.settings.peer_token),
+                connections: ConnectionPool::with_token(&self.settings.peer_token),
                 events: self.events(),
                 limits,
                 next_request,
@@ -302,7 +302,7 @@
             None => CallerInterface::Own(CallerService {
                 bodies: self.shared.bodies.clone(),
                 configuration,
-                connections: Connections::default(),
+                connections: ConnectionPool::default(),
                 events: self.events(),
                 limits,
                 next_request,
--- a/crates/upstream/src/connections.rs
+++ b/crates/upstream/src/connection_pool.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Idle connections kept for each upstream.
-const MAX_IDLE: usize = 64;
+const MAX_IDLE_PER_UPSTREAM: usize = 64;
 
 /// Longest time to connect. A handshake takes a few milliseconds; an upstream
 /// that lost its power answers none, and each request would wait this long.
@@ -16,19 +16,19 @@
 const DEAD_PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Silence after which a keep-alive probe is sent, and the time between two.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 type Sender = SendRequest<Full<Bytes>>;
 
 /// A connection that is kept for the next request.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     expires: Instant,
     sender: Sender,
 }
 
 /// By where an upstream listens, and the path to it.
-type IdleConnections = HashMap<(SocketAddr, Path), Vec<Idle>>;
+type IdleConnections = HashMap<(SocketAddr, Path), Vec<IdleConnection>>;
 
 /// Connections to upstreams, kept open between calls.
 ///
@@ -38,7 +38,7 @@
 /// write it, and that is the only case that counts as `not-run` here.
 /// Everything else after a connection stands is `may-have-run`.
 #[derive(Clone, Debug, Default)]
-pub struct Connections {
+pub struct ConnectionPool {
     idle: Arc<Mutex<IdleConnections>>,
     /// The tasks that drive the connections; they end with the last clone.
     tasks: Arc<Mutex<JoinSet<()>>>,
@@ -46,7 +46,7 @@
     token: Option<Arc<str>>,
 }
 
-impl Connections {
+impl ConnectionPool {
     /// Opens a connection that carries no requests of this host's own.
     pub async fn connect_directly(address: SocketAddr) -> Result<TcpStream, PathOutcome> {
         open_stream(address).await
@@ -68,41 +68,41 @@
         request: Request<Full<Bytes>>,
         head_timeout: Duration,
     ) -> Result<(Response<Incoming>, UpstreamSender), CallFailure> {
-        let request = match self.send_kept(to, request, head_timeout).await {
-            Kept::Sent(sent) => return sent,
-            Kept::Unsent(request) => request,
+        let request = match self.send_on_idle(to, request, head_timeout).await {
+            ReuseResult::Sent(sent) => return sent,
+            ReuseResult::Unsent(request) => request,
         };
-        let opening = self.open(to).await;
-        let sender = opening.sender.ok_or(NO_CONNECTION)?;
-        self.send_on(sender, request, head_timeout).await
+        let opened = self.open(to).await;
+        let sender = opened.sender.ok_or(NO_CONNECTION)?;
+        self.send_on_new(sender, request, head_timeout).await
     }
 
     /// Sends a request over a kept connection, and waits for the head of the answer.
-    pub async fn send_kept(
+    pub async fn send_on_idle(
         &self,
         to: &Destination,
         request: Request<Full<Bytes>>,
         head_timeout: Duration,
-    ) -> Kept {
+    ) -> ReuseResult {
         let mut request = request;
-        for path in to.preferred() {
+        for path in to.preferred_paths() {
             while let Some(sender) = self.take_idle(to.address, path) {
                 match Self::try_send(sender, request, head_timeout).await {
                     Ok(answered) => {
-                        count("reused");
-                        return Kept::Sent(Ok(answered));
+                        count_event("reused");
+                        return ReuseResult::Sent(Ok(answered));
                     }
                     // The connection had been closed: nothing was written.
                     Err((_, Some(unsent))) => request = unsent,
-                    Err((failure, None)) => return Kept::Sent(Err(failure)),
+                    Err((failure, None)) => return ReuseResult::Sent(Err(failure)),
                 }
             }
         }
-        Kept::Unsent(request)
+        ReuseResult::Unsent(request)
     }
 
     /// Sends a request over a new connection, and waits for the head of the answer.
-    pub async fn send_on(
+    pub async fn send_on_new(
         &self,
         sender: UpstreamSender,
         request: Request<Full<Bytes>>,
@@ -113,16 +113,16 @@
     }
 
     /// Opens a connection over the first path that connects.
-    pub async fn open(&self, to: &Destination) -> Opening {
+    pub async fn open(&self, to: &Destination) -> OpenResult {
         self.drop_expired();
         let connect = |path| self.connect(to, path);
-        let (opened, tries) = open_first(&to.paths, CONNECT_TIMEOUT, connect).await;
-        let sender = match opened {
-            Some((path, stream)) => self.speak_http(path, stream).await,
+        let (connected, attempts) = open_first(&to.paths, CONNECT_TIMEOUT, connect).await;
+        let sender = match connected {
+            Some((path, stream)) => self.start_http(path, stream).await,
             None => None,
         };
-        count(if sender.is_some() { "opened" } else { "failed" });
-        Opening { sender, tries }
+        count_event(if sender.is_some() { "opened" } else { "failed" });
+        OpenResult { sender, attempts }
     }
 
     async fn try_send(
@@ -154,7 +154,7 @@
         }
     }
 
-    async fn speak_http(&self, path: Path, stream: TcpStream) -> Option<UpstreamSender> {
+    async fn start_http(&self, path: Path, stream: TcpStream) -> Option<UpstreamSender> {
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         let mut tasks = lock(&self.tasks);
         while tasks.try_join_next().is_some() {}
@@ -169,7 +169,7 @@
         let mut idle = lock(&self.idle);
         let senders = idle.get_mut(&(address, path))?;
         let now = Instant::now();
-        while let Some(Idle { expires, sender }) = senders.pop() {
+        while let Some(IdleConnection { expires, sender }) = senders.pop() {
             idle_gauge().decrement(1);
             if now < expires && sender.is_ready() && !sender.is_closed() {
                 return Some(UpstreamSender { path, sender });
@@ -199,9 +199,9 @@
         let senders = idle.entry((address, path)).or_default();
         let before = senders.len() as f64;
         senders.retain(|idle| now < idle.expires && !idle.sender.is_closed());
-        if senders.len() < MAX_IDLE {
+        if senders.len() < MAX_IDLE_PER_UPSTREAM {
             let expires = now + keep_for;
-            senders.push(Idle { expires, sender });
+            senders.push(IdleConnection { expires, sender });
         }
         idle_gauge().increment(senders.len() as f64 - before);
     }
@@ -212,7 +212,7 @@
 }
 
 /// Counts what became of a connection that was wanted.
-fn count(event: &'static str) {
+fn count_event(event: &'static str) {
     counter!("rhubarbcove_upstream_connections_total", "event" => event).increment(1);
 }
 
@@ -225,17 +225,17 @@
 pub(crate) async fn open_stream(address: SocketAddr) -> Result<TcpStream, PathOutcome> {
     let stream = TcpStream::connect(address).await;
     let stream = stream.map_err(|_| PathOutcome::Refused)?;
-    watch_peer(&stream).map_err(|_| PathOutcome::Refused)?;
+    set_socket_options(&stream).map_err(|_| PathOutcome::Refused)?;
     Ok(stream)
 }
 
 /// Sends small writes at once, and notices a peer that is gone without a word.
-fn watch_peer(stream: &TcpStream) -> std::io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_interval(PROBE_INTERVAL)
-        .with_time(PROBE_INTERVAL);
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_time(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&keepalive)?;
     socket.set_tcp_user_timeout(Some(DEAD_PEER_TIMEOUT))
 }
--- a/crates/upstream/src/destination.rs
+++ b/crates/upstream/src/destination.rs
@@ -24,7 +24,7 @@
 
 impl Destination {
     /// The kind of path that is preferred, as far as kept connections are concerned.
-    pub(crate) fn preferred(&self) -> impl Iterator<Item = Path> {
+    pub(crate) fn preferred_paths(&self) -> impl Iterator<Item = Path> {
         let first = self.paths.first().copied();
         let is_direct = |path: &Path| *path == Path::Direct;
         let same_kind =
--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -1,22 +1,22 @@
 use super::*;
 
 /// Time for a short question to an engine, such as its load.
-const SHORT_TIMEOUT: Duration = Duration::from_millis(500);
+const CONTROL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Largest answer to a short question.
-const MAX_SHORT_ANSWER: ByteSize = ByteSize::new(64 * 1024);
+const MAX_CONTROL_RESPONSE: ByteSize = ByteSize::new(64 * 1024);
 
 /// Speaks to model engines: OpenAI-style requests, with resumption and
 /// cancellation by attempt id.
 #[derive(Clone, Debug, Default)]
 pub struct EngineAdapter {
-    connections: Connections,
+    pool: ConnectionPool,
 }
 
 impl EngineAdapter {
-    /// An adapter over these connections.
-    pub const fn new(connections: Connections) -> Self {
-        Self { connections }
+    /// An adapter over this pool.
+    pub const fn new(pool: ConnectionPool) -> Self {
+        Self { pool }
     }
 
     /// Sends a request.
@@ -25,7 +25,7 @@
         address: SocketAddr,
         call: &Call,
         head_timeout: Duration,
-    ) -> Result<Answer, CallFailure> {
+    ) -> Result<UpstreamResponse, CallFailure> {
         let request = service::request_builder(address, call)
             .header(PRIORITY_HEADER, call.priority.to_string());
         self.exchange(address, request, call.body.clone(), head_timeout)
@@ -39,7 +39,7 @@
         attempt: AttemptId,
         last_event: &str,
         head_timeout: Duration,
-    ) -> Result<Answer, CallFailure> {
+    ) -> Result<UpstreamResponse, CallFailure> {
         let request = Request::builder()
             .method(Method::GET)
             .uri(format!("/v1/streams/{attempt}"))
@@ -53,12 +53,15 @@
     /// notices the closed stream too.
     pub async fn cancel(&self, address: SocketAddr, attempt: AttemptId) {
         let path = format!("/v1/cancel/{attempt}");
-        let _ = self.short(Method::POST, address, &path).await;
+        let _ = self.send_control(Method::POST, address, &path).await;
     }
 
     /// Reads an engine's load report.
     pub async fn load(&self, address: SocketAddr) -> Option<LoadReport> {
-        let body = self.short(Method::GET, address, "/load").await.ok()?;
+        let body = self
+            .send_control(Method::GET, address, "/load")
+            .await
+            .ok()?;
         serde_json::from_slice(&body).ok()
     }
 
@@ -68,32 +71,33 @@
         to: &Destination,
         path: &str,
     ) -> Option<(StatusCode, HeaderMap)> {
-        let request = short_request(Method::GET, to.address, path)
+        let request = control_request(Method::GET, to.address, path)
             .body(Full::new(Bytes::new()))
             .ok()?;
-        let sent = self.connections.send(to, request, SHORT_TIMEOUT);
+        let sent = self.pool.send(to, request, CONTROL_TIMEOUT);
         let (response, sender) = sent.await.ok()?;
         let (parts, body) = response.into_parts();
-        let body = Limited::new(body, MAX_SHORT_ANSWER.get() as usize).collect();
-        timeout(SHORT_TIMEOUT, body).await.ok()?.ok()?;
-        self.connections.keep(to.address, sender, answer::IDLE_TIME);
+        let body = Limited::new(body, MAX_CONTROL_RESPONSE.get() as usize).collect();
+        timeout(CONTROL_TIMEOUT, body).await.ok()?.ok()?;
+        self.pool
+            .keep(to.address, sender, upstream_response::IDLE_LIFETIME);
         Some((parts.status, parts.headers))
     }
 
-    async fn short(
+    async fn send_control(
         &self,
         method: Method,
         address: SocketAddr,
         path: &str,
     ) -> Result<Bytes, CallFailure> {
-        let request = short_request(method, address, path);
+        let request = control_request(method, address, path);
         let answer = self
-            .exchange(address, request, Bytes::new(), SHORT_TIMEOUT)
+            .exchange(address, request, Bytes::new(), CONTROL_TIMEOUT)
             .await?;
         if !answer.status().is_success() {
             return Err(CallFailure::may_have_run(FailureCause::ErrorStatus));
         }
-        answer.collect(MAX_SHORT_ANSWER, SHORT_TIMEOUT).await
+        answer.collect(MAX_CONTROL_RESPONSE, CONTROL_TIMEOUT).await
     }
 
     async fn exchange(
@@ -102,12 +106,16 @@
         request: hyper::http::request::Builder,
         body: Bytes,
         head_timeout: Duration,
-    ) -> Result<Answer, CallFailure> {
-        service::exchange(&self.connections, address, request, body, head_timeout).await
+    ) -> Result<UpstreamResponse, CallFailure> {
+        service::exchange(&self.pool, address, request, body, head_timeout).await
     }
 }
 
-fn short_request(method: Method, address: SocketAddr, path: &str) -> hyper::http::request::Builder {
+fn control_request(
+    method: Method,
+    address: SocketAddr,
+    path: &str,
+) -> hyper::http::request::Builder {
     Request::builder()
         .method(method)
         .uri(path)
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -25,41 +25,41 @@
     types::{Listening, prelude::*},
 };
 
-mod answer;
 mod call;
 mod call_failure;
-mod connections;
+mod connection_pool;
 mod destination;
 mod engine;
-mod event_stream;
-mod kept;
 mod listening;
-mod opening;
-mod opening_paths;
+mod open_result;
+mod path_race;
+mod reuse_result;
 mod service;
 mod stream_item;
+mod token_stream;
 mod transit;
+mod upstream_response;
 mod upstream_sender;
 
 pub use {
-    answer::Answer,
     call::Call,
     call_failure::CallFailure,
-    connections::{Connections, NO_CONNECTION},
+    connection_pool::{ConnectionPool, NO_CONNECTION},
     destination::Destination,
     engine::EngineAdapter,
-    event_stream::TokenStream,
-    kept::Kept,
     listening::check_listening,
-    opening::Opening,
+    open_result::OpenResult,
+    reuse_result::ReuseResult,
     service::ServiceAdapter,
     stream_item::StreamItem,
+    token_stream::TokenStream,
+    upstream_response::UpstreamResponse,
     upstream_sender::UpstreamSender,
 };
 
 use {
-    connections::{CONNECT_TIMEOUT, open_stream},
-    opening_paths::open_first,
+    connection_pool::{CONNECT_TIMEOUT, open_stream},
+    path_race::open_first,
     transit::connect_through,
 };
 
--- a/crates/upstream/src/opening.rs
+++ b/crates/upstream/src/open_result.rs
@@ -2,9 +2,9 @@
 
 /// What came of opening a connection to an upstream.
 #[derive(Debug)]
-pub struct Opening {
+pub struct OpenResult {
     /// The connection; `None` if none could be made.
     pub sender: Option<UpstreamSender>,
     /// The paths that were tried, and how each attempt ended.
-    pub tries: Vec<PathAttempt>,
+    pub attempts: Vec<PathAttempt>,
 }
--- a/crates/upstream/src/opening_paths.rs
+++ b/crates/upstream/src/path_race.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 /// Head start of each path over the next one: a connection takes a few milliseconds.
-const HEAD_START: Duration = Duration::from_millis(60);
+const ATTEMPT_DELAY: Duration = Duration::from_millis(60);
 
 /// A path whose attempt has not ended.
-struct Pending {
-    began: Instant,
+struct PendingAttempt {
+    started: Instant,
     path: Path,
 }
 
@@ -18,33 +18,33 @@
 /// does not know it yet, lets every request wait for that time.
 pub(crate) async fn open_first<T, F>(
     paths: &[Path],
-    limit: Duration,
+    connect_timeout: Duration,
     connect: impl Fn(Path) -> F,
 ) -> (Option<(Path, T)>, Vec<PathAttempt>)
 where
     F: Future<Output = Result<T, PathOutcome>>,
 {
-    let end = Instant::now() + limit;
-    let mut left = paths.iter().copied();
+    let end = Instant::now() + connect_timeout;
+    let mut remaining = paths.iter().copied();
     let mut attempts = FuturesUnordered::new();
-    let mut pending: Vec<Pending> = Vec::new();
+    let mut pending: Vec<PendingAttempt> = Vec::new();
     let mut tries = Vec::new();
     let mut opened = None;
     let mut starts_next = true;
     while opened.is_none() {
         let now = Instant::now();
-        if starts_next && let Some(path) = left.next() {
+        if starts_next && let Some(path) = remaining.next() {
             let attempt = connect(path);
             attempts.push(async move { (path, attempt.await) });
-            pending.push(Pending { began: now, path });
+            pending.push(PendingAttempt { started: now, path });
         }
         if attempts.is_empty() || now >= end {
             break;
         }
-        let wait = if left.len() == 0 {
+        let wait = if remaining.len() == 0 {
             end - now
         } else {
-            HEAD_START.min(end - now)
+            ATTEMPT_DELAY.min(end - now)
         };
         starts_next = true;
         let Ok(Some((path, result))) = timeout(wait, attempts.next()).await else {
@@ -59,7 +59,7 @@
     // One that had no head start says nothing.
     let overdue = pending
         .iter()
-        .filter(|pending| pending.began.elapsed() >= HEAD_START);
+        .filter(|pending| pending.started.elapsed() >= ATTEMPT_DELAY);
     tries.extend(overdue.map(|pending| PathAttempt {
         outcome: PathOutcome::NoAnswer,
         path: pending.path,
--- a/crates/upstream/src/service.rs
+++ b/crates/upstream/src/service.rs
@@ -3,13 +3,13 @@
 /// Speaks to plain services.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceAdapter {
-    connections: Connections,
+    pool: ConnectionPool,
 }
 
 impl ServiceAdapter {
-    /// An adapter over these connections.
-    pub const fn new(connections: Connections) -> Self {
-        Self { connections }
+    /// An adapter over this pool.
+    pub const fn new(pool: ConnectionPool) -> Self {
+        Self { pool }
     }
 
     /// Sends a request.
@@ -18,10 +18,10 @@
         address: SocketAddr,
         call: &Call,
         head_timeout: Duration,
-    ) -> Result<Answer, CallFailure> {
+    ) -> Result<UpstreamResponse, CallFailure> {
         let request = request_builder(address, call);
         exchange(
-            &self.connections,
+            &self.pool,
             address,
             request,
             call.body.clone(),
@@ -41,17 +41,15 @@
 }
 
 pub(crate) async fn exchange(
-    connections: &Connections,
+    pool: &ConnectionPool,
     address: SocketAddr,
     request: hyper::http::request::Builder,
     body: Bytes,
     head_timeout: Duration,
-) -> Result<Answer, CallFailure> {
+) -> Result<UpstreamResponse, CallFailure> {
     let request = request
         .body(Full::new(body))
         .map_err(|_| CallFailure::not_run(FailureCause::Connect))?;
-    let (response, sender) = connections
-        .send(&address.into(), request, head_timeout)
-        .await?;
-    Answer::from_response(connections.clone(), address, response, sender)
+    let (response, sender) = pool.send(&address.into(), request, head_timeout).await?;
+    UpstreamResponse::from_response(pool.clone(), address, response, sender)
 }
--- a/crates/upstream/src/event_stream.rs
+++ b/crates/upstream/src/token_stream.rs
@@ -6,25 +6,25 @@
 /// Time for the end of the body after the end mark.
 const FINISH_TIMEOUT: Duration = Duration::from_millis(100);
 
-type FrameEvent = Result<Event, EventStreamError<hyper::Error>>;
+type EventResult = Result<Event, EventStreamError<hyper::Error>>;
 
-type Frames = EventStream<BodyDataStream<Incoming>>;
+type Events = EventStream<BodyDataStream<Incoming>>;
 
 /// The events of an answer, up to its end mark.
 pub struct TokenStream {
     address: SocketAddr,
-    connections: Connections,
+    pool: ConnectionPool,
     ended: bool,
-    events: Pin<Box<Frames>>,
+    events: Pin<Box<Events>>,
     sender: Option<UpstreamSender>,
 }
 
 impl TokenStream {
-    pub(crate) fn new(answer: Answer) -> Self {
+    pub(crate) fn new(answer: UpstreamResponse) -> Self {
         let events = BodyDataStream::new(answer.body).eventsource();
         Self {
             address: answer.address,
-            connections: answer.connections,
+            pool: answer.pool,
             ended: false,
             events: Box::pin(events),
             sender: Some(answer.sender),
@@ -40,7 +40,7 @@
             return item;
         }
         match timeout(idle_timeout, self.events.next()).await {
-            Ok(event) => self.item(event),
+            Ok(event) => self.convert_event(event),
             Err(_) => Err(CallFailure::may_have_run(FailureCause::Silent)),
         }
     }
@@ -51,10 +51,10 @@
             return None;
         }
         let event = self.events.next().now_or_never()?;
-        Some(self.item(event))
+        Some(self.convert_event(event))
     }
 
-    fn item(&mut self, event: Option<FrameEvent>) -> Result<StreamItem, CallFailure> {
+    fn convert_event(&mut self, event: Option<EventResult>) -> Result<StreamItem, CallFailure> {
         match event {
             Some(Ok(event)) if event.data == END_MARK => {
                 self.ended = true;
@@ -73,8 +73,8 @@
     pub async fn finish(mut self) {
         let rest = timeout(FINISH_TIMEOUT, self.events.next()).await;
         if let (Ok(None), Some(sender)) = (rest, self.sender.take()) {
-            self.connections
-                .keep(self.address, sender, answer::IDLE_TIME);
+            self.pool
+                .keep(self.address, sender, upstream_response::IDLE_LIFETIME);
         }
     }
 }
--- a/crates/upstream/src/answer.rs
+++ b/crates/upstream/src/upstream_response.rs
@@ -4,29 +4,29 @@
 const EVENT_STREAM: &str = "text/event-stream";
 
 /// Time for which a connection to an upstream of the own protocol is kept.
-pub(crate) const IDLE_TIME: Duration = Duration::from_secs(60);
+pub(crate) const IDLE_LIFETIME: Duration = Duration::from_secs(60);
 
 /// The head of an upstream's answer, with its body still to come.
 #[derive(Debug)]
-pub struct Answer {
+pub struct UpstreamResponse {
     pub(crate) address: SocketAddr,
     pub(crate) body: Incoming,
-    pub(crate) connections: Connections,
+    pub(crate) pool: ConnectionPool,
     pub(crate) content_type: String,
     pub(crate) sender: UpstreamSender,
     pub(crate) status: StatusCode,
 }
 
-impl Answer {
+impl UpstreamResponse {
     pub(crate) fn from_response(
-        connections: Connections,
+        pool: ConnectionPool,
         address: SocketAddr,
         response: Response<Incoming>,
         sender: UpstreamSender,
     ) -> Result<Self, CallFailure> {
         let status = response.status();
-        let says_not_run = response.headers().contains_key(NOT_RUN_HEADER);
-        if says_not_run && !status.is_success() {
+        let is_marked_not_run = response.headers().contains_key(NOT_RUN_HEADER);
+        if is_marked_not_run && !status.is_success() {
             return Err(CallFailure::not_run(FailureCause::Busy));
         }
         if status.is_server_error() {
@@ -41,7 +41,7 @@
         Ok(Self {
             address,
             body: response.into_body(),
-            connections,
+            pool,
             content_type,
             sender,
             status,
@@ -64,7 +64,7 @@
     }
 
     /// The body as a stream of tokens.
-    pub fn into_tokens(self) -> TokenStream {
+    pub fn into_token_stream(self) -> TokenStream {
         TokenStream::new(self)
     }
 
@@ -89,7 +89,7 @@
                 Err(_) => return Err(CallFailure::may_have_run(FailureCause::Silent)),
             }
         }
-        self.connections.keep(self.address, self.sender, IDLE_TIME);
+        self.pool.keep(self.address, self.sender, IDLE_LIFETIME);
         Ok(whole.into())
     }
 }
