--- a/crates/types/src/advertised_backoff.rs
+++ b/crates/types/src/advertised_backoff.rs
@@ -1,12 +1,13 @@
 use super::*;
 
-/// For how long an upstream that refused a request wants none from the host that sent it.
+/// The backoff that an upstream asks for when it refuses a request: how long the sending host
+/// should send no further request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdvertisedBackoff {
-    /// It does not say.
+    /// The response states no backoff.
     Absent,
-    /// So long, from the answer on.
+    /// The duration, which starts with the response.
     Valid(Duration),
-    /// Something that is no time; nothing changes.
+    /// The stated text is not a duration. It is ignored, and a current backoff stays in force.
     Invalid(String),
 }
--- a/crates/types/src/advertised_limit.rs
+++ b/crates/types/src/advertised_limit.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// What an answer says of the requests a second of all hosts together that its upstream takes, or
-/// can reject.
+/// A limit in requests per second that an upstream states in a response: how many requests it
+/// accepts, or how many it can reject. The limit counts the requests of all hosts together.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdvertisedLimit {
-    /// Nothing: the upstream has no limit.
+    /// The response states no limit, so the upstream has none.
     Absent,
-    /// Something that is no rate; what was known before holds on.
+    /// The stated text is not a rate. It is ignored, and the previous limit stays in force.
     Invalid(String),
-    /// So many requests.
+    /// The limit.
     Valid(Rate),
 }
--- a/crates/types/src/attempt_id.rs
+++ b/crates/types/src/attempt_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// One attempt to run a request: the incarnation of the host that makes it and
-/// a counter of that host. No two attempts of any hosts share an id.
+/// Identifies one attempt to run a request. It consists of the incarnation of the host that makes
+/// the attempt and a counter of that host, so it is unique across all hosts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct AttemptId {
@@ -10,7 +10,7 @@
 }
 
 impl AttemptId {
-    /// The attempt with number `counter` of a host.
+    /// The id of attempt number `counter` of a host incarnation.
     pub const fn new(incarnation: Incarnation, counter: u64) -> Self {
         Self {
             incarnation,
--- a/crates/types/src/bandwidth.rs
+++ b/crates/types/src/bandwidth.rs
@@ -1,18 +1,16 @@
 use super::*;
 
-/// Speed of a link in megabits per second, always above zero and finite.
+/// Speed of a network link in megabits per second, always above zero and finite.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "f64", try_from = "f64")]
 pub struct Bandwidth(f64);
 
-/// Bits per second of one megabit per second.
 const BITS_PER_MEGABIT: f64 = 1_000_000.0;
 
-/// Bits of a byte.
 const BITS_PER_BYTE: f64 = 8.0;
 
 impl Bandwidth {
-    /// A speed from megabits per second; `None` for one that no link has.
+    /// Creates a bandwidth; `None` unless `raw` is finite and above zero.
     pub fn megabits_per_s(raw: f64) -> Option<Self> {
         (raw.is_finite() && raw > 0.0).then_some(Self(raw))
     }
@@ -22,7 +20,7 @@
         self.0
     }
 
-    /// Time in which so many bytes pass, in milliseconds.
+    /// Milliseconds that the link needs to transfer `bytes`.
     pub fn millis_for(self, bytes: f64) -> f64 {
         bytes * BITS_PER_BYTE / (self.0 * BITS_PER_MEGABIT) * 1_000.0
     }
--- a/crates/types/src/class_id.rs
+++ b/crates/types/src/class_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 text_id!(
-    /// A request class, which carries latency targets and a tier.
+    /// Id of a request class, which defines latency targets and a tier.
     ClassId,
     "class"
 );
--- a/crates/types/src/collections.rs
+++ b/crates/types/src/collections.rs
@@ -1,7 +1,7 @@
 //! Hash collections with a fast hasher.
 
-/// A hash map with a fast hasher. Its order of iteration is not fixed, so no
-/// decision may rest on it.
+/// A hash map with a fast hasher. Its iteration order varies, so no decision may depend on that
+/// order.
 pub type HashMap<K, V> = std::collections::HashMap<K, V, ahash::RandomState>;
 
 /// A hash set with a fast hasher; see [`HashMap`].
--- a/crates/types/src/config_version.rs
+++ b/crates/types/src/config_version.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 quantity!(
-    /// Number of a version of the shared configuration; it only rises.
+    /// Version number of the shared configuration; it only increases.
     ConfigVersion,
     u64,
     "configuration version"
--- a/crates/types/src/failure_cause.rs
+++ b/crates/types/src/failure_cause.rs
@@ -1,35 +1,35 @@
 use super::*;
 
-/// What went wrong with an attempt.
+/// Why an attempt failed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FailureCause {
-    /// The upstream refused it for want of room.
+    /// The upstream refused the request because it was at capacity.
     Busy,
-    /// No connection could be made.
+    /// No connection could be established.
     Connect,
-    /// The upstream answered with a server error.
+    /// The upstream responded with a server error status.
     ErrorStatus,
     /// The upstream closed or reset the connection.
     Reset,
-    /// The upstream was silent for too long.
+    /// The upstream sent nothing for longer than the timeout.
     Silent,
-    /// The time for the answer was over.
+    /// The time limit for the response passed.
     TimedOut,
-    /// The answer ended before its end mark.
+    /// The response ended before its end marker.
     Truncated,
-    /// Another upstream has the address now.
+    /// Another upstream now uses the address.
     WrongInstance,
 }
 
 impl FailureCause {
-    /// Whether it says something about the upstream's health. A busy upstream
-    /// is well.
+    /// Whether the failure counts against the health of the upstream. An upstream that is at
+    /// capacity is healthy.
     pub const fn counts_against_health(self) -> bool {
         !matches!(self, Self::Busy | Self::TimedOut)
     }
 
-    /// Whether a connection that broke or fell silent is all that is known.
+    /// Whether all that is known is that a connection broke or no more data came over it.
     pub const fn is_connection_loss(self) -> bool {
         matches!(
             self,
@@ -37,7 +37,7 @@
         )
     }
 
-    /// The cause as it stands in logs and reports.
+    /// The cause as it is written in logs and reports.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Busy => "busy",
--- a/crates/types/src/failure_domain_id.rs
+++ b/crates/types/src/failure_domain_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 text_id!(
-    /// A failure domain: hosts and upstreams that fail or are cut off together.
+    /// Id of a failure domain: hosts and upstreams that fail or lose network connectivity together.
     FailureDomainId,
     "failure domain"
 );
--- a/crates/types/src/fencing_number.rs
+++ b/crates/types/src/fencing_number.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 quantity!(
-    /// Fencing number of an order to an engine; it only rises.
+    /// Fencing number of a command to an engine; it only increases.
     FencingNumber,
     u64,
     "fencing number"
--- a/crates/types/src/host_id.rs
+++ b/crates/types/src/host_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 text_id!(
-    /// One entry host.
+    /// Id of a host, a machine that runs the router.
     HostId,
     "host"
 );
--- a/crates/types/src/idempotency_key.rs
+++ b/crates/types/src/idempotency_key.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// Longest key that is accepted, in bytes.
+/// Longest accepted key.
 const MAX_KEY_BYTES: usize = 255;
 
-/// A caller's `Idempotency-Key`: 1 to 255 visible ASCII characters, one for
-/// each intent and the same on each retry.
+/// The value of a caller's `Idempotency-Key` header: 1 to 255 visible ASCII characters. A caller
+/// uses a new key for each operation and the same key for each retry of that operation.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct IdempotencyKey(String);
--- a/crates/types/src/incarnation.rs
+++ b/crates/types/src/incarnation.rs
@@ -1,7 +1,8 @@
 use super::*;
 
 quantity!(
-    /// Random number drawn when a host starts, so that a replaced host is a new one.
+    /// Random number that a host generates at its start. It tells a restarted or replaced host from
+    /// the earlier host with the same id.
     Incarnation,
     u64,
     "incarnation"
--- a/crates/types/src/key_hash.rs
+++ b/crates/types/src/key_hash.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 digest!(
-    /// SHA-256 of a team's bearer key. The key itself is never kept or logged,
-    /// and looking a hash up leaks nothing about the key by its timing.
+    /// SHA-256 of a team's bearer key. The key itself is never stored or logged, and the timing of
+    /// a lookup by hash reveals nothing about the key.
     KeyHash,
     "key hash"
 );
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,5 +1,5 @@
-//! Ids, sizes, rates, tiers and the verdict: the words that every package of
-//! rhubarbcove shares. No I/O and no decisions live here.
+//! Types that all packages of rhubarbcove share: ids, sizes, rates, tiers and the verdict. This
+//! package does no I/O and makes no routing decisions.
 
 use {
     serde::{Deserialize, Serialize},
--- a/crates/types/src/listening.rs
+++ b/crates/types/src/listening.rs
@@ -1,10 +1,10 @@
-/// Whether anybody listens at an address.
+/// Whether a process listens at an address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Listening {
-    /// Nobody does: a connection is refused, or ends at once.
+    /// No process listens: a connection is refused, or is closed immediately.
     No,
-    /// It cannot be known: there is no answer.
+    /// Unknown: the address does not respond.
     Unknown,
-    /// Somebody does.
+    /// A process listens.
     Yes,
 }
--- a/crates/types/src/load_report.rs
+++ b/crates/types/src/load_report.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// An engine's own report of its load. It lags behind the engine.
+/// The load that an engine reports of itself. The report can be out of date.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// How old the report was when it was sent.
+    /// Age of the report when it was sent.
     pub age_ms: u64,
-    /// Whether the engine is leaving and wants no new work.
+    /// Whether the engine is shutting down and wants no new requests.
     #[serde(default)]
     pub leaving: bool,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting in the engine's own queue.
+    /// Number of requests in the engine's own queue.
     pub waiting: u32,
 }
--- a/crates/types/src/macros.rs
+++ b/crates/types/src/macros.rs
@@ -1,6 +1,6 @@
-//! Macros that give every newtype the same set of traits.
+//! Macros that define newtypes with the same set of traits.
 
-/// Defines a textual id: 1 to 64 characters out of `A-Z a-z 0-9 . _ -`.
+/// Defines a text id: 1 to 64 characters from `A-Z a-z 0-9 . _ -`.
 macro_rules! text_id {
     ($(#[$doc:meta])* $name:ident, $kind:literal) => {
         $(#[$doc])*
@@ -47,7 +47,7 @@
     };
 }
 
-/// Defines a whole-number quantity or counter that prints as a plain number.
+/// Defines an integer quantity or counter that is displayed as a plain number.
 macro_rules! quantity {
     ($(#[$doc:meta])* $name:ident, $inner:ty, $kind:literal) => {
         $(#[$doc])*
@@ -85,7 +85,7 @@
     };
 }
 
-/// Defines a SHA-256 digest that prints and parses as 64 hex digits.
+/// Defines a SHA-256 digest that is displayed and parsed as 64 hex digits.
 macro_rules! digest {
     ($(#[$doc:meta])* $name:ident, $kind:literal) => {
         $(#[$doc])*
--- a/crates/types/src/model_id.rs
+++ b/crates/types/src/model_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 text_id!(
-    /// A model that engines serve.
+    /// Id of a model that engines serve.
     ModelId,
     "model"
 );
--- a/crates/types/src/parse_id_error.rs
+++ b/crates/types/src/parse_id_error.rs
@@ -1,26 +1,26 @@
 use super::*;
 
-/// Longest id that is accepted, in bytes.
+/// Longest accepted id.
 const MAX_ID_BYTES: usize = 64;
 
-/// Why a text is not an id.
+/// Why a text is not a valid id.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ParseIdError {
-    /// A character outside `A-Z a-z 0-9 . _ -`.
+    /// The id contains a character outside `A-Z a-z 0-9 . _ -`.
     BadCharacter {
         /// The kind of id, such as `team`.
         kind: String,
-        /// The offending character.
+        /// The first invalid character.
         character: char,
     },
-    /// No characters, or more than 64.
+    /// The id is empty or longer than 64 bytes.
     BadLength {
         /// The kind of id, such as `team`.
         kind: String,
-        /// Length found, in bytes.
+        /// Length of the text in bytes.
         len: usize,
     },
-    /// The start of an upstream is not a whole number of milliseconds.
+    /// The start time in an upstream id is not a whole number of milliseconds.
     BadStartTime {
         /// The whole id.
         text: String,
--- a/crates/types/src/parse_value_error.rs
+++ b/crates/types/src/parse_value_error.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A text that is not the number it should be.
+/// A text that is not a valid value of the expected kind.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ParseValueError {
     kind: String,
--- a/crates/types/src/path.rs
+++ b/crates/types/src/path.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// How a host reaches an upstream.
+/// Network path from a host to an upstream.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Path {
-    /// Over a connection of its own.
+    /// The host connects to the upstream itself.
     Direct,
-    /// Through another host, which listens there.
+    /// Another host, which listens at this address, forwards the connection.
     Through(SocketAddr),
 }
 
--- a/crates/types/src/path_attempt.rs
+++ b/crates/types/src/path_attempt.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// An attempt to open a path to an upstream.
+/// An attempt to connect to an upstream over one path.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PathAttempt {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: PathOutcome,
-    /// The path.
+    /// The path that was tried.
     pub path: Path,
 }
 
--- a/crates/types/src/path_outcome.rs
+++ b/crates/types/src/path_outcome.rs
@@ -1,22 +1,23 @@
 use super::*;
 
-/// How an attempt to open a path to an upstream ended.
+/// How an attempt to connect to an upstream over one path ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PathOutcome {
     /// A connection was established.
     Connected,
-    /// The other host takes no connection for this upstream.
+    /// The other host does not forward connections to this upstream.
     Declined,
-    /// No answer came in time, or before another path was connected.
+    /// No response came before the timeout or before another path connected.
     NoAnswer,
-    /// The address at the near end of the path refused the connection.
+    /// The first address of the path, the upstream or the other host, refused or broke off the
+    /// connection.
     Refused,
-    /// The other host answered that it could not connect to the upstream.
+    /// The other host responded that it could not connect to the upstream.
     Unreached,
 }
 
 impl PathOutcome {
-    /// The end as it stands in logs and metrics.
+    /// The outcome as it is written in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Connected => "connected",
--- a/crates/types/src/prelude.rs
+++ b/crates/types/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types, for one glob import in each package's crate root.
+//! Common types, for a single glob import in the crate root of each package.
 
 pub use crate::{
     AdvertisedBackoff, AdvertisedLimit, AttemptId, Bandwidth, ByteSize, ClassId, ConfigVersion,
--- a/crates/types/src/rate.rs
+++ b/crates/types/src/rate.rs
@@ -6,7 +6,7 @@
 pub struct Rate(f64);
 
 impl Rate {
-    /// A rate from events per second; `None` for a negative or non-finite number.
+    /// Creates a rate; `None` if `raw` is negative or not finite.
     pub fn per_second(raw: f64) -> Option<Self> {
         (raw.is_finite() && raw >= 0.0).then_some(Self(raw))
     }
--- a/crates/types/src/rendezvous.rs
+++ b/crates/types/src/rendezvous.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Weight of a host for a key in rendezvous hashing: the host with the largest
-/// weight is the one. Every host computes the same weights, on any machine.
+/// Weight of a host for a key in rendezvous hashing. The host with the largest weight owns the key.
+/// Every host computes the same weights, on any machine.
 pub fn rendezvous_weight(key: &str, host: &HostId) -> u64 {
     let mut hasher = Sha256::new();
     hasher.update((key.len() as u64).to_be_bytes());
--- a/crates/types/src/request_id.rs
+++ b/crates/types/src/request_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 quantity!(
-    /// A request within one host.
+    /// Id of a request, unique within one host.
     RequestId,
     u64,
     "request id"
--- a/crates/types/src/route_id.rs
+++ b/crates/types/src/route_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 text_id!(
-    /// A route of the shared configuration.
+    /// Id of a route in the shared configuration.
     RouteId,
     "route"
 );
--- a/crates/types/src/service_id.rs
+++ b/crates/types/src/service_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 text_id!(
-    /// A plain service beside the engines, such as the shop's order service.
+    /// Id of a plain HTTP service that is not a model engine, such as a shop's order service.
     ServiceId,
     "service"
 );
--- a/crates/types/src/team_id.rs
+++ b/crates/types/src/team_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 text_id!(
-    /// A team: the customer that a request is made for.
+    /// Id of a team, the customer for whom a request is made.
     TeamId,
     "team"
 );
--- a/crates/types/src/tier.rs
+++ b/crates/types/src/tier.rs
@@ -6,7 +6,7 @@
 pub struct Tier(u8);
 
 impl Tier {
-    /// How many tiers there are.
+    /// Number of tiers.
     pub const COUNT: usize = 6;
 
     /// The most urgent tier.
@@ -17,7 +17,7 @@
         (0..Self::COUNT as u8).map(Tier)
     }
 
-    /// A tier from its number, 0 to 5.
+    /// Creates a tier from its number, 0 to 5; `None` for any other number.
     pub const fn new(number: u8) -> Option<Self> {
         if (number as usize) < Self::COUNT {
             Some(Self(number))
@@ -26,12 +26,12 @@
         }
     }
 
-    /// The number as an index into an array of [`Tier::COUNT`] places.
+    /// The tier as an index into an array of [`Tier::COUNT`] elements.
     pub const fn index(self) -> usize {
         self.0 as usize
     }
 
-    /// Whether work of this tier goes before work of `other`.
+    /// Whether requests of this tier take precedence over requests of `other`.
     pub const fn is_more_urgent_than(self, other: Self) -> bool {
         self.0 < other.0
     }
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// A moment on one host's monotonic clock, in microseconds since an arbitrary
-/// start. Moments of different hosts are never compared.
+/// A point in time on the monotonic clock of one host, in microseconds since an arbitrary start.
+/// Times of different hosts must not be compared.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Time(u64);
 
 impl Time {
-    /// A moment from microseconds since the start of the clock.
+    /// Creates a time from microseconds since the start of the clock.
     pub const fn from_us(us: u64) -> Self {
         Self(us)
     }
 
-    /// A moment from milliseconds since the start of the clock.
+    /// Creates a time from milliseconds since the start of the clock.
     pub const fn from_ms(ms: u64) -> Self {
         Self(ms * 1_000)
     }
@@ -21,12 +21,12 @@
         self.0
     }
 
-    /// Time passed since `earlier`, or zero if `earlier` lies ahead.
+    /// Duration since `earlier`, or zero if `earlier` is later than this time.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment `ms` milliseconds later.
+    /// The time `ms` milliseconds later.
     pub const fn plus_ms(self, ms: u64) -> Self {
         Self(self.0.saturating_add(ms.saturating_mul(1_000)))
     }
--- a/crates/types/src/tokens.rs
+++ b/crates/types/src/tokens.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 quantity!(
-    /// A number of tokens.
+    /// A number of model tokens.
     Tokens,
     u32,
     "token count"
--- a/crates/types/src/upstream_id.rs
+++ b/crates/types/src/upstream_id.rs
@@ -1,41 +1,42 @@
 use super::*;
 
-/// Between the name and the start in the text form; no name holds it.
+/// Separates the name from the start time in the text form. A name cannot contain this character.
 const START_SEPARATOR: char = '@';
 
-/// One incarnation of an upstream: an engine or one replica of a plain service.
+/// Identifies one incarnation of an upstream, which is an engine or one replica of a plain service.
 ///
-/// What goes wrong with the name alone: an upstream crashes and starts again under
-/// the same name, and hosts go on counting the requests of before, avoid it for
-/// failures of before, and send it prompts that it no longer keeps. One would notice
-/// a sound upstream that stays idle or reads everything anew. With the start as a
-/// part of the id, whatever is known under the id ends with the incarnation.
+/// The start time is part of the id, so that state that hosts hold under the id ends with the
+/// incarnation. With the name alone, an upstream that crashes and restarts under the same name
+/// would inherit the state of its predecessor: hosts would still count the requests of the
+/// predecessor, avoid the upstream because of earlier failures, and send it prompts that are no
+/// longer in its cache. A healthy upstream would then stay idle or process every prompt from the
+/// start.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct UpstreamId {
     name: String,
-    /// Unix time of its start in milliseconds, where the upstream tells it.
+    /// Unix time in milliseconds at which the upstream started, if the upstream states it.
     started_ms: Option<u64>,
 }
 
 impl UpstreamId {
-    /// The name, which a later incarnation may bear again.
+    /// The name, which a later incarnation may reuse.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Unix time of its start in milliseconds, where the upstream tells it.
+    /// Unix time in milliseconds at which the upstream started, if the upstream states it.
     pub const fn started_ms(&self) -> Option<u64> {
         self.started_ms
     }
 
-    /// The incarnation of this name that started at a moment.
+    /// The id of the incarnation with the same name that started at this Unix time.
     #[must_use]
     pub fn with_started_ms(self, started_ms: Option<u64>) -> Self {
         Self { started_ms, ..self }
     }
 
-    /// Whether another id is a later incarnation of the same upstream.
+    /// Whether `other` is a later incarnation of the same upstream.
     pub fn is_replaced_by(&self, other: &Self) -> bool {
         self.name == other.name && other.started_ms > self.started_ms
     }
--- a/crates/types/src/upstream_notice.rs
+++ b/crates/types/src/upstream_notice.rs
@@ -1,20 +1,22 @@
 use super::*;
 
-/// What an upstream says of itself in the head of an answer, whatever became of the request.
+/// What an upstream states about itself in the head of a response, whatever the outcome of the
+/// request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamNotice {
-    /// For how long it wants nothing from this host.
+    /// For how long the upstream wants no requests from this host.
     pub backoff: AdvertisedBackoff,
-    /// Requests a second of all hosts together that it can reject; beyond that it falls over.
+    /// How many requests per second, from all hosts together, the upstream can reject. It fails if
+    /// it has to reject more.
     pub rejection_limit: AdvertisedLimit,
-    /// Whether it leaves. That is final for its incarnation.
+    /// Whether the upstream is shutting down. An incarnation never revokes this.
     pub leaving: bool,
-    /// Requests that it takes from all hosts together.
+    /// How many requests per second the upstream accepts from all hosts together.
     pub limit: AdvertisedLimit,
 }
 
 impl UpstreamNotice {
-    /// Whether it says nothing.
+    /// Whether the upstream states nothing about itself.
     pub fn is_empty(&self) -> bool {
         let absent = |limit: &AdvertisedLimit| *limit == AdvertisedLimit::Absent;
         absent(&self.limit)
--- a/crates/types/src/verdict.rs
+++ b/crates/types/src/verdict.rs
@@ -1,26 +1,26 @@
 use super::*;
 
-/// Whether a request may have run on an upstream. Every answer to a caller
-/// carries one, and every retry rests on it.
+/// Whether a request may have run on an upstream. Every response to a caller carries a verdict, and
+/// every decision to retry is based on it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// It did not run: no byte can have reached an upstream, or the upstream
-    /// itself said so.
+    /// The request did not run: no byte can have reached an upstream, or the upstream itself
+    /// stated that the request did not run.
     NotRun,
-    /// It may have run: bytes left for an upstream and no whole answer came.
+    /// The request may have run: bytes were sent to an upstream, and no complete response came.
     MayHaveRun,
-    /// It ran, and the whole answer came.
+    /// The request ran, and the complete response came.
     Ran,
 }
 
 impl Verdict {
-    /// The verdict on a request from the verdicts on two of its attempts.
+    /// Combines the verdicts on two attempts into the verdict on the request.
     pub fn join(self, other: Self) -> Self {
         self.max(other)
     }
 
-    /// The verdict as it stands in headers and reports.
+    /// The verdict as it is written in headers and reports.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
--- a/crates/types/tests/text.rs
+++ b/crates/types/tests/text.rs
@@ -1,4 +1,4 @@
-//! Every newtype prints what it parses.
+//! Tests the display and parsing of the newtypes, and the ids and verdicts.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -47,7 +47,7 @@
         .quickcheck(holds as fn(String) -> bool);
 }
 
-/// Guards against a link that takes no time or for ever.
+/// Guards against bandwidths with which a transfer takes no time or never ends.
 #[test]
 fn bandwidth_is_positive_and_finite() {
     for wrong in ["0Mbit/s", "-1Mbit/s", "NaN", "inf", "fast"] {
