--- a/crates/upstream/src/call_failure.rs
+++ b/crates/upstream/src/call_failure.rs
@@ -3,7 +3,7 @@
 /// Why a call brought no complete response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallFailure {
-    /// What went wrong.
+    /// Cause of the failure.
     pub cause: FailureCause,
     /// Whether the request may have run.
     pub verdict: Verdict,
--- a/crates/upstream/src/destination.rs
+++ b/crates/upstream/src/destination.rs
@@ -23,8 +23,8 @@
 }
 
 impl Destination {
-    /// The paths over which an idle connection may be reused: all paths of the same kind, direct or
-    /// through other hosts, as the first path.
+    /// The paths over which an idle connection may be reused: all paths of the same kind as the
+    /// first path, which is direct or leads through another host.
     pub(crate) fn preferred_paths(&self) -> impl Iterator<Item = Path> {
         let first = self.paths.first().copied();
         let is_direct = |path: &Path| *path == Path::Direct;
