--- a/crates/policy/src/brittleness/brittleness_updates.rs
+++ b/crates/policy/src/brittleness/brittleness_updates.rs
@@ -7,14 +7,14 @@
         &mut self,
         now: Time,
         upstream: &UpstreamId,
-        answered: &AnsweredLimit,
+        answered: &AdvertisedLimit,
         sent: Time,
         actions: &mut Vec<Action>,
     ) {
         let rejection_limit = match answered {
-            AnsweredLimit::Absent => None,
-            AnsweredLimit::Invalid(_) => return,
-            AnsweredLimit::Named(rejection_limit) => Some(*rejection_limit),
+            AdvertisedLimit::Absent => None,
+            AdvertisedLimit::Invalid(_) => return,
+            AdvertisedLimit::Valid(rejection_limit) => Some(*rejection_limit),
         };
         let Some(state) = self.pool.get_mut(upstream) else {
             return;
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -142,7 +142,7 @@
         /// The request that needed the connection, if any.
         request: Option<RequestId>,
         /// Path and result of each connection attempt.
-        attempts: Vec<PathTry>,
+        attempts: Vec<PathAttempt>,
         /// The upstream.
         upstream: UpstreamId,
     },
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -22,7 +22,7 @@
         sync::Arc,
         time::Duration,
     },
-    types::{AnsweredLimit, Listening, prelude::*},
+    types::{AdvertisedLimit, Listening, prelude::*},
 };
 
 mod action;
--- a/crates/types/src/attempt_id.rs
+++ b/crates/types/src/attempt_id.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// One attempt to run a request: the incarnation of the host that makes it and
-/// a counter of that host. No two attempts of any hosts share an id.
+/// Identifies one attempt to run a request. It consists of the incarnation of the host that makes
+/// the attempt and a counter of that host, so it is unique across all hosts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct AttemptId {
@@ -10,7 +10,7 @@
 }
 
 impl AttemptId {
-    /// The attempt with number `counter` of a host.
+    /// The id of attempt number `counter` of a host incarnation.
     pub const fn new(incarnation: Incarnation, counter: u64) -> Self {
         Self {
             incarnation,
@@ -26,10 +26,10 @@
 }
 
 impl FromStr for AttemptId {
-    type Err = ParseQuantityError;
+    type Err = ParseValueError;
 
-    fn from_str(text: &str) -> Result<Self, ParseQuantityError> {
-        let error = || ParseQuantityError::new("attempt id", text);
+    fn from_str(text: &str) -> Result<Self, ParseValueError> {
+        let error = || ParseValueError::new("attempt id", text);
         let (incarnation, counter) = text.split_once('-').ok_or_else(error)?;
         let incarnation = u64::from_str_radix(incarnation, 16).map_err(|_| error())?;
         let counter = counter.parse().map_err(|_| error())?;
@@ -44,9 +44,9 @@
 }
 
 impl TryFrom<String> for AttemptId {
-    type Error = ParseQuantityError;
+    type Error = ParseValueError;
 
-    fn try_from(text: String) -> Result<Self, ParseQuantityError> {
+    fn try_from(text: String) -> Result<Self, ParseValueError> {
         text.parse()
     }
 }
--- a/crates/types/src/bandwidth.rs
+++ b/crates/types/src/bandwidth.rs
@@ -1,18 +1,16 @@
 use super::*;
 
-/// Speed of a link in megabits per second, always above zero and finite.
+/// Speed of a network link in megabits per second, always above zero and finite.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "f64", try_from = "f64")]
 pub struct Bandwidth(f64);
 
-/// Bits per second of one megabit per second.
 const BITS_PER_MEGABIT: f64 = 1_000_000.0;
 
-/// Bits of a byte.
 const BITS_PER_BYTE: f64 = 8.0;
 
 impl Bandwidth {
-    /// A speed from megabits per second; `None` for one that no link has.
+    /// Creates a bandwidth; `None` unless `raw` is finite and above zero.
     pub fn megabits_per_s(raw: f64) -> Option<Self> {
         (raw.is_finite() && raw > 0.0).then_some(Self(raw))
     }
@@ -22,7 +20,7 @@
         self.0
     }
 
-    /// Time in which so many bytes pass, in milliseconds.
+    /// Milliseconds that the link needs to transfer `bytes`.
     pub fn millis_for(self, bytes: f64) -> f64 {
         bytes * BITS_PER_BYTE / (self.0 * BITS_PER_MEGABIT) * 1_000.0
     }
@@ -35,15 +33,15 @@
 }
 
 impl FromStr for Bandwidth {
-    type Err = ParseQuantityError;
+    type Err = ParseValueError;
 
-    fn from_str(text: &str) -> Result<Self, ParseQuantityError> {
+    fn from_str(text: &str) -> Result<Self, ParseValueError> {
         text.strip_suffix("Mbit/s")
             .unwrap_or(text)
             .parse()
             .ok()
             .and_then(Self::megabits_per_s)
-            .ok_or_else(|| ParseQuantityError::new("bandwidth", text))
+            .ok_or_else(|| ParseValueError::new("bandwidth", text))
     }
 }
 
@@ -54,10 +52,9 @@
 }
 
 impl TryFrom<f64> for Bandwidth {
-    type Error = ParseQuantityError;
+    type Error = ParseValueError;
 
-    fn try_from(raw: f64) -> Result<Self, ParseQuantityError> {
-        Self::megabits_per_s(raw)
-            .ok_or_else(|| ParseQuantityError::new("bandwidth", &raw.to_string()))
+    fn try_from(raw: f64) -> Result<Self, ParseValueError> {
+        Self::megabits_per_s(raw).ok_or_else(|| ParseValueError::new("bandwidth", &raw.to_string()))
     }
 }
--- a/crates/types/src/parse_id_error.rs
+++ b/crates/types/src/parse_id_error.rs
@@ -1,27 +1,27 @@
 use super::*;
 
-/// Longest id that is accepted, in bytes.
-const MAX_ID_LEN: usize = 64;
+/// Longest accepted id.
+const MAX_ID_BYTES: usize = 64;
 
-/// Why a text is not an id.
+/// Why a text is not a valid id.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ParseIdError {
-    /// A character outside `A-Z a-z 0-9 . _ -`.
+    /// The id contains a character outside `A-Z a-z 0-9 . _ -`.
     BadCharacter {
         /// The kind of id, such as `team`.
         kind: String,
-        /// The offending character.
+        /// The first invalid character.
         character: char,
     },
-    /// No characters, or more than 64.
+    /// The id is empty or longer than 64 bytes.
     BadLength {
         /// The kind of id, such as `team`.
         kind: String,
-        /// Length found, in bytes.
+        /// Length of the text in bytes.
         len: usize,
     },
-    /// The start of an upstream is not a whole number of milliseconds.
-    BadStart {
+    /// The start time in an upstream id is not a whole number of milliseconds.
+    BadStartTime {
         /// The whole id.
         text: String,
     },
@@ -29,7 +29,7 @@
 
 impl ParseIdError {
     pub(crate) fn check(kind: &str, text: &str) -> Result<(), Self> {
-        if text.is_empty() || text.len() > MAX_ID_LEN {
+        if text.is_empty() || text.len() > MAX_ID_BYTES {
             return Err(Self::BadLength {
                 kind: kind.to_string(),
                 len: text.len(),
@@ -59,10 +59,10 @@
             Self::BadLength { kind, len } => {
                 write!(
                     f,
-                    "{kind} id is {len} bytes long, expected 1 to {MAX_ID_LEN}"
+                    "{kind} id is {len} bytes long, expected 1 to {MAX_ID_BYTES}"
                 )
             }
-            Self::BadStart { text } => {
+            Self::BadStartTime { text } => {
                 write!(f, "upstream id {text:?} has no whole number behind its `@`")
             }
         }
--- a/crates/types/src/rate.rs
+++ b/crates/types/src/rate.rs
@@ -6,7 +6,7 @@
 pub struct Rate(f64);
 
 impl Rate {
-    /// A rate from events per second; `None` for a negative or non-finite number.
+    /// Creates a rate; `None` if `raw` is negative or not finite.
     pub fn per_second(raw: f64) -> Option<Self> {
         (raw.is_finite() && raw >= 0.0).then_some(Self(raw))
     }
@@ -24,15 +24,15 @@
 }
 
 impl FromStr for Rate {
-    type Err = ParseQuantityError;
+    type Err = ParseValueError;
 
-    fn from_str(text: &str) -> Result<Self, ParseQuantityError> {
+    fn from_str(text: &str) -> Result<Self, ParseValueError> {
         text.strip_suffix("/s")
             .unwrap_or(text)
             .parse()
             .ok()
             .and_then(Self::per_second)
-            .ok_or_else(|| ParseQuantityError::new("rate", text))
+            .ok_or_else(|| ParseValueError::new("rate", text))
     }
 }
 
@@ -43,9 +43,9 @@
 }
 
 impl TryFrom<f64> for Rate {
-    type Error = ParseQuantityError;
+    type Error = ParseValueError;
 
-    fn try_from(raw: f64) -> Result<Self, ParseQuantityError> {
-        Self::per_second(raw).ok_or_else(|| ParseQuantityError::new("rate", &raw.to_string()))
+    fn try_from(raw: f64) -> Result<Self, ParseValueError> {
+        Self::per_second(raw).ok_or_else(|| ParseValueError::new("rate", &raw.to_string()))
     }
 }
--- a/crates/types/src/upstream_notice.rs
+++ b/crates/types/src/upstream_notice.rs
@@ -1,36 +1,38 @@
 use super::*;
 
-/// What an upstream says of itself in the head of an answer, whatever became of the request.
+/// What an upstream states about itself in the head of a response, whatever the outcome of the
+/// request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamNotice {
-    /// For how long it wants nothing from this host.
-    pub backoff: AnsweredBackoff,
-    /// Requests a second of all hosts together that it can reject; beyond that it falls over.
-    pub brittle: AnsweredLimit,
-    /// Whether it leaves. That is final for its incarnation.
+    /// For how long the upstream wants no requests from this host.
+    pub backoff: AdvertisedBackoff,
+    /// How many requests per second, from all hosts together, the upstream can reject. It fails if
+    /// it has to reject more.
+    pub rejection_limit: AdvertisedLimit,
+    /// Whether the upstream is shutting down. An incarnation never revokes this.
     pub leaving: bool,
-    /// Requests that it takes from all hosts together.
-    pub limit: AnsweredLimit,
+    /// How many requests per second the upstream accepts from all hosts together.
+    pub limit: AdvertisedLimit,
 }
 
 impl UpstreamNotice {
-    /// Whether it says nothing.
+    /// Whether the upstream states nothing about itself.
     pub fn is_empty(&self) -> bool {
-        let absent = |answered: &AnsweredLimit| *answered == AnsweredLimit::Absent;
+        let absent = |limit: &AdvertisedLimit| *limit == AdvertisedLimit::Absent;
         absent(&self.limit)
-            && absent(&self.brittle)
+            && absent(&self.rejection_limit)
             && !self.leaving
-            && self.backoff == AnsweredBackoff::Absent
+            && self.backoff == AdvertisedBackoff::Absent
     }
 }
 
 impl Default for UpstreamNotice {
     fn default() -> Self {
         Self {
-            backoff: AnsweredBackoff::Absent,
-            brittle: AnsweredLimit::Absent,
+            backoff: AdvertisedBackoff::Absent,
+            rejection_limit: AdvertisedLimit::Absent,
             leaving: false,
-            limit: AnsweredLimit::Absent,
+            limit: AdvertisedLimit::Absent,
         }
     }
 }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,5 +1,5 @@
-//! Adapters to model engines and plain services. Each failure carries a
-//! verdict: whether the request may have run.
+//! Clients for model engines and plain services. Each failure carries a verdict, which states
+//! whether the request may have run.
 
 use {
     bytes::Bytes,
@@ -25,49 +25,49 @@
     types::{Listening, prelude::*},
 };
 
-mod answer;
 mod call;
 mod call_failure;
-mod connections;
+mod connection_pool;
 mod destination;
 mod engine;
-mod event_stream;
-mod kept;
 mod listening;
-mod opening;
-mod opening_paths;
+mod open_result;
+mod path_race;
+mod reuse_result;
 mod service;
 mod stream_item;
+mod token_stream;
 mod transit;
+mod upstream_response;
 mod upstream_sender;
 
 pub use {
-    answer::Answer,
     call::Call,
     call_failure::CallFailure,
-    connections::{Connections, NO_CONNECTION},
+    connection_pool::{ConnectionPool, NO_CONNECTION},
     destination::Destination,
     engine::EngineAdapter,
-    event_stream::TokenStream,
-    kept::Kept,
     listening::check_listening,
-    opening::Opening,
+    open_result::OpenResult,
+    reuse_result::ReuseResult,
     service::ServiceAdapter,
     stream_item::StreamItem,
+    token_stream::TokenStream,
+    upstream_response::UpstreamResponse,
     upstream_sender::UpstreamSender,
 };
 
 use {
-    connections::{CONNECT_TIMEOUT, open_stream},
-    opening_paths::open_first,
+    connection_pool::{CONNECT_TIMEOUT, open_stream},
+    path_race::open_first,
     transit::connect_through,
 };
 
-/// Header by which an upstream tells that it did not run a request.
+/// Header by which an upstream states that it did not run a request.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
 
-/// Header that carries the attempt's id to the upstream.
+/// Header that carries the attempt id to the upstream.
 pub const ATTEMPT_HEADER: &str = "x-attempt-id";
 
-/// Header that carries the priority to an engine, 0 the most urgent.
+/// Header that carries the priority of a request to an engine, 0 being the most urgent.
 pub const PRIORITY_HEADER: &str = "x-request-priority";
--- a/crates/upstream/src/event_stream.rs
+++ b/crates/upstream/src/token_stream.rs
@@ -1,60 +1,59 @@
 use super::*;
 
-/// Data of the event that ends an answer.
+/// Data of the event that ends a response.
 const END_MARK: &str = "[DONE]";
 
-/// Time for the end of the body after the end mark.
+/// Timeout for the end of the body after the end marker.
 const FINISH_TIMEOUT: Duration = Duration::from_millis(100);
 
-type FrameEvent = Result<Event, EventStreamError<hyper::Error>>;
+type EventResult = Result<Event, EventStreamError<hyper::Error>>;
 
-type Frames = EventStream<BodyDataStream<Incoming>>;
+type Events = EventStream<BodyDataStream<Incoming>>;
 
-/// The events of an answer, up to its end mark.
+/// The events of a response, up to its end marker.
 pub struct TokenStream {
     address: SocketAddr,
-    connections: Connections,
+    pool: ConnectionPool,
     ended: bool,
-    events: Pin<Box<Frames>>,
+    events: Pin<Box<Events>>,
     sender: Option<UpstreamSender>,
 }
 
 impl TokenStream {
-    pub(crate) fn new(answer: Answer) -> Self {
-        let events = BodyDataStream::new(answer.body).eventsource();
+    pub(crate) fn new(response: UpstreamResponse) -> Self {
+        let events = BodyDataStream::new(response.body).eventsource();
         Self {
-            address: answer.address,
-            connections: answer.connections,
+            address: response.address,
+            pool: response.pool,
             ended: false,
             events: Box::pin(events),
-            sender: Some(answer.sender),
+            sender: Some(response.sender),
         }
     }
 
-    /// The next item. A stream that stops before its end mark is a failure,
-    /// however the connection was closed: a cut answer is never taken for a
-    /// whole one.
+    /// Waits for the next item. A stream that stops before its end marker is a failure, however the
+    /// connection was closed, so that a truncated response is never taken for a complete one.
     pub async fn next(&mut self, idle_timeout: Duration) -> Result<StreamItem, CallFailure> {
-        // A timer for each token would cost more than the token.
+        // Setting a timer for each token would cost more than reading the token.
         if let Some(item) = self.try_next() {
             return item;
         }
         match timeout(idle_timeout, self.events.next()).await {
-            Ok(event) => self.item(event),
+            Ok(event) => self.convert_event(event),
             Err(_) => Err(CallFailure::may_have_run(FailureCause::Silent)),
         }
     }
 
-    /// The next item if it is there already.
+    /// The next item, if it has arrived already.
     pub fn try_next(&mut self) -> Option<Result<StreamItem, CallFailure>> {
         if self.ended {
             return None;
         }
         let event = self.events.next().now_or_never()?;
-        Some(self.item(event))
+        Some(self.convert_event(event))
     }
 
-    fn item(&mut self, event: Option<FrameEvent>) -> Result<StreamItem, CallFailure> {
+    fn convert_event(&mut self, event: Option<EventResult>) -> Result<StreamItem, CallFailure> {
         match event {
             Some(Ok(event)) if event.data == END_MARK => {
                 self.ended = true;
@@ -68,13 +67,12 @@
         }
     }
 
-    /// Reads the last bytes after the end mark, so that the connection can be
-    /// used again.
+    /// Reads the rest of the body after the end marker, so that the connection can be reused.
     pub async fn finish(mut self) {
         let rest = timeout(FINISH_TIMEOUT, self.events.next()).await;
         if let (Ok(None), Some(sender)) = (rest, self.sender.take()) {
-            self.connections
-                .keep(self.address, sender, answer::IDLE_TIME);
+            self.pool
+                .keep(self.address, sender, upstream_response::IDLE_LIFETIME);
         }
     }
 }
--- a/crates/upstream/src/answer.rs
+++ b/crates/upstream/src/upstream_response.rs
@@ -3,30 +3,30 @@
 /// Content type of a token stream.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Time for which a connection to an upstream of the own protocol is kept.
-pub(crate) const IDLE_TIME: Duration = Duration::from_secs(60);
+/// How long an idle connection is kept to an upstream that speaks the router's own protocol.
+pub(crate) const IDLE_LIFETIME: Duration = Duration::from_secs(60);
 
-/// The head of an upstream's answer, with its body still to come.
+/// The response of an upstream: the head has been read, the body has not.
 #[derive(Debug)]
-pub struct Answer {
+pub struct UpstreamResponse {
     pub(crate) address: SocketAddr,
     pub(crate) body: Incoming,
-    pub(crate) connections: Connections,
+    pub(crate) pool: ConnectionPool,
     pub(crate) content_type: String,
     pub(crate) sender: UpstreamSender,
     pub(crate) status: StatusCode,
 }
 
-impl Answer {
+impl UpstreamResponse {
     pub(crate) fn from_response(
-        connections: Connections,
+        pool: ConnectionPool,
         address: SocketAddr,
         response: Response<Incoming>,
         sender: UpstreamSender,
     ) -> Result<Self, CallFailure> {
         let status = response.status();
-        let says_not_run = response.headers().contains_key(NOT_RUN_HEADER);
-        if says_not_run && !status.is_success() {
+        let is_marked_not_run = response.headers().contains_key(NOT_RUN_HEADER);
+        if is_marked_not_run && !status.is_success() {
             return Err(CallFailure::not_run(FailureCause::Busy));
         }
         if status.is_server_error() {
@@ -41,19 +41,19 @@
         Ok(Self {
             address,
             body: response.into_body(),
-            connections,
+            pool,
             content_type,
             sender,
             status,
         })
     }
 
-    /// HTTP status.
+    /// HTTP status of the response.
     pub const fn status(&self) -> StatusCode {
         self.status
     }
 
-    /// Content type.
+    /// Content type of the response.
     pub fn content_type(&self) -> &str {
         &self.content_type
     }
@@ -64,12 +64,12 @@
     }
 
     /// The body as a stream of tokens.
-    pub fn into_tokens(self) -> TokenStream {
+    pub fn into_token_stream(self) -> TokenStream {
         TokenStream::new(self)
     }
 
-    /// Reads the whole body, up to a limit. `idle_timeout` bounds the time
-    /// without a byte.
+    /// Reads the whole body, which may have at most `max` bytes. Fails if no data arrives for
+    /// `idle_timeout`.
     pub async fn collect(
         self,
         max: ByteSize,
@@ -89,7 +89,7 @@
                 Err(_) => return Err(CallFailure::may_have_run(FailureCause::Silent)),
             }
         }
-        self.connections.keep(self.address, self.sender, IDLE_TIME);
+        self.pool.keep(self.address, self.sender, IDLE_LIFETIME);
         Ok(whole.into())
     }
 }
