--- a/crates/operator/src/checks.rs
+++ b/crates/operator/src/checks.rs
@@ -15,7 +15,7 @@
 const FLOOR_STARTS_PER_2_S: f64 = 11.0;
 
 /// Checks every promise that a history can show.
-pub fn check_promises(scenario: &Scenario, experiment: &Experiment) -> Vec<Promise> {
+pub fn check_promises(scenario: &Scenario, experiment: &Experiment) -> Vec<GuaranteeCheck> {
     let history = History::new(experiment);
     vec![
         history.never_shed_for_less(scenario),
@@ -61,8 +61,8 @@
         name: &str,
         cases: impl Iterator<Item = &'b Record>,
         breaks: impl Fn(&Record) -> bool,
-    ) -> Promise {
-        let mut promise = Promise {
+    ) -> GuaranteeCheck {
+        let mut promise = GuaranteeCheck {
             broken: 0,
             checked: 0,
             name: name.to_string(),
@@ -76,7 +76,7 @@
 
     /// A pressing request was shed although less urgent ones were started
     /// while it waited, more than the floors allow.
-    fn never_shed_for_less(&self, scenario: &Scenario) -> Promise {
+    fn never_shed_for_less(&self, scenario: &Scenario) -> GuaranteeCheck {
         let hosts = scenario.fleet.hosts as f64;
         let pressing = self
             .experiment
@@ -106,13 +106,13 @@
     }
 
     /// A class that sent requests had none finished.
-    fn every_class_served(&self) -> Promise {
+    fn every_class_served(&self) -> GuaranteeCheck {
         let mut served: BTreeMap<&ClassId, bool> = BTreeMap::new();
         for record in &self.experiment.records {
             let whole = matches!(record.ending, Ending::Finished | Ending::Replayed);
             *served.entry(&record.class).or_default() |= whole;
         }
-        Promise {
+        GuaranteeCheck {
             broken: served.values().filter(|served| !**served).count() as u64,
             checked: served.len() as u64,
             name: "every-class-served".to_string(),
@@ -120,7 +120,7 @@
     }
 
     /// An answer that ended well was not whole, or was another request's.
-    fn complete_answers(&self) -> Promise {
+    fn complete_answers(&self) -> GuaranteeCheck {
         let ended = self
             .experiment
             .records
@@ -131,7 +131,7 @@
 
     /// A request was answered `not-run` and had run. Only tags with one request
     /// show it.
-    fn not_run_is_true(&self) -> Promise {
+    fn not_run_is_true(&self) -> GuaranteeCheck {
         let mut requests: HashMap<&str, u32> = HashMap::default();
         for record in &self.experiment.records {
             *requests.entry(&record.tag).or_default() += 1;
@@ -145,14 +145,14 @@
     }
 
     /// A request that may run once at most ran more often.
-    fn at_most_once(&self) -> Promise {
+    fn at_most_once(&self) -> GuaranteeCheck {
         let once = self.experiment.records.iter().filter(|record| record.once);
         Self::count("at-most-once", once, |record| self.runs_of(&record.tag) > 1)
     }
 
     /// An upstream got new work after it had been leaving for a while.
-    fn leaving_gets_nothing(&self) -> Promise {
-        let mut promise = Promise {
+    fn leaving_gets_nothing(&self) -> GuaranteeCheck {
+        let mut promise = GuaranteeCheck {
             broken: 0,
             checked: 0,
             name: "leaving-gets-no-new-work".to_string(),
@@ -168,7 +168,7 @@
     }
 
     /// A request was cut or lost in a run whose only faults are planned stops.
-    fn stop_cuts_nothing(&self, scenario: &Scenario) -> Promise {
+    fn stop_cuts_nothing(&self, scenario: &Scenario) -> GuaranteeCheck {
         let is_stop = |fault: &Fault| matches!(fault.kind, FaultKind::HostReplaced { .. });
         let stops_only = scenario.faults.iter().all(is_stop);
         let any = scenario.faults.iter().any(is_stop);
@@ -179,8 +179,8 @@
     }
 
     /// A host was seen with an older version after a newer one.
-    fn versions_never_fall(&self) -> Promise {
-        let mut promise = Promise {
+    fn versions_never_fall(&self) -> GuaranteeCheck {
+        let mut promise = GuaranteeCheck {
             broken: 0,
             checked: 0,
             name: "versions-never-fall".to_string(),
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -24,7 +24,7 @@
     policy::WasteCause,
     rand::{Rng, SeedableRng, rngs::SmallRng},
     rand_distr::{Distribution, Exp, LogNormal},
-    router::{ClassReport, Host, Promise, Report, Serving},
+    router::{ClassReport, GuaranteeCheck, Host, Report, Serving},
     serde::{Deserialize, Serialize},
     serde_json::{Value, json},
     standin::{
--- a/crates/operator/tests/checkers.rs
+++ b/crates/operator/tests/checkers.rs
@@ -7,7 +7,7 @@
     operator::{
         Ending, Experiment, Fault, FaultKind, LeavingSpan, Record, Scenario, check_promises,
     },
-    router::Promise,
+    router::GuaranteeCheck,
     standin::Run,
     std::collections::BTreeMap,
     types::prelude::*,
@@ -75,7 +75,7 @@
 }
 
 /// The promise with a name, for a history with a planted fault.
-fn checked(name: &str, plant: impl FnOnce(&mut Experiment, &mut Scenario)) -> Promise {
+fn checked(name: &str, plant: impl FnOnce(&mut Experiment, &mut Scenario)) -> GuaranteeCheck {
     let mut scenario = scenario();
     let mut experiment = sound();
     plant(&mut experiment, &mut scenario);
--- a/crates/router/src/caller_interface.rs
+++ b/crates/router/src/caller_interface.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    pub(crate) const fn limits(&self) -> &LimitsInForce {
+    pub(crate) const fn limits(&self) -> &EffectiveLimits {
         match self {
             Self::Own(service) => &service.limits,
             Self::Relay(service) => &service.limits,
--- a/crates/router/src/caller_request.rs
+++ b/crates/router/src/caller_request.rs
@@ -12,7 +12,7 @@
 /// A request of a caller, read whole.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
-    pub(crate) asked: Asked,
+    pub(crate) asked: ParsedRequest,
     pub(crate) body: WholeBody,
     pub(crate) class: Option<ClassId>,
     pub(crate) content_type: String,
@@ -69,7 +69,7 @@
             key_hash: Some(self.key_hash),
             max_output: self.asked.max_output,
             prefix: self.asked.prefix,
-            prompt_tokens: self.asked.prompt,
+            prompt_tokens: self.asked.prompt_tokens,
             repeatability: self.repeatability.clone(),
             request,
             routed: None,
--- a/crates/router/src/caller_service.rs
+++ b/crates/router/src/caller_service.rs
@@ -6,8 +6,8 @@
     pub(crate) bodies: BodyBudget,
     pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
     pub(crate) connections: Connections,
-    pub(crate) events: flume::Sender<RingEvent>,
-    pub(crate) limits: LimitsInForce,
+    pub(crate) events: flume::Sender<ControllerMessage>,
+    pub(crate) limits: EffectiveLimits,
     pub(crate) next_request: Arc<AtomicU64>,
     pub(crate) pumps: Pumps,
 }
@@ -91,13 +91,17 @@
     /// caller where a claimed key must be carried to its end.
     async fn serve(&self, request: CallerRequest, reader: Arc<AnswerReader>) -> Answered {
         let id = RequestId::new(self.next_request.fetch_add(1, Ordering::Relaxed));
-        let (instructor, instructions) = mpsc::channel(Instruction::RING);
+        let (instructor, instructions) = mpsc::channel(Instruction::CHANNEL_CAPACITY);
         let arrival = request.arrival(id);
         // A full ring is reported to the caller at once and truthfully; waiting
         // here would hide an overload from every limit that is meant for it.
         if self
             .events
-            .try_send(RingEvent::Arrived(arrival, id.to_string(), instructor))
+            .try_send(ControllerMessage::Arrived(
+                arrival,
+                id.to_string(),
+                instructor,
+            ))
             .is_err()
         {
             return host_busy();
@@ -203,31 +207,31 @@
     }
 }
 
-fn ask_engine(path: String, body: &[u8]) -> Result<Asked, Box<Answered>> {
+fn ask_engine(path: String, body: &[u8]) -> Result<ParsedRequest, Box<Answered>> {
     let parsed: EngineBody<'_> = serde_json::from_slice(body).map_err(|error| {
         let message = format!("the body is not a completion request: {error}");
         bad(StatusCode::BAD_REQUEST, "bad_body", &message)
     })?;
-    Ok(Asked {
+    Ok(ParsedRequest {
         max_output: parsed.max_output(),
         path,
         prefix: parsed.prefix(),
-        prompt: parsed.prompt_tokens(),
+        prompt_tokens: parsed.prompt_tokens(),
         target: Target::Model(parsed.model),
     })
 }
 
-fn ask_service(path: &str) -> Result<Asked, Box<Answered>> {
+fn ask_service(path: &str) -> Result<ParsedRequest, Box<Answered>> {
     let rest = path.trim_start_matches("/services/");
     let (service, path) = rest.split_once('/').unwrap_or((rest, ""));
     let service = service.parse().map_err(|error: types::ParseIdError| {
         bad(StatusCode::BAD_REQUEST, "bad_path", &error.to_string())
     })?;
-    Ok(Asked {
+    Ok(ParsedRequest {
         max_output: None,
         path: format!("/{path}"),
         prefix: None,
-        prompt: Tokens::default(),
+        prompt_tokens: Tokens::default(),
         target: Target::Service(service),
     })
 }
--- a/crates/router/src/caller_thread.rs
+++ b/crates/router/src/caller_thread.rs
@@ -26,7 +26,7 @@
             .spawn(move || {
                 let runtime = single_thread_runtime()?;
                 let metrics = self.metrics.clone();
-                metrics.count(|| runtime.block_on(self.run()))
+                metrics.with_recorder(|| runtime.block_on(self.run()))
             })
             .wrap_err("cannot start a caller thread")
     }
@@ -62,7 +62,7 @@
     ) {
         let open = self.connections.fetch_add(1, Ordering::Relaxed);
         let guard = ConnectionGuard(Arc::clone(&self.connections));
-        if open >= self.service.limits().own().max_connections {
+        if open >= self.service.limits().settings_limits().max_connections {
             // Closing is the only answer that costs nothing.
             return;
         }
--- a/crates/router/src/configuration_fetcher.rs
+++ b/crates/router/src/configuration_fetcher.rs
@@ -7,7 +7,7 @@
 /// Fetches the configuration of other hosts, when the controller asks for it.
 pub(crate) struct ConfigurationFetcher {
     pub(crate) clock: Clock,
-    pub(crate) events: flume::Sender<RingEvent>,
+    pub(crate) events: flume::Sender<ControllerMessage>,
     pub(crate) jobs: flume::Receiver<FetchJob>,
     pub(crate) logger: Logger,
     pub(crate) offers: flume::Sender<Offer>,
@@ -29,7 +29,10 @@
                 }
             };
             let event = Event::ConfigurationFetchEnded { address, end };
-            let _ = self.events.send_async(RingEvent::Happened(event)).await;
+            let _ = self
+                .events
+                .send_async(ControllerMessage::Event(event))
+                .await;
         }
     }
 
--- a/crates/router/src/ring_event.rs
+++ b/crates/router/src/controller_message.rs
@@ -2,18 +2,18 @@
 
 /// What the controller's ring carries.
 #[derive(Debug)]
-pub(crate) enum RingEvent {
+pub(crate) enum ControllerMessage {
     /// A request, with the id by which callers and logs name it, and the way back
     /// to the task that serves it.
     Arrived(Arrival, String, mpsc::Sender<Instruction>),
     /// Another host's heartbeat, with the way back to it.
-    HeartbeatAsked(Heartbeat, oneshot::Sender<HeartbeatAnswer>),
+    HeartbeatReceived(Heartbeat, oneshot::Sender<HeartbeatAnswer>),
     /// Something else that happened.
-    Happened(Event),
+    Event(Event),
     /// Another host wants to reach an upstream through this one, with the way back to it.
-    TransitAsked(UpstreamId, oneshot::Sender<Option<SocketAddr>>),
+    TransitRequested(UpstreamId, oneshot::Sender<Option<SocketAddr>>),
     /// A request was refused before anything had to be decided.
-    TurnedAway {
+    Rejected {
         /// By which callers and logs name it.
         id: String,
         /// Why, as a machine-readable code.
--- a/crates/router/src/controller_thread.rs
+++ b/crates/router/src/controller_thread.rs
@@ -4,10 +4,10 @@
 use super::*;
 
 /// Time between two ticks while there are requests.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Time between two ticks of a host without requests.
-const IDLE_TICK: Duration = Duration::from_millis(50);
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time between two looks at what the host shows of itself.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
@@ -22,20 +22,20 @@
     pub(crate) controller: Controller,
     /// Where crashes go that are to be kept.
     pub(crate) crashes: flume::Sender<Vec<Crash>>,
-    pub(crate) events: flume::Receiver<RingEvent>,
+    pub(crate) events: flume::Receiver<ControllerMessage>,
     pub(crate) fetches: flume::Sender<FetchJob>,
-    pub(crate) ledger: Arc<Mutex<Ledger>>,
+    pub(crate) statistics: Arc<Mutex<RequestStatistics>>,
     pub(crate) logger: Logger,
     pub(crate) metrics: HostMetrics,
     /// Where notes to other hosts are sent from; `None` outside an installation.
     pub(crate) notes: Option<NoteSender>,
-    pub(crate) peers: flume::Sender<PeerJob>,
-    pub(crate) platform: flume::Sender<PlatformJob>,
+    pub(crate) peer_jobs: flume::Sender<PeerJob>,
+    pub(crate) platform_jobs: flume::Sender<PlatformJob>,
     pub(crate) probes: flume::Sender<ProbeJob>,
     pub(crate) read_configuration: Arc<Notify>,
     pub(crate) status: Arc<ArcSwap<HostStatus>>,
     /// Longest time from the order to stop to the end.
-    pub(crate) stop_limit: Option<Duration>,
+    pub(crate) stop_timeout: Option<Duration>,
     /// Answers that are held until their callers read them.
     pub(crate) unread: UnreadAnswers,
     /// Where counts of this host go, if it gathers those of all.
@@ -43,29 +43,29 @@
 }
 
 /// A request that has not ended.
-struct Waiting {
-    caller: mpsc::Sender<Instruction>,
+struct PendingRequest {
+    instructions: mpsc::Sender<Instruction>,
     /// By which callers and logs name it.
     id: String,
 }
 
 /// The thread's own state.
-struct Carrier {
+struct ControllerLoop {
     actions: Vec<Action>,
-    callers: HashMap<RequestId, Waiting>,
-    decisions: DecisionLog,
+    requests: HashMap<RequestId, PendingRequest>,
+    decision_log: DecisionLog,
     /// Hosts that wait for the answer to their heartbeat.
-    heartbeats: HashMap<u64, oneshot::Sender<HeartbeatAnswer>>,
-    next_call: u64,
+    heartbeat_replies: HashMap<u64, oneshot::Sender<HeartbeatAnswer>>,
+    next_call_id: u64,
     /// Hosts that wait for where to connect for them.
-    transits: HashMap<u64, oneshot::Sender<Option<SocketAddr>>>,
+    transit_replies: HashMap<u64, oneshot::Sender<Option<SocketAddr>>>,
     /// Settlements that the platform's ring had no room for. They are never
     /// dropped: a lost one would leave a key unresolved for good.
-    settlements: VecDeque<Settlement>,
+    unsent_settlements: VecDeque<Settlement>,
     /// Version of the shares that the host shows.
-    shares_published: u64,
+    published_shares_version: u64,
     /// Last moment to stop, once asked to.
-    stop_by: Option<Instant>,
+    stop_deadline: Option<Instant>,
     stopping: bool,
     thread: ControllerThread,
 }
@@ -76,27 +76,27 @@
             .name("controller".to_string())
             .spawn(move || {
                 let metrics = self.metrics.clone();
-                let carrier = Carrier {
+                let controller_loop = ControllerLoop {
                     actions: Vec::new(),
-                    callers: HashMap::default(),
-                    decisions: DecisionLog::new(self.logger.clone()),
-                    heartbeats: HashMap::default(),
-                    next_call: 0,
-                    transits: HashMap::default(),
-                    settlements: VecDeque::new(),
-                    shares_published: 0,
-                    stop_by: None,
+                    requests: HashMap::default(),
+                    decision_log: DecisionLog::new(self.logger.clone()),
+                    heartbeat_replies: HashMap::default(),
+                    next_call_id: 0,
+                    transit_replies: HashMap::default(),
+                    unsent_settlements: VecDeque::new(),
+                    published_shares_version: 0,
+                    stop_deadline: None,
                     stopping: false,
                     thread: self,
                 };
-                metrics.count(|| carrier.run());
+                metrics.with_recorder(|| controller_loop.run());
                 Ok(())
             })
             .wrap_err("cannot start the controller's thread")
     }
 }
 
-impl Carrier {
+impl ControllerLoop {
     fn run(mut self) {
         let mut next_tick = Instant::now();
         let mut next_publish = Instant::now();
@@ -104,78 +104,87 @@
         loop {
             let wait = next_tick.saturating_duration_since(Instant::now());
             match self.thread.events.recv_timeout(wait) {
-                Ok(event) => self.take(event),
+                Ok(message) => self.handle_message(message),
                 Err(flume::RecvTimeoutError::Timeout) => {}
                 Err(flume::RecvTimeoutError::Disconnected) => return,
             }
             if Instant::now() >= next_tick {
                 self.handle(Event::Ticked);
-                self.retry_settlements();
+                self.send_settlements();
                 let idle = self.thread.controller.is_idle();
-                next_tick = Instant::now() + if idle { IDLE_TICK } else { TICK };
+                next_tick = Instant::now()
+                    + if idle {
+                        IDLE_TICK_INTERVAL
+                    } else {
+                        TICK_INTERVAL
+                    };
             }
             if Instant::now() >= next_time_of_day {
                 self.handle(Event::TimeOfDay { unix_ms: unix_ms() });
                 next_time_of_day = Instant::now() + TIME_OF_DAY_INTERVAL;
             }
             if Instant::now() >= next_publish {
-                self.publish();
+                self.publish_status();
                 next_publish = Instant::now() + PUBLISH_INTERVAL;
             }
-            let settled = self.settlements.is_empty();
+            let all_settled = self.unsent_settlements.is_empty();
             // In an installation the time to stop is over by then, and a request
             // that is left cannot be served any more.
-            let late = self
-                .stop_by
-                .is_some_and(|stop_by| Instant::now() >= stop_by);
-            if self.stopping && settled && (late || self.thread.controller.is_idle()) {
+            let is_overdue = self
+                .stop_deadline
+                .is_some_and(|stop_deadline| Instant::now() >= stop_deadline);
+            if self.stopping && all_settled && (is_overdue || self.thread.controller.is_idle()) {
                 info!(self.thread.logger, "controller: stopped");
                 return;
             }
         }
     }
 
-    fn take(&mut self, event: RingEvent) {
-        match event {
-            RingEvent::Arrived(arrival, id, caller) => {
-                self.callers.insert(arrival.request, Waiting { caller, id });
+    fn handle_message(&mut self, message: ControllerMessage) {
+        match message {
+            ControllerMessage::Arrived(arrival, id, instructions) => {
+                self.requests
+                    .insert(arrival.request, PendingRequest { instructions, id });
                 self.handle(Event::Arrived(arrival));
             }
-            RingEvent::TransitAsked(upstream, answer) => {
-                let call = self.new_call();
-                self.transits.insert(call, answer);
+            ControllerMessage::TransitRequested(upstream, reply) => {
+                let call = self.new_call_id();
+                self.transit_replies.insert(call, reply);
                 self.handle(Event::TransitAsked { call, upstream });
             }
-            RingEvent::HeartbeatAsked(heartbeat, answer) => {
-                let call = self.new_call();
-                self.heartbeats.insert(call, answer);
+            ControllerMessage::HeartbeatReceived(heartbeat, reply) => {
+                let call = self.new_call_id();
+                self.heartbeat_replies.insert(call, reply);
                 self.handle(Event::HeartbeatAsked { call, heartbeat });
             }
-            RingEvent::Happened(event) => {
-                self.log_answer(&event);
+            ControllerMessage::Event(event) => {
+                self.log_event(&event);
                 self.handle(event);
             }
-            RingEvent::TurnedAway { id, reason } => {
+            ControllerMessage::Rejected { id, reason } => {
                 let now = self.thread.clock.now();
-                let known = self.knowledge(now);
-                self.decisions.turned_away(now, &id, &reason, &known);
+                let context = self.decision_context(now);
+                self.decision_log.log_rejected(now, &id, &reason, &context);
             }
-            RingEvent::Stop => {
+            ControllerMessage::Stop => {
                 self.stopping = true;
-                self.stop_by = self.thread.stop_limit.map(|limit| Instant::now() + limit);
+                self.stop_deadline = self
+                    .thread
+                    .stop_timeout
+                    .map(|timeout| Instant::now() + timeout);
             }
         }
     }
 
-    const fn new_call(&mut self) -> u64 {
-        let call = self.next_call;
-        self.next_call += 1;
+    const fn new_call_id(&mut self) -> u64 {
+        let call = self.next_call_id;
+        self.next_call_id += 1;
         call
     }
 
     fn handle(&mut self, event: Event) {
         let before = self.thread.controller.version();
-        let read = match &event {
+        let new_configuration = match &event {
             Event::ConfigurationRead(numbered) => Some(Arc::clone(numbered)),
             _ => None,
         };
@@ -183,30 +192,30 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.thread.controller.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.execute(action);
         }
         self.actions = actions;
         let version = self.thread.controller.version();
         if version != before {
-            self.thread.configuration.store(read);
+            self.thread.configuration.store(new_configuration);
             let version = version.unwrap_or_default();
             info!(self.thread.logger, "controller: configuration in force"; "version" => %version);
             gauge!("rhubarbcove_configuration_version").set(version.get() as f64);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Abandon { attempt, request } => {
                 self.instruct(request, Instruction::Abandon(attempt));
             }
             Action::AnswerHeartbeat { answer, call } => {
-                if let Some(sender) = self.heartbeats.remove(&call) {
+                if let Some(sender) = self.heartbeat_replies.remove(&call) {
                     let _ = sender.send(answer);
                 }
             }
             Action::AnswerTransit { call, to } => {
-                if let Some(sender) = self.transits.remove(&call) {
+                if let Some(sender) = self.transit_replies.remove(&call) {
                     let _ = sender.send(to);
                 }
             }
@@ -258,31 +267,31 @@
             }
             Action::NoteBrittle(noted) => {
                 let now = self.thread.clock.now();
-                self.decisions.brittle_noted(now, &noted);
+                self.decision_log.log_rejection_limit(now, &noted);
             }
             Action::NoteAdmission(noted) => {
                 let now = self.thread.clock.now();
-                self.decisions.admission_noted(now, &noted);
+                self.decision_log.log_admission_change(now, &noted);
             }
             Action::NoteCrash(noted) => {
                 let now = self.thread.clock.now();
-                self.decisions.crash_noted(now, &noted);
+                self.decision_log.log_crash(now, &noted);
             }
             Action::NoteLeaving(noted) => {
                 let now = self.thread.clock.now();
-                self.decisions.leaving_noted(now, &noted);
+                self.decision_log.log_leaving(now, &noted);
             }
             Action::NoteLimit(noted) => {
                 let now = self.thread.clock.now();
-                self.decisions.limit_noted(now, &noted);
+                self.decision_log.log_limit_change(now, &noted);
             }
             Action::NoteReach(noted) => {
                 let now = self.thread.clock.now();
-                self.decisions.reach_noted(now, &noted);
+                self.decision_log.log_path_change(now, &noted);
             }
             Action::NoteSpeed(noted) => {
                 let now = self.thread.clock.now();
-                self.decisions.speed_noted(now, &noted);
+                self.decision_log.log_speed_change(now, &noted);
             }
             Action::Probe {
                 address,
@@ -291,7 +300,7 @@
                 upstream,
             } => self.probe(address, paths, ProbeQuestion::Health(path), upstream),
             Action::ReadConfiguration => self.thread.read_configuration.notify_one(),
-            Action::Record(outcome) => self.end(&outcome),
+            Action::Record(outcome) => self.finish_request(&outcome),
             Action::Refuse { refusal, request } => {
                 self.instruct(request, Instruction::Refuse(refusal));
             }
@@ -300,10 +309,12 @@
             }
             Action::Send { order, request } => {
                 let now = self.thread.clock.now();
-                if let Some(waiting) = self.callers.get(&request) {
-                    self.decisions.sent(now, &waiting.id, &order);
+                if let Some(pending) = self.requests.get(&request) {
+                    self.decision_log.log_sent(now, &pending.id, &order);
                     request_metrics::record_fetch(&order);
-                    let _ = waiting.caller.try_send(Instruction::Send(Box::new(order)));
+                    let _ = pending
+                        .instructions
+                        .try_send(Instruction::Send(Box::new(order)));
                 }
             }
             Action::SendHeartbeat {
@@ -332,7 +343,7 @@
                     sender.tell_upstreams(&note, &to);
                 }
             }
-            Action::TellUsage { note, to } => self.tell_usage(note, to),
+            Action::TellUsage { note, to } => self.send_usage(note, to),
             Action::TellVersion { note, to } => {
                 if let Some(sender) = &self.thread.notes {
                     sender.tell_version(&note, &to);
@@ -341,7 +352,7 @@
         }
     }
 
-    fn tell_usage(&self, note: UsageNote, to: Option<SocketAddr>) {
+    fn send_usage(&self, note: UsageNote, to: Option<SocketAddr>) {
         let unix_ms = unix_ms();
         let note = UsageNote { unix_ms, ..note };
         match (to, &self.thread.notes) {
@@ -355,48 +366,49 @@
     }
 
     fn instruct(&mut self, request: RequestId, instruction: Instruction) {
-        if let Some(waiting) = self.callers.get(&request) {
-            let _ = waiting.caller.try_send(instruction);
+        if let Some(pending) = self.requests.get(&request) {
+            let _ = pending.instructions.try_send(instruction);
         }
     }
 
     /// Logs what an upstream's answer says that no outcome does.
-    fn log_answer(&mut self, event: &Event) {
+    fn log_event(&mut self, event: &Event) {
         let now = self.thread.clock.now();
         match event {
             Event::AttemptEnded { end, request, .. } => {
-                if let Some(waiting) = self.callers.get(request) {
+                if let Some(pending) = self.requests.get(request) {
                     let upstream = self.thread.controller.upstream_of(*request);
-                    self.decisions
-                        .attempt_failed(now, &waiting.id, upstream, end);
+                    self.decision_log
+                        .log_attempt_failure(now, &pending.id, upstream, end);
                 }
             }
             Event::NoticeAnswered {
                 notice, upstream, ..
-            } => self.decisions.notice_answered(now, upstream, notice),
+            } => self.decision_log.log_upstream_notice(now, upstream, notice),
             Event::PathsTried {
                 tries, upstream, ..
             } => {
-                self.decisions.paths_tried(now, upstream, tries);
+                self.decision_log.log_path_attempts(now, upstream, tries);
             }
             _ => {}
         }
     }
 
     /// Counts and logs how a request ended, and forgets it.
-    fn end(&mut self, outcome: &Outcome) {
-        self.record(outcome);
-        let Some(waiting) = self.callers.remove(&outcome.request) else {
+    fn finish_request(&mut self, outcome: &Outcome) {
+        self.record_outcome(outcome);
+        let Some(pending) = self.requests.remove(&outcome.request) else {
             return;
         };
         let now = self.thread.clock.now();
-        let known = self.knowledge(now);
-        self.decisions.ended(now, &waiting.id, outcome, &known);
+        let context = self.decision_context(now);
+        self.decision_log
+            .log_end(now, &pending.id, outcome, &context);
     }
 
-    fn knowledge(&self, now: Time) -> Knowledge {
+    fn decision_context(&self, now: Time) -> DecisionContext {
         let controller = &self.thread.controller;
-        Knowledge {
+        DecisionContext {
             config_age: controller.config_age(now),
             queued: controller.queued(),
             version: controller.version(),
@@ -407,7 +419,7 @@
         let request = claim.request;
         if self
             .thread
-            .platform
+            .platform_jobs
             .try_send(PlatformJob::Claim(claim))
             .is_err()
         {
@@ -418,17 +430,17 @@
     }
 
     fn settle(&mut self, settlement: Settlement) {
-        self.settlements.push_back(settlement);
-        self.retry_settlements();
+        self.unsent_settlements.push_back(settlement);
+        self.send_settlements();
     }
 
-    fn retry_settlements(&mut self) {
-        while let Some(settlement) = self.settlements.pop_front() {
+    fn send_settlements(&mut self) {
+        while let Some(settlement) = self.unsent_settlements.pop_front() {
             let job = PlatformJob::Settle(settlement);
-            match self.thread.platform.try_send(job) {
+            match self.thread.platform_jobs.try_send(job) {
                 Ok(()) => {}
                 Err(flume::TrySendError::Full(PlatformJob::Settle(settlement))) => {
-                    self.settlements.push_front(settlement);
+                    self.unsent_settlements.push_front(settlement);
                     return;
                 }
                 Err(_) => return,
@@ -444,7 +456,7 @@
             host,
         };
         // One is under way at a time, so the ring cannot be full.
-        let _ = self.thread.peers.try_send(job);
+        let _ = self.thread.peer_jobs.try_send(job);
     }
 
     /// Where the ring is full the answer fails to come, and other signs must do.
@@ -465,17 +477,17 @@
         let _ = self.thread.probes.try_send(job);
     }
 
-    fn record(&mut self, outcome: &Outcome) {
+    fn record_outcome(&mut self, outcome: &Outcome) {
         request_metrics::record(outcome);
-        let mut ledger = self
+        let mut statistics = self
             .thread
-            .ledger
+            .statistics
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        ledger.record(self.thread.clock.now(), outcome);
+        statistics.record(self.thread.clock.now(), outcome);
     }
 
-    fn publish(&mut self) {
+    fn publish_status(&mut self) {
         let controller = &self.thread.controller;
         gauge!("rhubarbcove_queued").set(controller.queued() as f64);
         let now = self.thread.clock.now();
@@ -500,10 +512,10 @@
         for (target, left) in controller.retries_left(now) {
             gauge!("rhubarbcove_retries_left", "target" => target.to_string()).set(left);
         }
-        self.decisions.tick(now);
+        self.decision_log.log_dropped_lines(now);
         let before = self.thread.status.load();
         let shares = controller.shares_version();
-        let home = if std::mem::replace(&mut self.shares_published, shares) == shares {
+        let home = if std::mem::replace(&mut self.published_shares_version, shares) == shares {
             Arc::clone(&before.home)
         } else {
             Arc::new(controller.home())
@@ -525,7 +537,7 @@
             ..(**before).clone()
         };
         if after != **before {
-            self.decisions.changed(now, &before, &after);
+            self.decision_log.log_status_changes(now, &before, &after);
             self.thread.status.store(Arc::new(after));
         }
     }
@@ -533,6 +545,6 @@
 
 /// Unix time in milliseconds, by this host's time of day.
 fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as u64)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/crates/router/src/decision_log.rs
+++ b/crates/router/src/decision_log.rs
@@ -11,11 +11,11 @@
 const OBSERVED_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Most hosts that such a line names.
-const MAX_NAMED: usize = 8;
+const MAX_NAMED_HOSTS: usize = 8;
 
 /// What the host knew when it decided.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Knowledge {
+pub(crate) struct DecisionContext {
     /// How long ago the configuration was known to be the newest.
     pub(crate) config_age: Option<Duration>,
     pub(crate) queued: usize,
@@ -26,25 +26,25 @@
 pub(crate) struct DecisionLog {
     budget: LogBudget,
     /// Hosts observed, by the last line on them.
-    observed: Vec<HostId>,
+    logged_observed: Vec<HostId>,
     logger: Logger,
-    next_dropped: Time,
-    next_observed: Time,
+    next_dropped_at: Time,
+    next_observed_at: Time,
 }
 
 impl DecisionLog {
     pub(crate) fn new(logger: Logger) -> Self {
         Self {
             budget: LogBudget::default(),
-            observed: Vec::new(),
+            logged_observed: Vec::new(),
             logger,
-            next_dropped: Time::default(),
-            next_observed: Time::default(),
+            next_dropped_at: Time::default(),
+            next_observed_at: Time::default(),
         }
     }
 
     /// A request is sent to an upstream.
-    pub(crate) fn sent(&mut self, now: Time, id: &str, order: &SendOrder) {
+    pub(crate) fn log_sent(&mut self, now: Time, id: &str, order: &SendOrder) {
         if !self.budget.take(LineKind::Routine, now) {
             return;
         }
@@ -79,7 +79,7 @@
     }
 
     /// An attempt gave no answer.
-    pub(crate) fn attempt_failed(
+    pub(crate) fn log_attempt_failure(
         &mut self,
         now: Time,
         id: &str,
@@ -107,7 +107,12 @@
     }
 
     /// A connection to an upstream was wanted; one that was made at once is counted only.
-    pub(crate) fn paths_tried(&mut self, now: Time, upstream: &UpstreamId, tries: &[PathTry]) {
+    pub(crate) fn log_path_attempts(
+        &mut self,
+        now: Time,
+        upstream: &UpstreamId,
+        tries: &[PathTry],
+    ) {
         for tried in tries {
             let path = match tried.path {
                 Path::Direct => "direct",
@@ -116,8 +121,8 @@
             let end = tried.end.as_str();
             counter!("rhubarbcove_paths_tried_total", "path" => path, "end" => end).increment(1);
         }
-        let as_usual = tries.iter().all(|tried| tried.end == PathEnd::Connected);
-        if as_usual || !self.budget.take(LineKind::Important, now) {
+        let all_connected = tries.iter().all(|tried| tried.end == PathEnd::Connected);
+        if all_connected || !self.budget.take(LineKind::Important, now) {
             return;
         }
         let tries: Vec<String> = tries.iter().map(ToString::to_string).collect();
@@ -128,7 +133,7 @@
     }
 
     /// An upstream says something else of the rejections that it bears.
-    pub(crate) fn brittle_noted(&mut self, now: Time, noted: &BrittleNoted) {
+    pub(crate) fn log_rejection_limit(&mut self, now: Time, noted: &BrittleNoted) {
         if self.budget.take(LineKind::Important, now) {
             info!(self.logger, "belief: brittle upstream";
                 "upstream" => %noted.upstream,
@@ -138,7 +143,7 @@
     }
 
     /// The own path to an upstream was found lost, or restored.
-    pub(crate) fn reach_noted(&mut self, now: Time, noted: &PathChange) {
+    pub(crate) fn log_path_change(&mut self, now: Time, noted: &PathChange) {
         let change = if noted.is_open { "regained" } else { "lost" };
         counter!("rhubarbcove_own_paths_noted_total", "change" => change).increment(1);
         if !self.budget.take(LineKind::Important, now) {
@@ -156,9 +161,15 @@
     }
 
     /// A request ended.
-    pub(crate) fn ended(&mut self, now: Time, id: &str, outcome: &Outcome, known: &Knowledge) {
-        let as_it_should = matches!(outcome.end, OutcomeEnd::Finished | OutcomeEnd::Replayed);
-        let kind = if as_it_should {
+    pub(crate) fn log_end(
+        &mut self,
+        now: Time,
+        id: &str,
+        outcome: &Outcome,
+        context: &DecisionContext,
+    ) {
+        let is_success = matches!(outcome.end, OutcomeEnd::Finished | OutcomeEnd::Replayed);
+        let kind = if is_success {
             LineKind::Routine
         } else {
             LineKind::Important
@@ -183,14 +194,14 @@
             "first_token_ms" => outcome.first_token.map(millis),
             "longest_pause_ms" => millis(outcome.longest_pause),
             "in_target" => outcome.met_target,
-            "config_version" => known.version.map(ConfigVersion::get),
-            "config_age_ms" => known.config_age.map(millis),
-            "queued" => known.queued,
+            "config_version" => context.version.map(ConfigVersion::get),
+            "config_age_ms" => context.config_age.map(millis),
+            "queued" => context.queued,
         );
     }
 
     /// The part of a class that is taken changed.
-    pub(crate) fn admission_noted(&mut self, now: Time, noted: &AdmissionChange) {
+    pub(crate) fn log_admission_change(&mut self, now: Time, noted: &AdmissionChange) {
         let class = noted.class.to_string();
         gauge!("rhubarbcove_admission_level", "class" => class).set(noted.level);
         if self.budget.take(LineKind::Important, now) {
@@ -205,7 +216,7 @@
     }
 
     /// An upstream ended under a request.
-    pub(crate) fn crash_noted(&mut self, now: Time, noted: &CrashNoted) {
+    pub(crate) fn log_crash(&mut self, now: Time, noted: &CrashNoted) {
         let (source, from) = match &noted.source {
             CrashSource::Host(host) => ("advertised", Some(host.to_string())),
             CrashSource::Own => ("own", None),
@@ -214,8 +225,8 @@
         counter!("rhubarbcove_crashes_noted_total", "source" => source).increment(1);
         // A first crash that another host saw is in that host's log. With many hosts these
         // would be most lines.
-        let is_news = noted.source == CrashSource::Own || noted.crashes > 1;
-        if !is_news || !self.budget.take(LineKind::Important, now) {
+        let is_logged = noted.source == CrashSource::Own || noted.crashes > 1;
+        if !is_logged || !self.budget.take(LineKind::Important, now) {
             return;
         }
         warn!(self.logger, "crashes: upstream ended under a request";
@@ -228,7 +239,7 @@
     }
 
     /// What an upstream names as its limit changed.
-    pub(crate) fn limit_noted(&mut self, now: Time, noted: &LimitChange) {
+    pub(crate) fn log_limit_change(&mut self, now: Time, noted: &LimitChange) {
         let source = noted.source.as_str();
         counter!("rhubarbcove_limits_noted_total", "source" => source).increment(1);
         if self.budget.take(LineKind::Important, now) {
@@ -241,7 +252,7 @@
     }
 
     /// What an engine is believed to do changed.
-    pub(crate) fn speed_noted(&mut self, now: Time, noted: &SpeedNoted) {
+    pub(crate) fn log_speed_change(&mut self, now: Time, noted: &SpeedNoted) {
         if self.budget.take(LineKind::Important, now) {
             info!(self.logger, "belief: engine speed";
                 "upstream" => %noted.upstream,
@@ -255,7 +266,7 @@
     }
 
     /// An upstream is newly known to leave.
-    pub(crate) fn leaving_noted(&mut self, now: Time, noted: &LeavingDetected) {
+    pub(crate) fn log_leaving(&mut self, now: Time, noted: &LeavingDetected) {
         let source = noted.source.as_str();
         counter!("rhubarbcove_leaving_noted_total", "source" => source).increment(1);
         if self.budget.take(LineKind::Important, now) {
@@ -268,7 +279,7 @@
     }
 
     /// An upstream said something of itself in an answer.
-    pub(crate) fn notice_answered(
+    pub(crate) fn log_upstream_notice(
         &mut self,
         now: Time,
         upstream: &UpstreamId,
@@ -276,7 +287,7 @@
     ) {
         if let AnsweredLimit::Invalid(text) = &notice.limit {
             counter!("rhubarbcove_limits_unreadable_total").increment(1);
-            self.unreadable(
+            self.log_invalid_value(
                 now,
                 "request: unreadable limit in an answer",
                 upstream,
@@ -285,7 +296,7 @@
         }
         if let AnsweredLimit::Invalid(text) = &notice.brittle {
             counter!("rhubarbcove_brittleness_unreadable_total").increment(1);
-            self.unreadable(
+            self.log_invalid_value(
                 now,
                 "request: unreadable brittleness in an answer",
                 upstream,
@@ -294,7 +305,7 @@
         }
         if let AnsweredBackoff::Invalid(text) = &notice.backoff {
             counter!("rhubarbcove_backoffs_unreadable_total").increment(1);
-            self.unreadable(
+            self.log_invalid_value(
                 now,
                 "request: unreadable backoff in an answer",
                 upstream,
@@ -311,8 +322,8 @@
         if notice.leaving {
             counter!("rhubarbcove_leaving_answers_total").increment(1);
         }
-        let is_news = notice.leaving || backoff.is_some();
-        if is_news && self.budget.take(LineKind::Important, now) {
+        let is_logged = notice.leaving || backoff.is_some();
+        if is_logged && self.budget.take(LineKind::Important, now) {
             info!(self.logger, "request: answer says";
                 "upstream" => %upstream,
                 "leaving" => notice.leaving,
@@ -321,14 +332,26 @@
         }
     }
 
-    fn unreadable(&mut self, now: Time, what: &'static str, upstream: &UpstreamId, text: &str) {
+    fn log_invalid_value(
+        &mut self,
+        now: Time,
+        message: &'static str,
+        upstream: &UpstreamId,
+        text: &str,
+    ) {
         if self.budget.take(LineKind::Important, now) {
-            warn!(self.logger, "{}", what; "upstream" => %upstream, "value" => text);
+            warn!(self.logger, "{}", message; "upstream" => %upstream, "value" => text);
         }
     }
 
     /// A request was refused before anything had to be decided.
-    pub(crate) fn turned_away(&mut self, now: Time, id: &str, reason: &str, known: &Knowledge) {
+    pub(crate) fn log_rejected(
+        &mut self,
+        now: Time,
+        id: &str,
+        reason: &str,
+        context: &DecisionContext,
+    ) {
         if !self.budget.take(LineKind::Important, now) {
             return;
         }
@@ -336,13 +359,18 @@
             "id" => id,
             "reason" => reason,
             "verdict" => Verdict::NotRun.as_str(),
-            "config_version" => known.version.map(ConfigVersion::get),
-            "config_age_ms" => known.config_age.map(millis),
+            "config_version" => context.version.map(ConfigVersion::get),
+            "config_age_ms" => context.config_age.map(millis),
         );
     }
 
     /// What the host believes has changed.
-    pub(crate) fn changed(&mut self, now: Time, before: &HostStatus, after: &HostStatus) {
+    pub(crate) fn log_status_changes(
+        &mut self,
+        now: Time,
+        before: &HostStatus,
+        after: &HostStatus,
+    ) {
         if before.phase != after.phase && self.budget.take(LineKind::Important, now) {
             info!(self.logger, "belief: phase"; "phase" => format!("{:?}", after.phase));
         }
@@ -353,39 +381,39 @@
             info!(self.logger, "belief: configuration known to be the newest";
                 "known" => after.current);
         }
-        self.set_changed(
+        self.log_set_change(
             now,
             "belief: upstreams ejected",
             &before.ejected,
             &after.ejected,
         );
-        self.set_changed(
+        self.log_set_change(
             now,
             "belief: upstreams leaving",
             &before.leaving,
             &after.leaving,
         );
-        self.set_changed(
+        self.log_set_change(
             now,
             "belief: upstreams used though not listed",
             &before.unlisted,
             &after.unlisted,
         );
-        self.observed_changed(now, &after.observed);
+        self.log_observed_changes(now, &after.observed);
     }
 
     /// Which hosts are observed: what changed since the last line, at most one in some seconds.
-    fn observed_changed(&mut self, now: Time, observed: &[HostId]) {
-        if now < self.next_observed || self.observed == observed {
+    fn log_observed_changes(&mut self, now: Time, observed: &[HostId]) {
+        if now < self.next_observed_at || self.logged_observed == observed {
             return;
         }
-        self.next_observed = now + OBSERVED_INTERVAL;
-        let before = std::mem::replace(&mut self.observed, observed.to_vec());
+        self.next_observed_at = now + OBSERVED_INTERVAL;
+        let before = std::mem::replace(&mut self.logged_observed, observed.to_vec());
         if !self.budget.take(LineKind::Important, now) {
             return;
         }
-        let named = |hosts: Vec<String>| {
-            let more = hosts.len().saturating_sub(MAX_NAMED);
+        let join_names = |hosts: Vec<String>| {
+            let more = hosts.len().saturating_sub(MAX_NAMED_HOSTS);
             let names = hosts[..hosts.len() - more].join(",");
             if more == 0 {
                 names
@@ -394,35 +422,35 @@
             }
         };
         info!(self.logger, "belief: hosts observed";
-            "added" => named(only(observed, &before)),
-            "gone" => named(only(&before, observed)),
+            "added" => join_names(difference(observed, &before)),
+            "gone" => join_names(difference(&before, observed)),
             "count" => observed.len(),
         );
     }
 
-    fn set_changed<T: Display + PartialEq>(
+    fn log_set_change<T: Display + PartialEq>(
         &mut self,
         now: Time,
-        what: &'static str,
+        message: &'static str,
         before: &[T],
         after: &[T],
     ) {
         if before == after || !self.budget.take(LineKind::Important, now) {
             return;
         }
-        info!(self.logger, "{}", what;
-            "added" => only(after, before).join(","),
-            "gone" => only(before, after).join(","),
+        info!(self.logger, "{}", message;
+            "added" => difference(after, before).join(","),
+            "gone" => difference(before, after).join(","),
             "count" => after.len(),
         );
     }
 
     /// Says now and then how many lines were dropped.
-    pub(crate) fn tick(&mut self, now: Time) {
-        if now < self.next_dropped {
+    pub(crate) fn log_dropped_lines(&mut self, now: Time) {
+        if now < self.next_dropped_at {
             return;
         }
-        self.next_dropped = now + DROPPED_INTERVAL;
+        self.next_dropped_at = now + DROPPED_INTERVAL;
         let (important, routine) = self.budget.take_dropped();
         if important + routine == 0 {
             return;
@@ -434,9 +462,9 @@
 }
 
 /// What one of two sets has and the other has not.
-fn only<T: Display + PartialEq>(of: &[T], than: &[T]) -> Vec<String> {
-    let only = of.iter().filter(|id| !than.contains(id));
-    only.map(ToString::to_string).collect()
+fn difference<T: Display + PartialEq>(items: &[T], others: &[T]) -> Vec<String> {
+    let difference = items.iter().filter(|item| !others.contains(item));
+    difference.map(ToString::to_string).collect()
 }
 
 fn millis(span: Duration) -> u64 {
--- a/crates/router/src/directory_thread.rs
+++ b/crates/router/src/directory_thread.rs
@@ -3,19 +3,19 @@
 use super::*;
 
 /// Updates that may wait to be reported to the controller.
-const UPDATE_RING: usize = 64;
+const UPDATE_CAPACITY: usize = 64;
 
 /// What the thread is given.
 pub(crate) struct DirectoryThread {
-    pub(crate) asked: flume::Receiver<()>,
+    pub(crate) table_requests: flume::Receiver<()>,
     pub(crate) clock: Clock,
     pub(crate) crashes: flume::Receiver<Vec<Crash>>,
     pub(crate) directory: Box<dyn Directory>,
     pub(crate) draining: Arc<AtomicBool>,
-    pub(crate) events: flume::Sender<RingEvent>,
+    pub(crate) events: flume::Sender<ControllerMessage>,
     pub(crate) fetcher: ConfigurationFetcher,
-    pub(crate) allocation: Arc<ArcSwapOption<Allocation>>,
-    pub(crate) received: Arc<Mutex<ReceivedTables>>,
+    pub(crate) served_configuration: Arc<ArcSwapOption<ServedConfiguration>>,
+    pub(crate) received_tables: Arc<Mutex<ReceivedTables>>,
     pub(crate) logger: Logger,
     pub(crate) metrics: HostMetrics,
     pub(crate) offers: flume::Receiver<Offer>,
@@ -30,24 +30,24 @@
             .spawn(move || {
                 let metrics = self.metrics.clone();
                 let runtime = single_thread_runtime()?;
-                metrics.count(|| runtime.block_on(self.run()));
+                metrics.with_recorder(|| runtime.block_on(self.run()));
                 Ok(())
             })
             .wrap_err("cannot start the directory's thread")
     }
 
     async fn run(self) {
-        let (sender, updates) = flume::bounded(UPDATE_RING);
+        let (sender, updates) = flume::bounded(UPDATE_CAPACITY);
         let Self {
-            asked,
+            table_requests,
             clock,
             crashes,
             directory,
             draining,
             events,
             fetcher,
-            allocation,
-            received,
+            served_configuration,
+            received_tables,
             logger,
             metrics: _,
             offers,
@@ -55,23 +55,23 @@
             usage,
         } = self;
         let channels = DirectoryChannels {
-            asked,
+            asked: table_requests,
             crashes,
             draining,
             offers,
             updates: sender,
             usage,
         };
-        let passing = PassingOn {
+        let forwarder = UpdateForwarder {
             clock,
             events,
-            allocation,
-            received,
+            served_configuration,
+            received_tables,
             logger,
         };
         tokio::select! {
             () = directory.follow(clock, channels) => {}
-            () = passing.run(&updates) => {}
+            () = forwarder.run(&updates) => {}
             () = fetcher.run() => {}
             () = shutdown.started() => {}
         }
@@ -79,30 +79,35 @@
 }
 
 /// Passes on what the directory tells: to the controller, to the log, to other hosts.
-struct PassingOn {
+struct UpdateForwarder {
     clock: Clock,
-    events: flume::Sender<RingEvent>,
-    allocation: Arc<ArcSwapOption<Allocation>>,
-    received: Arc<Mutex<ReceivedTables>>,
+    events: flume::Sender<ControllerMessage>,
+    served_configuration: Arc<ArcSwapOption<ServedConfiguration>>,
+    received_tables: Arc<Mutex<ReceivedTables>>,
     logger: Logger,
 }
 
-impl PassingOn {
+impl UpdateForwarder {
     async fn run(&self, updates: &flume::Receiver<DirectoryUpdate>) {
         while let Ok(update) = updates.recv_async().await {
-            if let Some(event) = self.take(update) {
+            if let Some(event) = self.handle(update) {
                 // Waits while the ring is full: no update is lost.
-                let _ = self.events.send_async(RingEvent::Happened(event)).await;
+                let _ = self
+                    .events
+                    .send_async(ControllerMessage::Event(event))
+                    .await;
             }
         }
     }
 
-    fn received(&self) -> MutexGuard<'_, ReceivedTables> {
-        self.received.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_received_tables(&self) -> MutexGuard<'_, ReceivedTables> {
+        self.received_tables
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// What the controller is notified of it.
-    fn take(&self, update: DirectoryUpdate) -> Option<Event> {
+    fn handle(&self, update: DirectoryUpdate) -> Option<Event> {
         let logger = &self.logger;
         Some(match update {
             DirectoryUpdate::Configuration { numbered, reading } => {
@@ -126,12 +131,12 @@
             DirectoryUpdate::ConfigurationPacked(document) => {
                 let version = document.version;
                 let as_of = None;
-                self.allocation
-                    .store(Some(Arc::new(Allocation { as_of, document })));
+                self.served_configuration
+                    .store(Some(Arc::new(ServedConfiguration { as_of, document })));
                 Event::ConfigurationPacked(version)
             }
             DirectoryUpdate::Confirmed { as_of } => {
-                confirm(&self.allocation, as_of);
+                note_confirmed(&self.served_configuration, as_of);
                 Event::ConfigurationConfirmed { as_of }
             }
             DirectoryUpdate::Crashes(crashes) => Event::CrashesListed(crashes),
@@ -143,12 +148,12 @@
             DirectoryUpdate::ReachableAgain { silent } => {
                 info!(logger, "directory: reachable again";
                     "silent_ms" => silent.as_millis() as u64);
-                self.received().note_reachable_again();
+                self.lock_received_tables().note_reachable_again();
                 Event::DirectoryReachableAgain
             }
             DirectoryUpdate::Lost { error } => {
                 warn!(logger, "directory: lost"; "error" => error);
-                self.received().note_lost();
+                self.lock_received_tables().note_lost();
                 Event::DirectoryLost
             }
             DirectoryUpdate::Peers { hosts, in_all } => Event::PeersListed {
@@ -159,7 +164,7 @@
                 info!(logger, "directory: regained";
                     "ago_ms" => ago.as_millis() as u64, "silent_ms" => silent.as_millis() as u64);
                 let at = self.clock.now() - ago;
-                self.received().note_regained(at);
+                self.lock_received_tables().note_regained(at);
                 Event::DirectoryRegained { at }
             }
             DirectoryUpdate::Unusable { error } => {
@@ -171,13 +176,13 @@
                     "division" => coverage.division,
                     "known" => levels.iter().filter(|(_, level)| *level <= WorkingSet::KNOWN_LEVEL).count(),
                     "upstreams" => levels.len());
-                self.received().divide(coverage, levels);
+                self.lock_received_tables().divide(coverage, levels);
                 return None;
             }
             DirectoryUpdate::TableRead(reading) => {
-                let mut received = self.received();
-                received.take(self.clock.now(), reading);
-                for (table, rows) in received.rows() {
+                let mut tables = self.lock_received_tables();
+                tables.take(self.clock.now(), reading);
+                for (table, rows) in tables.rows() {
                     gauge!("rhubarbcove_table_rows", "table" => table).set(rows as f64);
                 }
                 return None;
@@ -200,11 +205,11 @@
 }
 
 /// Notes for other hosts when the configuration was the newest one.
-fn confirm(allocation: &ArcSwapOption<Allocation>, as_of: Time) {
-    let Some(known) = allocation.load_full() else {
+fn note_confirmed(served_configuration: &ArcSwapOption<ServedConfiguration>, as_of: Time) {
+    let Some(known) = served_configuration.load_full() else {
         return;
     };
-    allocation.store(Some(Arc::new(Allocation {
+    served_configuration.store(Some(Arc::new(ServedConfiguration {
         as_of: known.as_of.max(Some(as_of)),
         document: Arc::clone(&known.document),
     })));
--- a/crates/router/src/host.rs
+++ b/crates/router/src/host.rs
@@ -1,18 +1,18 @@
 use super::*;
 
 /// Time without bytes after which connections that are passed on count as idle.
-const PASSING_PAUSE: Duration = Duration::from_secs(1);
+const FORWARDING_IDLE_TIME: Duration = Duration::from_secs(1);
 
 /// Pause between two looks at them.
-const PASSING_LOOK: Duration = Duration::from_millis(50);
+const FORWARDING_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Pause between two looks at whether a host is ready.
-const READY_PAUSE: Duration = Duration::from_millis(5);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A host in one phase of its life. A phase is left by a method that takes the
 /// host and returns the next one, so none can be skipped or entered twice.
 pub struct Host<S> {
-    parts: Parts,
+    parts: HostParts,
     state: S,
 }
 
@@ -22,30 +22,35 @@
 /// Fails its readiness check, and still answers what comes.
 pub struct Draining;
 
-struct Parts {
+struct HostParts {
     caller_address: SocketAddr,
-    callers: Vec<Thread>,
-    controller: Thread,
+    callers: Vec<ThreadHandle>,
+    controller: ThreadHandle,
     operator_address: SocketAddr,
     peer_address: SocketAddr,
-    wiring: Wiring,
+    threads: HostThreads,
 }
 
-impl Parts {
+impl HostParts {
     /// Tells the controller something; it outlives the host's other parts.
-    fn tell(&self, event: RingEvent) {
-        let _ = self.wiring.rings.events.0.send(event);
+    fn send_to_controller(&self, event: ControllerMessage) {
+        let _ = self.threads.channels.events.0.send(event);
     }
 
     /// Lets other hosts' requests end that are passed on to upstreams, within the time for own
     /// ones. New ones have been declined since the drain began.
-    fn finish_passing(&self, began: Instant) {
-        let limit = relay_rules::drain_limit(&self.wiring.settings).unwrap_or_default();
-        let Shared {
-            activity, passing, ..
-        } = &self.wiring.shared;
-        while passing.count() > 0 && activity.idle() < PASSING_PAUSE && began.elapsed() < limit {
-            std::thread::sleep(PASSING_LOOK);
+    fn wait_for_forwarded_connections(&self, began: Instant) {
+        let limit = relay_rules::drain_limit(&self.threads.settings).unwrap_or_default();
+        let SharedState {
+            forwarding_activity,
+            forwarded_connections,
+            ..
+        } = &self.threads.shared;
+        while forwarded_connections.count() > 0
+            && forwarding_activity.idle_time() < FORWARDING_IDLE_TIME
+            && began.elapsed() < limit
+        {
+            std::thread::sleep(FORWARDING_POLL_INTERVAL);
         }
     }
 }
@@ -70,31 +75,31 @@
         let caller_address = callers.local_addr()?;
         let operator_address = operators.local_addr()?;
         let peer_address = peers.local_addr()?;
-        let mut wiring = Wiring::new(settings, logger)?;
+        let mut threads = HostThreads::new(settings, logger)?;
         let (protocol, store, notes) = match installation {
             Some(installation) => {
-                wiring.follow_directory(installation.directory)?;
-                let notes = wiring.exchange_notes(peers)?;
+                threads.start_directory_thread(installation.directory)?;
+                let notes = threads.start_note_thread(peers)?;
                 (Some(installation.protocol), None, Some(notes))
             }
             None => {
-                wiring.exchange_heartbeats(peers)?;
-                (None, Some(wiring.follow_store()?), None)
+                threads.start_peer_thread(peers)?;
+                (None, Some(threads.start_platform_thread()?), None)
             }
         };
-        let controller = wiring.start_controller(notes)?;
-        wiring.watch_upstreams(protocol.clone())?;
-        wiring.answer_operators(operators, store)?;
-        let callers = wiring.answer_callers(&callers, protocol.as_ref())?;
-        info!(wiring.logger, "host: started";
+        let controller = threads.start_controller(notes)?;
+        threads.start_upstream_thread(protocol.clone())?;
+        threads.start_operator_listeners(operators, store)?;
+        let callers = threads.start_caller_threads(&callers, protocol.as_ref())?;
+        info!(threads.logger, "host: started";
             "callers" => %caller_address, "operators" => %operator_address);
-        let parts = Parts {
+        let parts = HostParts {
             caller_address,
             callers,
             controller,
             operator_address,
             peer_address,
-            wiring,
+            threads,
         };
         Ok(Self {
             parts,
@@ -109,7 +114,7 @@
             if Instant::now() >= deadline {
                 return false;
             }
-            std::thread::sleep(READY_PAUSE);
+            std::thread::sleep(READY_POLL_INTERVAL);
         }
         true
     }
@@ -118,33 +123,36 @@
     /// logged.
     pub fn reload(&mut self, settings: Settings) {
         let limits = settings.limits.clone();
-        self.parts.wiring.shared.limits.store(Arc::new(limits));
+        self.parts.threads.shared.limits.store(Arc::new(limits));
         let max_queued = settings.limits.max_queued;
         self.parts
-            .tell(RingEvent::Happened(Event::QueueLimitChanged(max_queued)));
-        let current = &mut self.parts.wiring.settings;
+            .send_to_controller(ControllerMessage::Event(Event::QueueLimitChanged(
+                max_queued,
+            )));
+        let current = &mut self.parts.threads.settings;
         current.limits.clone_from(&settings.limits);
         current.balancer_pause_ms = settings.balancer_pause_ms;
         if current.relay.is_some() && settings.relay.is_some() {
             current.relay.clone_from(&settings.relay);
         }
-        let all_followed = *current == settings;
+        let is_fully_applied = *current == settings;
         if let Some(relay) = &settings.relay {
             let rules = relay_rules::relay_rules(relay);
             self.parts
-                .tell(RingEvent::Happened(Event::RulesChanged(rules)));
+                .send_to_controller(ControllerMessage::Event(Event::RulesChanged(rules)));
         }
-        info!(self.parts.wiring.logger, "host: settings reloaded";
-            "needs_restart" => !all_followed);
+        info!(self.parts.threads.logger, "host: settings reloaded";
+            "needs_restart" => !is_fully_applied);
     }
 
     /// Begins a planned stop: the readiness check fails from now on, while
     /// requests are still answered.
     pub fn drain(self) -> Host<Draining> {
-        info!(self.parts.wiring.logger, "host: draining");
-        let draining = &self.parts.wiring.shared.draining;
+        info!(self.parts.threads.logger, "host: draining");
+        let draining = &self.parts.threads.shared.draining;
         draining.store(true, Ordering::Relaxed);
-        self.parts.tell(RingEvent::Happened(Event::DrainStarted));
+        self.parts
+            .send_to_controller(ControllerMessage::Event(Event::DrainStarted));
         Host {
             parts: self.parts,
             state: Draining,
@@ -158,27 +166,27 @@
     /// and joins the threads. Gives back what the host counted.
     pub fn stop(self) -> eyre::Result<Report> {
         let mut parts = self.parts;
-        let pause_ms = parts.wiring.settings.balancer_pause_ms;
+        let pause_ms = parts.threads.settings.balancer_pause_ms;
         std::thread::sleep(Duration::from_millis(pause_ms));
-        parts.wiring.callers_stop.start();
+        parts.threads.caller_shutdown.start();
         let began = Instant::now();
         for thread in std::mem::take(&mut parts.callers) {
             join(thread)?;
         }
-        parts.finish_passing(began);
-        parts.tell(RingEvent::Stop);
+        parts.wait_for_forwarded_connections(began);
+        parts.send_to_controller(ControllerMessage::Stop);
         join(parts.controller)?;
-        let Wiring {
+        let HostThreads {
             logger,
-            others_stop,
-            rings,
+            background_shutdown,
+            channels,
             shared,
             threads,
             ..
-        } = parts.wiring;
-        others_stop.start();
+        } = parts.threads;
+        background_shutdown.start();
         // A thread that still empties its ring ends once nobody can fill it.
-        drop(rings);
+        drop(channels);
         for thread in threads {
             join(thread)?;
         }
@@ -205,12 +213,12 @@
 
     /// What it shows of itself.
     pub fn status(&self) -> HostStatus {
-        (**self.parts.wiring.shared.status.load()).clone()
+        (**self.parts.threads.shared.status.load()).clone()
     }
 
     /// Its report on service-level burn.
     pub fn report(&self) -> Report {
-        self.parts.wiring.shared.report()
+        self.parts.threads.shared.report()
     }
 
     /// The phase it is in.
@@ -219,7 +227,7 @@
     }
 }
 
-fn join(thread: Thread) -> eyre::Result<()> {
+fn join(thread: ThreadHandle) -> eyre::Result<()> {
     let name = thread.thread().name().unwrap_or("unnamed").to_string();
     thread
         .join()
--- a/crates/router/src/host_metrics.rs
+++ b/crates/router/src/host_metrics.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Limits of the buckets in which times are counted, in seconds.
-const TIME_BUCKETS_S: [f64; 9] = [0.01, 0.03, 0.1, 0.3, 0.66, 1.0, 3.0, 10.0, 30.0];
+const DURATION_BUCKETS_S: [f64; 9] = [0.01, 0.03, 0.1, 0.3, 0.66, 1.0, 3.0, 10.0, 30.0];
 
 /// The metrics of one host. Several hosts may run in one process, so each thread
 /// counts into those of its own host, and none into a global recorder.
@@ -13,7 +13,7 @@
 impl HostMetrics {
     pub(crate) fn new() -> eyre::Result<Self> {
         let recorder = PrometheusBuilder::new()
-            .set_buckets_for_metric(Matcher::Suffix("_seconds".to_string()), &TIME_BUCKETS_S)
+            .set_buckets_for_metric(Matcher::Suffix("_seconds".to_string()), &DURATION_BUCKETS_S)
             .wrap_err("cannot set the metrics up")?
             .build_recorder();
         Ok(Self {
@@ -27,7 +27,7 @@
     }
 
     /// Runs a thread whose metrics are this host's.
-    pub(crate) fn count<T>(&self, run: impl FnOnce() -> T) -> T {
+    pub(crate) fn with_recorder<T>(&self, run: impl FnOnce() -> T) -> T {
         metrics::with_local_recorder(&*self.recorder, run)
     }
 }
--- a/crates/router/src/wiring.rs
+++ b/crates/router/src/host_threads.rs
@@ -1,98 +1,101 @@
-//! Starts the threads of a host and joins them by rings.
+//! Starts the threads of a host and joins them by channels.
 
 use super::*;
 
 /// Time that an operator or another host may take to send a request's head.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+const INTERNAL_HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Part of the reserve for the end of a stop that the controller waits for
 /// requests that cannot be served any more.
-const CONTROLLER_PART: u32 = 3;
+const CONTROLLER_STOP_DIVISOR: u32 = 3;
 
-pub(crate) type Thread = JoinHandle<eyre::Result<()>>;
+pub(crate) type ThreadHandle = JoinHandle<eyre::Result<()>>;
 
 /// What the threads of a host are given, and those that have been started.
-pub(crate) struct Wiring {
-    pub(crate) callers_stop: Shutdown,
+pub(crate) struct HostThreads {
+    pub(crate) caller_shutdown: Shutdown,
     pub(crate) logger: Logger,
     pub(crate) metrics: HostMetrics,
-    pub(crate) others_stop: Shutdown,
-    pub(crate) rings: Rings,
+    pub(crate) background_shutdown: Shutdown,
+    pub(crate) channels: Channels,
     pub(crate) settings: Settings,
-    pub(crate) shared: Shared,
+    pub(crate) shared: SharedState,
     /// Threads that stop after the callers' and the controller's.
-    pub(crate) threads: Vec<Thread>,
+    pub(crate) threads: Vec<ThreadHandle>,
 }
 
-impl Wiring {
+impl HostThreads {
     pub(crate) fn new(settings: Settings, logger: Logger) -> eyre::Result<Self> {
         Ok(Self {
-            callers_stop: Shutdown::new(),
+            caller_shutdown: Shutdown::new(),
             logger,
             metrics: HostMetrics::new()?,
-            others_stop: Shutdown::new(),
-            rings: Rings::new(),
-            shared: Shared::new(&settings),
+            background_shutdown: Shutdown::new(),
+            channels: Channels::new(),
+            shared: SharedState::new(&settings),
             settings,
             threads: Vec::new(),
         })
     }
 
-    fn events(&self) -> flume::Sender<RingEvent> {
-        self.rings.events.0.clone()
+    fn events(&self) -> flume::Sender<ControllerMessage> {
+        self.channels.events.0.clone()
     }
 
     /// The thread that decides.
-    pub(crate) fn start_controller(&self, notes: Option<NoteSender>) -> eyre::Result<Thread> {
+    pub(crate) fn start_controller(&self, notes: Option<NoteSender>) -> eyre::Result<ThreadHandle> {
         let relays = self.settings.relay.is_some();
         let thread = ControllerThread {
             clock: self.shared.clock,
             configuration: Arc::clone(&self.shared.configuration),
-            crashes: self.rings.crashes.0.clone(),
+            crashes: self.channels.crashes.0.clone(),
             controller: Controller::new(controller_options(&self.settings)),
-            events: self.rings.events.1.clone(),
-            fetches: self.rings.fetches.0.clone(),
-            ledger: Arc::clone(&self.shared.ledger),
+            events: self.channels.events.1.clone(),
+            fetches: self.channels.fetches.0.clone(),
+            statistics: Arc::clone(&self.shared.statistics),
             logger: self.logger.clone(),
             metrics: self.metrics.clone(),
             notes,
-            peers: self.rings.peers.0.clone(),
-            platform: self.rings.platform.0.clone(),
-            probes: self.rings.probes.0.clone(),
+            peer_jobs: self.channels.peer_jobs.0.clone(),
+            platform_jobs: self.channels.platform_jobs.0.clone(),
+            probes: self.channels.probes.0.clone(),
             read_configuration: Arc::clone(&self.shared.read_configuration),
             status: Arc::clone(&self.shared.status),
             unread: self.shared.unread.clone(),
-            usage: self.rings.usage.0.clone(),
-            stop_limit: relays.then_some(relay_rules::STOP_RESERVE / CONTROLLER_PART),
+            usage: self.channels.usage.0.clone(),
+            stop_timeout: relays.then_some(relay_rules::STOP_RESERVE / CONTROLLER_STOP_DIVISOR),
         };
         thread.spawn()
     }
 
     /// Follows an installation's directory.
-    pub(crate) fn follow_directory(&mut self, directory: Box<dyn Directory>) -> eyre::Result<()> {
-        let (offer, offers) = flume::bounded(rings::OFFER_RING);
+    pub(crate) fn start_directory_thread(
+        &mut self,
+        directory: Box<dyn Directory>,
+    ) -> eyre::Result<()> {
+        let (offer, offers) = flume::bounded(channels::OFFER_CAPACITY);
         let thread = DirectoryThread {
-            asked: self.rings.asked.1.clone(),
-            received: Arc::clone(&self.shared.received),
+            table_requests: self.channels.table_requests.1.clone(),
+            received_tables: Arc::clone(&self.shared.received_tables),
             clock: self.shared.clock,
-            crashes: self.rings.crashes.1.clone(),
+            crashes: self.channels.crashes.1.clone(),
             directory,
             draining: Arc::clone(&self.shared.draining),
             events: self.events(),
             fetcher: ConfigurationFetcher {
                 clock: self.shared.clock,
                 events: self.events(),
-                jobs: self.rings.fetches.1.clone(),
+                jobs: self.channels.fetches.1.clone(),
                 logger: self.logger.clone(),
                 offers: offer,
                 token: self.settings.peer_token.clone(),
             },
-            allocation: Arc::clone(&self.shared.allocation),
+            served_configuration: Arc::clone(&self.shared.served_configuration),
             logger: self.logger.clone(),
             metrics: self.metrics.clone(),
             offers,
-            shutdown: self.others_stop.clone(),
-            usage: self.rings.usage.1.clone(),
+            shutdown: self.background_shutdown.clone(),
+            usage: self.channels.usage.1.clone(),
         };
         self.threads.push(thread.spawn()?);
         Ok(())
@@ -100,15 +103,15 @@
 
     /// Follows the store of the product's own protocol; gives the client through
     /// which operators submit patches.
-    pub(crate) fn follow_store(&mut self) -> eyre::Result<ConfigStore> {
+    pub(crate) fn start_platform_thread(&mut self) -> eyre::Result<ConfigStore> {
         let address = self.settings.platform_address;
         let thread = PlatformThread {
             address,
             events: self.events(),
-            jobs: self.rings.platform.1.clone(),
+            jobs: self.channels.platform_jobs.1.clone(),
             logger: self.logger.clone(),
             read_configuration: Arc::clone(&self.shared.read_configuration),
-            shutdown: self.others_stop.clone(),
+            shutdown: self.background_shutdown.clone(),
             status: Arc::clone(&self.shared.status),
         };
         self.threads.push(thread.spawn()?);
@@ -117,7 +120,7 @@
     }
 
     /// Polls and probes the upstreams.
-    pub(crate) fn watch_upstreams(
+    pub(crate) fn start_upstream_thread(
         &mut self,
         protocol: Option<Arc<dyn Protocol>>,
     ) -> eyre::Result<()> {
@@ -126,9 +129,9 @@
             configuration: Arc::clone(&self.shared.configuration),
             events: self.events(),
             logger: self.logger.clone(),
-            probes: self.rings.probes.1.clone(),
+            probes: self.channels.probes.1.clone(),
             protocol,
-            shutdown: self.others_stop.clone(),
+            shutdown: self.background_shutdown.clone(),
             status: Arc::clone(&self.shared.status),
             token: self.settings.peer_token.clone(),
         };
@@ -137,16 +140,16 @@
     }
 
     /// Exchanges heartbeats with the other hosts, outside an installation.
-    pub(crate) fn exchange_heartbeats(
+    pub(crate) fn start_peer_thread(
         &mut self,
         listener: std::net::TcpListener,
     ) -> eyre::Result<()> {
         let thread = PeerThread {
             events: self.events(),
-            jobs: self.rings.peers.1.clone(),
+            jobs: self.channels.peer_jobs.1.clone(),
             listener,
             logger: self.logger.clone(),
-            shutdown: self.others_stop.clone(),
+            shutdown: self.background_shutdown.clone(),
             token: self.settings.peer_token.clone(),
         };
         self.threads.push(thread.spawn()?);
@@ -155,7 +158,7 @@
 
     /// Takes notes of the other hosts of an installation, and serves them the
     /// configuration; gives the sender of own notes.
-    pub(crate) fn exchange_notes(
+    pub(crate) fn start_note_thread(
         &mut self,
         listener: std::net::TcpListener,
     ) -> eyre::Result<NoteSender> {
@@ -169,29 +172,29 @@
         let thread = NoteThread {
             events: self.events(),
             logger: self.logger.clone(),
-            shutdown: self.others_stop.clone(),
+            shutdown: self.background_shutdown.clone(),
             socket,
             token: token.clone(),
-            usage: self.rings.usage.0.clone(),
+            usage: self.channels.usage.0.clone(),
         };
         self.threads.push(thread.spawn()?);
         let service = PeerService {
-            asked: self.rings.asked.0.clone(),
-            received: Arc::clone(&self.shared.received),
+            asked: self.channels.table_requests.0.clone(),
+            received: Arc::clone(&self.shared.received_tables),
             clock: self.shared.clock,
-            allocation: Arc::clone(&self.shared.allocation),
+            allocation: Arc::clone(&self.shared.served_configuration),
             lending: Lending::default(),
             packed: Arc::default(),
             token,
             transfers: Arc::default(),
             transit: TransitService {
-                activity: self.shared.activity.clone(),
+                activity: self.shared.forwarding_activity.clone(),
                 events: self.events(),
                 logger: self.logger.clone(),
-                passing: self.shared.passing.clone(),
+                passing: self.shared.forwarded_connections.clone(),
             },
         };
-        self.serve("peers", listener, move |request| {
+        self.start_http_listener("peers", listener, move |request| {
             let service = service.clone();
             async move { service.answer(request).await }
         })?;
@@ -199,7 +202,7 @@
     }
 
     /// Answers operators, and whoever reads the metrics.
-    pub(crate) fn answer_operators(
+    pub(crate) fn start_operator_listeners(
         &mut self,
         listener: std::net::TcpListener,
         store: Option<ConfigStore>,
@@ -207,7 +210,7 @@
         let service = OperatorService {
             clock: self.shared.clock,
             configuration: Arc::clone(&self.shared.configuration),
-            ledger: Arc::clone(&self.shared.ledger),
+            ledger: Arc::clone(&self.shared.statistics),
             metrics: self.metrics.handle(),
             only_metrics: false,
             status: Arc::clone(&self.shared.status),
@@ -219,18 +222,18 @@
                 only_metrics: true,
                 ..service.clone()
             };
-            self.serve("metrics", listen(address)?, move |request| {
+            self.start_http_listener("metrics", listen(address)?, move |request| {
                 let service = service.clone();
                 async move { service.answer(request).await }
             })?;
         }
-        self.serve("operators", listener, move |request| {
+        self.start_http_listener("operators", listener, move |request| {
             let service = service.clone();
             async move { service.answer(request).await }
         })
     }
 
-    fn serve<A, F>(
+    fn start_http_listener<A, F>(
         &mut self,
         name: &str,
         listener: std::net::TcpListener,
@@ -241,9 +244,9 @@
         F: Future<Output = Response<AnswerBody>> + Send + 'static,
     {
         let http = HttpListener {
-            head_timeout: HEAD_TIMEOUT,
+            head_timeout: INTERNAL_HEAD_TIMEOUT,
             listener,
-            shutdown: self.others_stop.clone(),
+            shutdown: self.background_shutdown.clone(),
         };
         self.threads.push(http.spawn(name, answer)?);
         Ok(())
@@ -251,11 +254,11 @@
 
     /// Starts the threads that serve callers, by an installation's protocol or
     /// by the product's own.
-    pub(crate) fn answer_callers(
+    pub(crate) fn start_caller_threads(
         &self,
         listener: &std::net::TcpListener,
         protocol: Option<&Arc<dyn Protocol>>,
-    ) -> eyre::Result<Vec<Thread>> {
+    ) -> eyre::Result<Vec<ThreadHandle>> {
         let next_request = Arc::new(AtomicU64::new(0));
         let connections = Arc::new(AtomicUsize::new(0));
         (0..self.settings.caller_threads)
@@ -267,7 +270,7 @@
                     logger: self.logger.clone(),
                     metrics: self.metrics.clone(),
                     service: self.caller_interface(protocol, &next_request),
-                    shutdown: self.callers_stop.clone(),
+                    shutdown: self.caller_shutdown.clone(),
                     unread: self.shared.unread.clone(),
                 }
                 .spawn(number)
@@ -281,7 +284,7 @@
         next_request: &Arc<AtomicU64>,
     ) -> CallerInterface {
         let configuration = Arc::clone(&self.shared.configuration);
-        let limits = LimitsInForce::new(
+        let limits = EffectiveLimits::new(
             Arc::clone(&self.shared.configuration),
             Arc::clone(&self.shared.limits),
         );
--- a/crates/router/src/instruction.rs
+++ b/crates/router/src/instruction.rs
@@ -18,5 +18,5 @@
 impl Instruction {
     /// The controller has at most this many instructions under way for one
     /// request: a send, an abandonment, a break and a refusal.
-    pub(crate) const RING: usize = 4;
+    pub(crate) const CHANNEL_CAPACITY: usize = 4;
 }
--- a/crates/router/src/activity.rs
+++ b/crates/router/src/last_activity.rs
@@ -2,27 +2,27 @@
 
 /// When something of one kind happened last.
 #[derive(Clone, Debug)]
-pub(crate) struct Activity {
+pub(crate) struct LastActivity {
     clock: Clock,
-    last_us: Arc<AtomicU64>,
+    last_at_us: Arc<AtomicU64>,
 }
 
-impl Activity {
+impl LastActivity {
     pub(crate) fn new(clock: Clock) -> Self {
         Self {
             clock,
-            last_us: Arc::default(),
+            last_at_us: Arc::default(),
         }
     }
 
     pub(crate) fn note(&self) {
         let now = self.clock.now().as_us();
-        self.last_us.store(now, Ordering::Relaxed);
+        self.last_at_us.store(now, Ordering::Relaxed);
     }
 
     /// Time since then.
-    pub(crate) fn idle(&self) -> Duration {
-        let last = Time::from_us(self.last_us.load(Ordering::Relaxed));
+    pub(crate) fn idle_time(&self) -> Duration {
+        let last = Time::from_us(self.last_at_us.load(Ordering::Relaxed));
         self.clock.now().since(last)
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -85,12 +85,9 @@
     },
 };
 
-mod activity;
-mod allocation;
 mod answer_reader;
 mod answer_sender;
 mod answers;
-mod asked;
 mod body_budget;
 mod body_error;
 mod broken_answer;
@@ -99,30 +96,35 @@
 mod caller_request;
 mod caller_service;
 mod caller_thread;
+mod channels;
 mod class_report;
 mod configuration_fetcher;
 mod connection_reuse;
+mod controller_message;
 mod controller_thread;
 mod decision_log;
 mod directory_thread;
 mod duty_log;
+mod effective_limits;
 mod event_splitter;
 mod fetch_job;
+mod guarantee_check;
 mod host;
 mod host_metrics;
 mod host_status;
+mod host_threads;
 mod http_listener;
 mod installation;
 mod instruction;
-mod instructions;
+mod instruction_receiver;
 mod jitter;
-mod ledger;
-mod limits_in_force;
+mod last_activity;
 mod log_budget;
 mod logs;
 mod note_sender;
 mod note_thread;
 mod operator_service;
+mod parsed_request;
 mod passed_connection;
 mod peer_job;
 mod peer_service;
@@ -130,7 +132,6 @@
 mod platform_job;
 mod platform_thread;
 mod probe_job;
-mod promise;
 mod pump;
 mod pumps;
 mod reader_signals;
@@ -141,11 +142,11 @@
 mod relayed_request;
 mod report;
 mod request_metrics;
+mod request_statistics;
 mod request_task;
-mod ring_event;
-mod rings;
 mod runtime;
-mod shared;
+mod served_configuration;
+mod shared_state;
 mod shutdown;
 mod table_claims;
 mod table_copy;
@@ -156,25 +157,21 @@
 mod upstream_thread;
 mod whole_answer;
 mod whole_body;
-mod wiring;
 
 pub use {
     class_report::ClassReport,
+    guarantee_check::GuaranteeCheck,
     host::{Draining, Host, Serving},
     host_status::HostStatus,
     installation::Installation,
     logs::{discard_logger, json_logger, json_logger_to},
-    promise::Promise,
     report::Report,
 };
 
 use {
-    activity::Activity,
-    allocation::Allocation,
     answer_reader::AnswerReader,
     answer_sender::AnswerSender,
     answers::{AnswerBody, error_answer, text_answer},
-    asked::Asked,
     body_budget::{BodyBudget, HeldBytes},
     body_error::BodyError,
     broken_answer::BrokenAnswer,
@@ -183,23 +180,27 @@
     caller_request::{CallerRequest, EngineBody},
     caller_service::CallerService,
     caller_thread::CallerThread,
+    channels::Channels,
     configuration_fetcher::ConfigurationFetcher,
+    controller_message::ControllerMessage,
     controller_thread::ControllerThread,
-    decision_log::{DecisionLog, Knowledge},
+    decision_log::{DecisionContext, DecisionLog},
     directory_thread::DirectoryThread,
+    effective_limits::EffectiveLimits,
     event_splitter::EventSplitter,
     fetch_job::FetchJob,
     host_metrics::HostMetrics,
+    host_threads::{HostThreads, ThreadHandle, listen},
     http_listener::HttpListener,
     instruction::Instruction,
-    instructions::Instructions,
+    instruction_receiver::InstructionReceiver,
     jitter::jittered,
-    ledger::Ledger,
-    limits_in_force::LimitsInForce,
+    last_activity::LastActivity,
     log_budget::{LineKind, LogBudget},
     note_sender::NoteSender,
     note_thread::NoteThread,
     operator_service::OperatorService,
+    parsed_request::ParsedRequest,
     passed_connection::PassedConnection,
     peer_job::PeerJob,
     peer_service::{Lending, PeerService},
@@ -214,11 +215,11 @@
     relay::Relay,
     relay_service::RelayService,
     relayed_request::RelayedRequest,
+    request_statistics::RequestStatistics,
     request_task::{Next, RequestTask},
-    ring_event::RingEvent,
-    rings::Rings,
     runtime::single_thread_runtime,
-    shared::Shared,
+    served_configuration::ServedConfiguration,
+    shared_state::SharedState,
     shutdown::Shutdown,
     table_claims::TableClaims,
     table_copy::TableCopy,
@@ -229,7 +230,6 @@
     upstream_thread::UpstreamThread,
     whole_answer::WholeAnswer,
     whole_body::WholeBody,
-    wiring::{Thread, Wiring, listen},
 };
 
 /// Header by which a caller names its class.
--- a/crates/router/src/log_budget.rs
+++ b/crates/router/src/log_budget.rs
@@ -25,39 +25,39 @@
 /// under load the routine ones go first.
 #[derive(Debug)]
 pub(crate) struct LogBudget {
-    important: Allowance,
-    routine: Allowance,
+    important: LineBucket,
+    routine: LineBucket,
 }
 
 #[derive(Debug)]
-struct Allowance {
+struct LineBucket {
     burst: f64,
     dropped: u64,
-    left: f64,
-    per_s: f64,
-    refilled: Time,
+    available: f64,
+    refill_per_s: f64,
+    refilled_at: Time,
 }
 
-impl Allowance {
-    const fn new(per_s: f64, burst: f64) -> Self {
+impl LineBucket {
+    const fn new(refill_per_s: f64, burst: f64) -> Self {
         Self {
             burst,
             dropped: 0,
-            left: burst,
-            per_s,
-            refilled: Time::from_us(0),
+            available: burst,
+            refill_per_s,
+            refilled_at: Time::from_us(0),
         }
     }
 
     fn take(&mut self, now: Time) -> bool {
-        let refill = now.since(self.refilled).as_secs_f64() * self.per_s;
-        self.left = (self.left + refill).min(self.burst);
-        self.refilled = now;
-        if self.left < 1.0 {
+        let refill = now.since(self.refilled_at).as_secs_f64() * self.refill_per_s;
+        self.available = (self.available + refill).min(self.burst);
+        self.refilled_at = now;
+        if self.available < 1.0 {
             self.dropped += 1;
             return false;
         }
-        self.left -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
@@ -65,8 +65,8 @@
 impl Default for LogBudget {
     fn default() -> Self {
         Self {
-            important: Allowance::new(IMPORTANT_PER_S, IMPORTANT_BURST),
-            routine: Allowance::new(ROUTINE_PER_S, ROUTINE_BURST),
+            important: LineBucket::new(IMPORTANT_PER_S, IMPORTANT_BURST),
+            routine: LineBucket::new(ROUTINE_PER_S, ROUTINE_BURST),
         }
     }
 }
@@ -82,7 +82,7 @@
 
     /// Lines dropped since the last call: important and routine ones.
     pub(crate) fn take_dropped(&mut self) -> (u64, u64) {
-        let take = |allowance: &mut Allowance| std::mem::take(&mut allowance.dropped);
+        let take = |bucket: &mut LineBucket| std::mem::take(&mut bucket.dropped);
         (take(&mut self.important), take(&mut self.routine))
     }
 }
@@ -95,7 +95,7 @@
     /// requests a second succeed while some fail. Cause: all lines share one
     /// budget, and the many routine ones use it up.
     #[test]
-    fn routine_lines_take_nothing_from_important_ones() {
+    fn routine_lines_do_not_use_the_budget_of_important_lines() {
         let mut budget = LogBudget::default();
         let now = Time::from_ms(1_000);
         let routine = (0..10_000).filter(|_| budget.take(LineKind::Routine, now));
@@ -107,11 +107,11 @@
     }
 
     #[test]
-    fn the_budget_comes_back_with_time() {
+    fn the_budget_refills_over_time() {
         let mut budget = LogBudget::default();
         while budget.take(LineKind::Routine, Time::from_ms(1_000)) {}
         let later = Time::from_ms(1_500);
-        let again = (0..1_000).filter(|_| budget.take(LineKind::Routine, later));
-        assert_eq!(again.count(), 100);
+        let written = (0..1_000).filter(|_| budget.take(LineKind::Routine, later));
+        assert_eq!(written.count(), 100);
     }
 }
--- a/crates/router/src/logs.rs
+++ b/crates/router/src/logs.rs
@@ -2,7 +2,7 @@
 
 /// Messages that may wait to be written before new ones are dropped and
 /// counted: logging never holds a request up.
-const LOG_RING: usize = 4_096;
+const LOG_QUEUE_CAPACITY: usize = 4_096;
 
 /// A logger that writes one JSON object a line to standard output.
 ///
@@ -21,7 +21,7 @@
         .build()
         .ignore_res();
     let drain = slog_async::Async::new(drain)
-        .chan_size(LOG_RING)
+        .chan_size(LOG_QUEUE_CAPACITY)
         .build()
         .fuse();
     Logger::root(drain, o!("host" => host.to_string()))
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -58,21 +58,21 @@
 
 /// Time for the last lines of the log to be written. Where nobody reads them the
 /// process must end all the same.
-const FLUSH_LIMIT: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Writes the last lines of the log, as far as that can be done in time.
-fn flush(logger: Logger) {
+fn flush_log(logger: Logger) {
     let (done, flushed) = std::sync::mpsc::channel::<()>();
     std::thread::spawn(move || {
         // Dropping the last logger waits for its thread.
         drop(logger);
         drop(done);
     });
-    let _ = flushed.recv_timeout(FLUSH_LIMIT);
+    let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
 }
 
 /// What the other hosts learn of this one.
-fn peer(settings: &Settings) -> PeerHost {
+fn peer_host(settings: &Settings) -> PeerHost {
     PeerHost {
         address: settings.peer_address,
         failure_domain: settings.failure_domain.clone(),
@@ -83,39 +83,41 @@
 
 /// Time between two looks at the settings file, which may change without a
 /// signal.
-const LOOK_INTERVAL: Duration = Duration::from_secs(2);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Registers the signals before the host starts, so that none is lost. A
 /// second signal to stop changes nothing: the stop that is under way ends in
 /// order.
 fn run(file: &Path) -> eyre::Result<()> {
     let (mut file, settings) = SettingsFile::open(file)?;
-    let signals = watch_signals()?;
+    let signals = receive_signals()?;
     let logger = json_logger(&settings.host);
     let installation = settings.relay.as_ref().map(|relay| Installation {
         directory: Box::new(StoreDirectory {
             address: settings.platform_address,
             duties: relay.duties.clone(),
             first_start: relay.first_start,
-            own: peer(&settings),
+            own: peer_host(&settings),
             token: settings.peer_token.clone(),
         }),
         protocol: Arc::new(WireProtocol),
     });
     let mut host = Host::start_in(settings, installation, logger.clone())?;
-    while let Ok(SIGHUP) | Err(RecvTimeoutError::Timeout) = signals.recv_timeout(LOOK_INTERVAL) {
+    while let Ok(SIGHUP) | Err(RecvTimeoutError::Timeout) =
+        signals.recv_timeout(SETTINGS_POLL_INTERVAL)
+    {
         reload(&mut host, &mut file, &logger);
     }
     host.drain().stop()?;
-    flush(logger);
+    flush_log(logger);
     Ok(())
 }
 
 /// Passes the signals on to the main thread. The thread lives as long as the
 /// process.
-fn watch_signals() -> eyre::Result<Receiver<i32>> {
-    let watched = [SIGHUP, SIGINT, SIGTERM];
-    let mut signals = Signals::new(watched).wrap_err("cannot watch for signals")?;
+fn receive_signals() -> eyre::Result<Receiver<i32>> {
+    let handled_signals = [SIGHUP, SIGINT, SIGTERM];
+    let mut signals = Signals::new(handled_signals).wrap_err("cannot watch for signals")?;
     let (sender, receiver) = std::sync::mpsc::channel();
     std::thread::Builder::new()
         .name("signals".to_string())
@@ -132,7 +134,7 @@
 
 /// Follows a changed settings file; one that cannot be used changes nothing.
 fn reload(host: &mut Host<Serving>, file: &mut SettingsFile, logger: &Logger) {
-    match file.changed() {
+    match file.reload_if_changed() {
         Ok(Some(settings)) => host.reload(settings),
         Ok(None) => {}
         Err(error) => {
--- a/crates/router/src/note_thread.rs
+++ b/crates/router/src/note_thread.rs
@@ -10,7 +10,7 @@
 
 /// What the thread is given.
 pub(crate) struct NoteThread {
-    pub(crate) events: flume::Sender<RingEvent>,
+    pub(crate) events: flume::Sender<ControllerMessage>,
     pub(crate) logger: Logger,
     pub(crate) shutdown: Shutdown,
     pub(crate) socket: std::net::UdpSocket,
@@ -45,7 +45,7 @@
                     let _ = self.usage.try_send(note);
                 }
                 Ok(Received::Event(event)) => {
-                    let _ = self.events.try_send(RingEvent::Happened(event));
+                    let _ = self.events.try_send(ControllerMessage::Event(event));
                 }
                 Err(error) => {
                     debug!(self.logger, "notes: dropped"; "error" => %error, "from" => %from);
--- a/crates/router/src/operator_service.rs
+++ b/crates/router/src/operator_service.rs
@@ -8,7 +8,7 @@
 pub(crate) struct OperatorService {
     pub(crate) clock: Clock,
     pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
-    pub(crate) ledger: Arc<Mutex<Ledger>>,
+    pub(crate) ledger: Arc<Mutex<RequestStatistics>>,
     pub(crate) metrics: PrometheusHandle,
     /// Whether it serves the metrics to anyone, and nothing else.
     pub(crate) only_metrics: bool,
--- a/crates/router/src/passed_connection.rs
+++ b/crates/router/src/passed_connection.rs
@@ -5,7 +5,7 @@
 
 /// A connection of another host that is passed on to an upstream.
 pub(crate) struct PassedConnection {
-    pub(crate) activity: Activity,
+    pub(crate) activity: LastActivity,
     pub(crate) host: TcpStream,
     pub(crate) upstream: TcpStream,
 }
@@ -37,7 +37,7 @@
 async fn pass(
     from: &mut (impl AsyncRead + Unpin),
     to: &mut (impl AsyncWrite + Unpin),
-    activity: &Activity,
+    activity: &LastActivity,
 ) -> std::io::Result<()> {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -31,7 +31,7 @@
     /// Notified when another host asks for what this one cannot tell.
     pub(crate) asked: flume::Sender<()>,
     pub(crate) clock: Clock,
-    pub(crate) allocation: Arc<ArcSwapOption<Allocation>>,
+    pub(crate) allocation: Arc<ArcSwapOption<ServedConfiguration>>,
     pub(crate) received: Arc<Mutex<ReceivedTables>>,
     pub(crate) lending: Lending,
     pub(crate) packed: Arc<Mutex<PackedNews>>,
@@ -154,7 +154,7 @@
         response
     }
 
-    fn hand_over(&self, allocation: &Allocation, packed: Bytes) -> Response<AnswerBody> {
+    fn hand_over(&self, allocation: &ServedConfiguration, packed: Bytes) -> Response<AnswerBody> {
         let mut response = text_answer(StatusCode::OK, "application/gzip", packed);
         let headers = response.headers_mut();
         headers.insert(REVISION_HEADER, allocation.document.revision.into());
@@ -162,7 +162,7 @@
         response
     }
 
-    fn tell_knowledge(&self, allocation: &Allocation, headers: &mut HeaderMap) {
+    fn tell_knowledge(&self, allocation: &ServedConfiguration, headers: &mut HeaderMap) {
         headers.insert(VERSION_HEADER, allocation.document.version.get().into());
         if let Some(as_of) = allocation.as_of {
             let age = self.clock.now().since(as_of);
--- a/crates/router/src/peer_thread.rs
+++ b/crates/router/src/peer_thread.rs
@@ -10,7 +10,7 @@
 
 /// What the thread is given.
 pub(crate) struct PeerThread {
-    pub(crate) events: flume::Sender<RingEvent>,
+    pub(crate) events: flume::Sender<ControllerMessage>,
     pub(crate) jobs: flume::Receiver<PeerJob>,
     pub(crate) listener: std::net::TcpListener,
     pub(crate) logger: Logger,
@@ -40,10 +40,10 @@
 
 /// Heartbeats of others go through the controller's ring like all else; where
 /// it is full, the asking host gets no answer and tries another one.
-fn answer_by_controller(events: flume::Sender<RingEvent>) -> PeerHandler {
+fn answer_by_controller(events: flume::Sender<ControllerMessage>) -> PeerHandler {
     Arc::new(move |heartbeat| {
         let (sender, answer) = oneshot::channel();
-        let sent = events.try_send(RingEvent::HeartbeatAsked(heartbeat, sender));
+        let sent = events.try_send(ControllerMessage::HeartbeatReceived(heartbeat, sender));
         Box::pin(async move {
             sent.ok()?;
             timeout(CALL_TIMEOUT, answer).await.ok()?.ok()
@@ -54,7 +54,7 @@
 async fn send_heartbeats(
     jobs: &flume::Receiver<PeerJob>,
     token: &str,
-    events: &flume::Sender<RingEvent>,
+    events: &flume::Sender<ControllerMessage>,
     logger: &Logger,
 ) {
     let mut clients: HashMap<SocketAddr, PeerClient> = HashMap::default();
@@ -75,7 +75,7 @@
             asked: job.asked,
             host: job.host,
         };
-        let _ = events.send_async(RingEvent::Happened(event)).await;
+        let _ = events.send_async(ControllerMessage::Event(event)).await;
     }
 }
 
--- a/crates/router/src/platform_thread.rs
+++ b/crates/router/src/platform_thread.rs
@@ -24,7 +24,7 @@
 /// What the platform's thread is given.
 pub(crate) struct PlatformThread {
     pub(crate) address: SocketAddr,
-    pub(crate) events: flume::Sender<RingEvent>,
+    pub(crate) events: flume::Sender<ControllerMessage>,
     pub(crate) jobs: flume::Receiver<PlatformJob>,
     pub(crate) logger: Logger,
     pub(crate) read_configuration: Arc<Notify>,
@@ -74,7 +74,7 @@
     store: &ConfigStore,
     read_now: &Notify,
     status: &ArcSwap<HostStatus>,
-    events: &flume::Sender<RingEvent>,
+    events: &flume::Sender<ControllerMessage>,
     logger: &Logger,
 ) {
     let mut known: Option<Arc<Numbered>> = None;
@@ -85,7 +85,7 @@
                 last_error.clear();
                 if let Some(newest) = newer.map(Arc::new) {
                     known = Some(Arc::clone(&newest));
-                    let event = RingEvent::Happened(Event::ConfigurationRead(newest));
+                    let event = ControllerMessage::Event(Event::ConfigurationRead(newest));
                     let _ = events.send_async(event).await;
                 }
             }
@@ -116,7 +116,11 @@
     status.coordinator == status.host
 }
 
-async fn watch_hosts(client: &PlatformClient, events: &flume::Sender<RingEvent>, logger: &Logger) {
+async fn watch_hosts(
+    client: &PlatformClient,
+    events: &flume::Sender<ControllerMessage>,
+    logger: &Logger,
+) {
     let mut tag = String::new();
     loop {
         match client.hosts(&tag).await {
@@ -132,10 +136,10 @@
     }
 }
 
-async fn tell_list(list: &HostList, events: &flume::Sender<RingEvent>) {
+async fn tell_list(list: &HostList, events: &flume::Sender<ControllerMessage>) {
     let hosts = list.hosts.iter().map(peer_host).collect();
     let event = Event::HostsListed { hosts };
-    let _ = events.send_async(RingEvent::Happened(event)).await;
+    let _ = events.send_async(ControllerMessage::Event(event)).await;
     let leaving = list
         .upstreams
         .iter()
@@ -143,7 +147,7 @@
         .map(|listed| listed.upstream.clone())
         .collect();
     let event = Event::UpstreamsListed { leaving };
-    let _ = events.send_async(RingEvent::Happened(event)).await;
+    let _ = events.send_async(ControllerMessage::Event(event)).await;
 }
 
 fn peer_host(listed: &ListedHost) -> PeerHost {
@@ -159,7 +163,7 @@
 async fn serve_jobs(
     jobs: &flume::Receiver<PlatformJob>,
     claims: &TableClaims,
-    events: &flume::Sender<RingEvent>,
+    events: &flume::Sender<ControllerMessage>,
 ) {
     let mut tasks = JoinSet::new();
     loop {
@@ -196,7 +200,7 @@
 async fn claim_batch(
     claims: &TableClaims,
     mut batch: Vec<ClaimRequest>,
-    events: &flume::Sender<RingEvent>,
+    events: &flume::Sender<ControllerMessage>,
 ) {
     // The most urgent first, should the platform cut the batch short.
     batch.sort_by_key(|claim| claim.tier);
@@ -230,7 +234,7 @@
 async fn claim_round(
     claims: &TableClaims,
     batch: Vec<ClaimRequest>,
-    events: &flume::Sender<RingEvent>,
+    events: &flume::Sender<ControllerMessage>,
 ) {
     let answers = claims.claim(&batch).await;
     let mut unknown = Vec::new();
@@ -239,7 +243,7 @@
             answer: answer.clone(),
             request: claim.request,
         };
-        let _ = events.send_async(RingEvent::Happened(event)).await;
+        let _ = events.send_async(ControllerMessage::Event(event)).await;
         if answer == ClaimResult::Unknown {
             unknown.push(claim);
         }
--- a/crates/router/src/pump.rs
+++ b/crates/router/src/pump.rs
@@ -35,7 +35,7 @@
             connections: service.connections.clone(),
             kept: request.is_keyed().then(String::new),
             last_event: String::new(),
-            limits: service.limits.own(),
+            limits: service.limits.settings_limits(),
             request,
             task,
         }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -46,7 +46,7 @@
             connections: service.connections.clone(),
             held: None,
             last_event: None,
-            limits: service.limits.own(),
+            limits: service.limits.settings_limits(),
             protocol: Arc::clone(&service.protocol),
             request,
             task,
@@ -183,7 +183,7 @@
         tokio::select! {
             wanted = wanted => Ok(wanted),
             () = self.task.answer.gone() => Err(Stopped::CallerGone),
-            () = self.task.instructions.abandoned(order.attempt) => {
+            () = self.task.instructions.wait_for_abandon(order.attempt) => {
                 Err(Stopped::Failed(CallFailure::may_have_run(FailureCause::Silent)))
             }
             () = sleep(time_left) => {
--- a/crates/router/src/relay_service.rs
+++ b/crates/router/src/relay_service.rs
@@ -7,8 +7,8 @@
     pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
     pub(crate) bodies: BodyBudget,
     pub(crate) connections: Connections,
-    pub(crate) events: flume::Sender<RingEvent>,
-    pub(crate) limits: LimitsInForce,
+    pub(crate) events: flume::Sender<ControllerMessage>,
+    pub(crate) limits: EffectiveLimits,
     pub(crate) next_request: Arc<AtomicU64>,
     pub(crate) protocol: Arc<dyn Protocol>,
     pub(crate) pumps: Pumps,
@@ -43,7 +43,7 @@
 
     /// Logs a request that is refused before the controller has seen it.
     fn turn_away(&self, id: &str, turned_away: TurnedAway) -> Answered {
-        let event = RingEvent::TurnedAway {
+        let event = ControllerMessage::Rejected {
             id: id.to_string(),
             reason: turned_away.code.to_string(),
         };
@@ -98,8 +98,8 @@
     async fn serve(&self, found: Found, reader: Arc<AnswerReader>) -> Answered {
         let Found { arrival, request } = found;
         let id = arrival.request;
-        let (instructor, instructions) = mpsc::channel(Instruction::RING);
-        let event = RingEvent::Arrived(arrival, request.head.attempt.clone(), instructor);
+        let (instructor, instructions) = mpsc::channel(Instruction::CHANNEL_CAPACITY);
+        let event = ControllerMessage::Arrived(arrival, request.head.attempt.clone(), instructor);
         // A full ring is reported to the caller at once and truthfully.
         if self.events.try_send(event).is_err() {
             return *TurnedAway::refused(RefusalReason::QueueFull).answer;
--- a/crates/router/src/report.rs
+++ b/crates/router/src/report.rs
@@ -10,7 +10,7 @@
     /// Tokens a second of requests within their targets.
     pub goodput_tokens_per_s: f64,
     /// Promises checked over the run's history; empty where none is kept.
-    pub promises: Vec<Promise>,
+    pub promises: Vec<GuaranteeCheck>,
     /// Requests that were refused or broke, by the error's code; empty where
     /// codes are not kept.
     #[serde(default)]
--- a/crates/router/src/request_metrics.rs
+++ b/crates/router/src/request_metrics.rs
@@ -7,11 +7,11 @@
 
 /// Counts a request that has ended.
 pub(crate) fn record(outcome: &Outcome) {
-    let class = text(outcome.class.as_ref());
+    let class = label(outcome.class.as_ref());
     let end = outcome.end.as_str();
     counter!(
         "rhubarbcove_requests_total",
-        "class" => class.clone(), "tier" => text(outcome.tier.as_ref()),
+        "class" => class.clone(), "tier" => label(outcome.tier.as_ref()),
         "end" => end, "verdict" => outcome.verdict.as_str(),
     )
     .increment(1);
@@ -51,6 +51,6 @@
 }
 
 /// A label; empty where nothing is known.
-fn text(value: Option<&impl ToString>) -> String {
+fn label(value: Option<&impl ToString>) -> String {
     value.map(ToString::to_string).unwrap_or_default()
 }
--- a/crates/router/src/ledger.rs
+++ b/crates/router/src/request_statistics.rs
@@ -7,10 +7,10 @@
 const LONG_WINDOW_S: u64 = 3_600;
 
 /// Times to the first token that are kept for percentiles, the newest.
-const MAX_SAMPLES: usize = 4_096;
+const MAX_FIRST_TOKEN_SAMPLES: usize = 4_096;
 
 #[derive(Debug, Default)]
-struct ClassLedger {
+struct ClassStatistics {
     finished: u64,
     first_token_us: VecDeque<u64>,
     met: u64,
@@ -22,24 +22,24 @@
 
 /// What a host counts for its report.
 #[derive(Debug, Default)]
-pub(crate) struct Ledger {
-    classes: BTreeMap<ClassId, ClassLedger>,
-    good_tokens: u64,
+pub(crate) struct RequestStatistics {
+    classes: BTreeMap<ClassId, ClassStatistics>,
+    tokens_in_target: u64,
     tokens: u64,
     verdicts: BTreeMap<Verdict, u64>,
-    wasted: BTreeMap<WasteCause, u64>,
+    wasted_tokens: BTreeMap<WasteCause, u64>,
 }
 
-impl Ledger {
+impl RequestStatistics {
     pub(crate) fn record(&mut self, now: Time, outcome: &Outcome) {
         *self.verdicts.entry(outcome.verdict).or_default() += 1;
         let tokens = u64::from(outcome.tokens.get());
         self.tokens += tokens;
         if outcome.met_target {
-            self.good_tokens += tokens;
+            self.tokens_in_target += tokens;
         }
         if let Some((cause, tokens)) = outcome.wasted {
-            *self.wasted.entry(cause).or_default() += u64::from(tokens.get());
+            *self.wasted_tokens.entry(cause).or_default() += u64::from(tokens.get());
             if cause == WasteCause::Repeated {
                 self.tokens += u64::from(tokens.get());
             }
@@ -52,35 +52,35 @@
 
     pub(crate) fn report(&self, now: Time, document: &Document) -> Report {
         let seconds = now.as_us() as f64 / 1e6;
-        let wasted: u64 = self.wasted.values().sum();
+        let wasted_tokens: u64 = self.wasted_tokens.values().sum();
         let share = |part: u64| part as f64 / self.tokens.max(1) as f64;
         let mut classes: Vec<ClassReport> = self
             .classes
             .iter()
-            .filter(|(_, ledger)| ledger.total > 0)
-            .map(|(id, ledger)| {
+            .filter(|(_, statistics)| statistics.total > 0)
+            .map(|(id, statistics)| {
                 let objective = document
                     .classes
                     .get(id)
                     .map_or(0.95, |class| class.objective);
-                ledger.report(id, now, objective)
+                statistics.report(id, now, objective)
             })
             .collect();
         classes.sort_by_key(|class| class.tier);
         Report {
             classes,
-            goodput_share: share(self.good_tokens),
-            goodput_tokens_per_s: self.good_tokens as f64 / seconds.max(1e-3),
+            goodput_share: share(self.tokens_in_target),
+            goodput_tokens_per_s: self.tokens_in_target as f64 / seconds.max(1e-3),
             promises: Vec::new(),
             refused_by_code: BTreeMap::new(),
             verdicts: self.verdicts.clone(),
-            wasted_by_cause: self.wasted.clone(),
-            wasted_share: share(wasted),
+            wasted_by_cause: self.wasted_tokens.clone(),
+            wasted_share: share(wasted_tokens),
         }
     }
 }
 
-impl ClassLedger {
+impl ClassStatistics {
     fn record(&mut self, now: Time, outcome: &Outcome) {
         self.tier = outcome.tier;
         match outcome.end {
@@ -90,13 +90,13 @@
             OutcomeEnd::Broken | OutcomeEnd::Failed | OutcomeEnd::Replayed => {}
         }
         self.total += 1;
-        let good = outcome.met_target || outcome.end == OutcomeEnd::Replayed;
-        self.met += u64::from(good);
-        self.window.note(now, good);
+        let met = outcome.met_target || outcome.end == OutcomeEnd::Replayed;
+        self.met += u64::from(met);
+        self.window.record(now, met);
         if let Some(first_token) = outcome.first_token {
             self.first_token_us
                 .push_back(first_token.as_micros() as u64);
-            if self.first_token_us.len() > MAX_SAMPLES {
+            if self.first_token_us.len() > MAX_FIRST_TOKEN_SAMPLES {
                 self.first_token_us.pop_front();
             }
         }
--- a/crates/router/src/request_task.rs
+++ b/crates/router/src/request_task.rs
@@ -20,9 +20,9 @@
     pub(crate) answer: AnswerSender,
     /// Whether part of the answer has been passed on.
     delivered: bool,
-    events: flume::Sender<RingEvent>,
+    events: flume::Sender<ControllerMessage>,
     id: RequestId,
-    pub(crate) instructions: Instructions,
+    pub(crate) instructions: InstructionReceiver,
     /// When a part of the answer was passed on last.
     last_part: Option<Instant>,
     last_progress: Instant,
@@ -34,7 +34,7 @@
 impl RequestTask {
     pub(crate) fn new(
         id: RequestId,
-        events: flume::Sender<RingEvent>,
+        events: flume::Sender<ControllerMessage>,
         instructions: mpsc::Receiver<Instruction>,
         answer: AnswerSender,
     ) -> Self {
@@ -43,7 +43,7 @@
             delivered: false,
             events,
             id,
-            instructions: Instructions::new(instructions),
+            instructions: InstructionReceiver::new(instructions),
             last_part: None,
             last_progress: Instant::now(),
             longest_pause: Duration::ZERO,
@@ -161,6 +161,9 @@
     async fn tell(&self, event: Event) {
         // Waits while the ring is full: an end of an attempt is never lost. The
         // controller outlives every task.
-        let _ = self.events.send_async(RingEvent::Happened(event)).await;
+        let _ = self
+            .events
+            .send_async(ControllerMessage::Event(event))
+            .await;
     }
 }
--- a/crates/router/src/allocation.rs
+++ b/crates/router/src/served_configuration.rs
@@ -2,7 +2,7 @@
 
 /// The configuration that other hosts are handed.
 #[derive(Clone, Debug)]
-pub(crate) struct Allocation {
+pub(crate) struct ServedConfiguration {
     /// When it was the newest one, if that is known.
     pub(crate) as_of: Option<Time>,
     pub(crate) document: Arc<SourceDocument>,
--- a/crates/router/src/settings_file.rs
+++ b/crates/router/src/settings_file.rs
@@ -23,7 +23,7 @@
 
     /// The settings, if the file's text has changed since it was last read. One
     /// that cannot be used is reported once, and not again until it changes.
-    pub fn changed(&mut self) -> eyre::Result<Option<Settings>> {
+    pub fn reload_if_changed(&mut self) -> eyre::Result<Option<Settings>> {
         let text = read(&self.path)?;
         if text == self.text {
             return Ok(None);
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared_state.rs
@@ -1,29 +1,29 @@
 use super::*;
 
 /// What several threads read.
-pub(crate) struct Shared {
+pub(crate) struct SharedState {
     pub(crate) bodies: BodyBudget,
     pub(crate) clock: Clock,
     pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
     /// Whether the host is to stop.
     pub(crate) draining: Arc<AtomicBool>,
     /// What other hosts are handed.
-    pub(crate) allocation: Arc<ArcSwapOption<Allocation>>,
+    pub(crate) served_configuration: Arc<ArcSwapOption<ServedConfiguration>>,
     /// What other hosts are notified of the store's tables.
-    pub(crate) received: Arc<Mutex<ReceivedTables>>,
-    pub(crate) ledger: Arc<Mutex<Ledger>>,
+    pub(crate) received_tables: Arc<Mutex<ReceivedTables>>,
+    pub(crate) statistics: Arc<Mutex<RequestStatistics>>,
     /// Limits of the settings, as they are now.
     pub(crate) limits: Arc<ArcSwap<Limits>>,
     /// When bytes were passed on last for other hosts.
-    pub(crate) activity: Activity,
+    pub(crate) forwarding_activity: LastActivity,
     /// Connections that are passed on for other hosts.
-    pub(crate) passing: Pumps,
+    pub(crate) forwarded_connections: Pumps,
     pub(crate) read_configuration: Arc<Notify>,
     pub(crate) status: Arc<ArcSwap<HostStatus>>,
     pub(crate) unread: UnreadAnswers,
 }
 
-impl Shared {
+impl SharedState {
     pub(crate) fn new(settings: &Settings) -> Self {
         let status = HostStatus {
             behind: false,
@@ -49,12 +49,12 @@
             clock,
             configuration: Arc::default(),
             draining: Arc::default(),
-            allocation: Arc::default(),
-            received: Arc::default(),
-            ledger: Arc::default(),
+            served_configuration: Arc::default(),
+            received_tables: Arc::default(),
+            statistics: Arc::default(),
             limits: Arc::clone(&limits),
-            activity: Activity::new(clock),
-            passing: Pumps::default(),
+            forwarding_activity: LastActivity::new(clock),
+            forwarded_connections: Pumps::default(),
             read_configuration: Arc::default(),
             status: Arc::new(ArcSwap::from_pointee(status)),
             unread: UnreadAnswers::new(clock, limits),
@@ -66,7 +66,10 @@
         let Some(numbered) = self.configuration.load_full() else {
             return Report::default();
         };
-        let ledger = self.ledger.lock().unwrap_or_else(PoisonError::into_inner);
-        ledger.report(self.clock.now(), &numbered.document)
+        let statistics = self
+            .statistics
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        statistics.report(self.clock.now(), &numbered.document)
     }
 }
--- a/crates/router/src/transit_service.rs
+++ b/crates/router/src/transit_service.rs
@@ -19,8 +19,8 @@
 /// happens to one side happens to the other.
 #[derive(Clone)]
 pub(crate) struct TransitService {
-    pub(crate) activity: Activity,
-    pub(crate) events: flume::Sender<RingEvent>,
+    pub(crate) activity: LastActivity,
+    pub(crate) events: flume::Sender<ControllerMessage>,
     pub(crate) logger: Logger,
     pub(crate) passing: Pumps,
 }
@@ -79,7 +79,7 @@
             return None;
         }
         let (sender, answer) = oneshot::channel();
-        let asked = RingEvent::TransitAsked(upstream.clone(), sender);
+        let asked = ControllerMessage::TransitRequested(upstream.clone(), sender);
         self.events.try_send(asked).ok()?;
         timeout(ASK_TIMEOUT, answer).await.ok()?.ok()?
     }
--- a/crates/router/src/upstream_thread.rs
+++ b/crates/router/src/upstream_thread.rs
@@ -18,7 +18,7 @@
 pub(crate) struct UpstreamThread {
     pub(crate) clock: Clock,
     pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
-    pub(crate) events: flume::Sender<RingEvent>,
+    pub(crate) events: flume::Sender<ControllerMessage>,
     pub(crate) logger: Logger,
     pub(crate) probes: flume::Receiver<ProbeJob>,
     /// How answers look in an installation; `None` outside one.
@@ -125,7 +125,10 @@
 
     async fn tell(&self, event: Event) {
         // The controller outlives this thread.
-        let _ = self.events.send_async(RingEvent::Happened(event)).await;
+        let _ = self
+            .events
+            .send_async(ControllerMessage::Event(event))
+            .await;
     }
 }
 
@@ -135,7 +138,7 @@
     configuration: &ArcSwapOption<Numbered>,
     status: &ArcSwap<HostStatus>,
     adapter: &EngineAdapter,
-    events: &flume::Sender<RingEvent>,
+    events: &flume::Sender<ControllerMessage>,
 ) {
     loop {
         let polled = polled_engines(configuration.load_full().as_deref(), &status.load());
@@ -181,10 +184,10 @@
     adapter: &EngineAdapter,
     upstream: UpstreamId,
     address: SocketAddr,
-    events: &flume::Sender<RingEvent>,
+    events: &flume::Sender<ControllerMessage>,
 ) {
     if let Some(report) = adapter.load(address).await {
         let event = Event::LoadReported { report, upstream };
-        let _ = events.send_async(RingEvent::Happened(event)).await;
+        let _ = events.send_async(ControllerMessage::Event(event)).await;
     }
 }
--- a/crates/router/src/whole_body.rs
+++ b/crates/router/src/whole_body.rs
@@ -13,10 +13,10 @@
     /// here.
     pub(crate) async fn read(
         body: Incoming,
-        limits: &LimitsInForce,
+        limits: &EffectiveLimits,
         budget: &BodyBudget,
     ) -> Result<Self, BodyError> {
-        let own = limits.own();
+        let own = limits.settings_limits();
         let timeout_ms = own.body_timeout_ms;
         let max = limits.max_body_bytes();
         let reading = Self::collect(body, max, own.max_buffered_bytes, budget);
--- a/crates/router/tests/unit/decision_log.rs
+++ b/crates/router/tests/unit/decision_log.rs
@@ -1,9 +1,9 @@
 use {super::*, std::sync::atomic::AtomicUsize};
 
 /// Counts lines.
-struct Lines(Arc<AtomicUsize>);
+struct LineCounter(Arc<AtomicUsize>);
 
-impl Drain for Lines {
+impl Drain for LineCounter {
     type Ok = ();
     type Err = slog::Never;
 
@@ -17,22 +17,22 @@
 /// 195 hosts is observed now and then, and does not count between two notes. Cause: a line for
 /// each change, so lines grow with hosts times hosts.
 #[test]
-fn lines_on_hosts_observed_do_not_grow_with_the_hosts() {
+fn the_rate_of_observed_host_lines_does_not_grow_with_the_host_count() {
     for hosts in [7, 195] {
         let lines = Arc::new(AtomicUsize::new(0));
-        let mut log = DecisionLog::new(Logger::root(Lines(Arc::clone(&lines)), o!()));
+        let mut log = DecisionLog::new(Logger::root(LineCounter(Arc::clone(&lines)), o!()));
         for change in 0..1_200 {
             let now = Time::from_ms(50 * change);
             let observed = (0..hosts).filter(|host| (host + change) % 11 == 0);
             let observed: Vec<HostId> = observed
                 .map(|host| format!("host-{host}").parse().expect("a name"))
                 .collect();
-            log.observed_changed(now, &observed);
+            log.log_observed_changes(now, &observed);
         }
-        let lines = lines.load(Ordering::Relaxed);
+        let count = lines.load(Ordering::Relaxed);
         assert!(
-            (6..=12).contains(&lines),
-            "{lines} lines of {hosts} hosts in a minute"
+            (6..=12).contains(&count),
+            "{count} lines of {hosts} hosts in a minute"
         );
     }
 }
