--- a/crates/router/src/channels.rs
+++ b/crates/router/src/channels.rs
@@ -1,33 +1,35 @@
 use super::*;
 
-/// Questions of other hosts that wait to be noticed: all of them are one.
+/// Requests of other hosts for the store's tables. One entry is enough, as it only tells the
+/// directory thread that there was a request.
 const TABLE_REQUEST_CAPACITY: usize = 1;
 
-/// Events that may wait for the controller.
+/// Messages to the controller thread.
 const EVENT_CAPACITY: usize = 65_536;
 
-/// Configurations of other hosts that may wait to be taken; one is fetched at a time.
+/// Configurations that were fetched from other hosts; only one is fetched at a time.
 pub(crate) const OFFER_CAPACITY: usize = 4;
 
-/// Crashes that may wait to be kept in the store.
+/// Batches of crashes to be kept in the store.
 pub(crate) const CRASH_CAPACITY: usize = 64;
 
-/// Fetches that may wait; the controller asks for one at a time.
+/// Configuration fetches; the controller requests one at a time.
 const FETCH_CAPACITY: usize = 4;
 
-/// Heartbeats that may wait for the peers' thread.
+/// Heartbeats for the peer thread.
 const PEER_CAPACITY: usize = 16;
 
-/// Jobs that may wait for the platform's thread.
+/// Jobs for the platform thread.
 const PLATFORM_CAPACITY: usize = 4_096;
 
-/// Probes that may wait for the upstreams' thread.
+/// Probes for the upstream thread.
 const PROBE_CAPACITY: usize = 256;
 
-/// Counts of hosts that may wait: those of all hosts at one time.
+/// Usage notes; holds one note from each host, as all hosts may send at the same time.
 const USAGE_CAPACITY: usize = 1_024;
 
-/// The bounded rings that join the threads of a host.
+/// The bounded channels that connect the threads of a host. Each capacity constant gives the
+/// maximum number of items that wait in the channel.
 pub(crate) struct Channels {
     pub(crate) table_requests: (flume::Sender<()>, flume::Receiver<()>),
     pub(crate) crashes: (flume::Sender<Vec<Crash>>, flume::Receiver<Vec<Crash>>),
--- a/crates/router/src/controller_message.rs
+++ b/crates/router/src/controller_message.rs
@@ -1,22 +1,23 @@
 use super::*;
 
-/// What the controller's ring carries.
+/// A message to the controller thread.
 #[derive(Debug)]
 pub(crate) enum ControllerMessage {
-    /// A request, with the id by which callers and logs name it, and the way back
-    /// to the task that serves it.
+    /// A request arrived. Carries the request id that appears in logs and is known to the caller,
+    /// and the channel for instructions to the task that serves the request.
     Arrived(Arrival, String, mpsc::Sender<Instruction>),
-    /// Another host's heartbeat, with the way back to it.
+    /// Another host sent a heartbeat. Carries the channel for the answer.
     HeartbeatReceived(Heartbeat, oneshot::Sender<HeartbeatAnswer>),
-    /// Something else that happened.
+    /// Any other event for the controller.
     Event(Event),
-    /// Another host wants to reach an upstream through this one, with the way back to it.
+    /// Another host wants to reach an upstream through this host. Carries the channel for the
+    /// address to connect to, or for `None` if the request is declined.
     TransitRequested(UpstreamId, oneshot::Sender<Option<SocketAddr>>),
-    /// A request was refused before anything had to be decided.
+    /// A request was rejected before it reached the controller; for the log.
     Rejected {
-        /// By which callers and logs name it.
+        /// Request id that appears in logs and is known to the caller.
         id: String,
-        /// Why, as a machine-readable code.
+        /// Machine-readable code of the reason.
         reason: String,
     },
     /// Stop once no request is left.
--- a/crates/router/src/controller_thread.rs
+++ b/crates/router/src/controller_thread.rs
@@ -1,70 +1,70 @@
-//! The thread that decides: it feeds the controller from its ring and carries
-//! its actions out.
+//! The controller thread: passes messages from its channel to the controller and executes the
+//! resulting actions.
 
 use super::*;
 
-/// Time between two ticks while there are requests.
+/// Interval between ticks while requests are pending.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time between two ticks of a host without requests.
+/// Interval between ticks of a host without requests.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two looks at what the host shows of itself.
+/// Interval at which the host status and the gauges are updated.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two readings of the time of day.
+/// Interval at which the controller receives the wall-clock time.
 const TIME_OF_DAY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the controller's thread is given.
+/// The inputs and outputs of the controller thread.
 pub(crate) struct ControllerThread {
     pub(crate) clock: Clock,
     pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
     pub(crate) controller: Controller,
-    /// Where crashes go that are to be kept.
+    /// Crashes to be kept in the store.
     pub(crate) crashes: flume::Sender<Vec<Crash>>,
     pub(crate) events: flume::Receiver<ControllerMessage>,
     pub(crate) fetches: flume::Sender<FetchJob>,
     pub(crate) statistics: Arc<Mutex<RequestStatistics>>,
     pub(crate) logger: Logger,
     pub(crate) metrics: HostMetrics,
-    /// Where notes to other hosts are sent from; `None` outside an installation.
+    /// Sends notes to other hosts; `None` outside an installation.
     pub(crate) notes: Option<NoteSender>,
     pub(crate) peer_jobs: flume::Sender<PeerJob>,
     pub(crate) platform_jobs: flume::Sender<PlatformJob>,
     pub(crate) probes: flume::Sender<ProbeJob>,
     pub(crate) read_configuration: Arc<Notify>,
     pub(crate) status: Arc<ArcSwap<HostStatus>>,
-    /// Longest time from the order to stop to the end.
+    /// Maximum time between the stop message and the end of the thread; `None` for no limit.
     pub(crate) stop_timeout: Option<Duration>,
-    /// Answers that are held until their callers read them.
+    /// Responses that are buffered until their callers read them.
     pub(crate) unread: UnreadAnswers,
-    /// Where counts of this host go, if it gathers those of all.
+    /// Usage counts of this host, if this host collects the counts of all hosts.
     pub(crate) usage: flume::Sender<UsageNote>,
 }
 
 /// A request that has not ended.
 struct PendingRequest {
     instructions: mpsc::Sender<Instruction>,
-    /// By which callers and logs name it.
+    /// Request id that appears in logs and is known to the caller.
     id: String,
 }
 
-/// The thread's own state.
+/// State of the running controller thread.
 struct ControllerLoop {
     actions: Vec<Action>,
     requests: HashMap<RequestId, PendingRequest>,
     decision_log: DecisionLog,
-    /// Hosts that wait for the answer to their heartbeat.
+    /// Reply channels of heartbeats that the controller has not answered yet, by call id.
     heartbeat_replies: HashMap<u64, oneshot::Sender<HeartbeatAnswer>>,
     next_call_id: u64,
-    /// Hosts that wait for where to connect for them.
+    /// Reply channels of transit requests that the controller has not answered yet, by call id.
     transit_replies: HashMap<u64, oneshot::Sender<Option<SocketAddr>>>,
-    /// Settlements that the platform's ring had no room for. They are never
-    /// dropped: a lost one would leave a key unresolved for good.
+    /// Settlements that did not fit into the platform thread's channel. They are never dropped: a
+    /// lost settlement would leave its idempotency key unresolved forever.
     unsent_settlements: VecDeque<Settlement>,
-    /// Version of the shares that the host shows.
+    /// Version of the slot shares that the host status was last built from.
     published_shares_version: u64,
-    /// Last moment to stop, once asked to.
+    /// Time by which the thread must end, once a stop has been requested; `None` for no limit.
     stop_deadline: Option<Instant>,
     stopping: bool,
     thread: ControllerThread,
@@ -92,7 +92,7 @@
                 metrics.with_recorder(|| controller_loop.run());
                 Ok(())
             })
-            .wrap_err("cannot start the controller's thread")
+            .wrap_err("cannot start the controller thread")
     }
 }
 
@@ -128,8 +128,8 @@
                 next_publish = Instant::now() + PUBLISH_INTERVAL;
             }
             let all_settled = self.unsent_settlements.is_empty();
-            // In an installation the time to stop is over by then, and a request
-            // that is left cannot be served any more.
+            // In an installation, the drain time has passed by the deadline, and remaining requests
+            // can no longer be served.
             let is_overdue = self
                 .stop_deadline
                 .is_some_and(|stop_deadline| Instant::now() >= stop_deadline);
@@ -229,7 +229,7 @@
             Action::Break { refusal, request } => {
                 self.instruct(request, Instruction::Break(refusal));
             }
-            // The task that found its caller gone has cut the stream itself.
+            // The request task that detects the disconnected caller closes the stream itself.
             Action::Cancel { .. } => {}
             Action::CheckListening { address, upstream } => {
                 self.probe(address, Vec::new(), ProbeQuestion::Listening, upstream);
@@ -240,7 +240,7 @@
                 upstream,
             } => self.probe(address, paths, ProbeQuestion::Path, upstream),
             Action::Claim(claim) => self.claim(claim),
-            // Where the ring is full, one is under way.
+            // A full channel means that a fetch is already pending.
             Action::FetchConfiguration {
                 address,
                 newer_than,
@@ -258,8 +258,8 @@
                     sender.grant_tokens(&grant, to);
                 }
             }
-            // Where the ring is full the store has been away for long; the other hosts were
-            // notified directly.
+            // The channel is full only after a long outage of the store. Other hosts receive the
+            // crashes directly.
             Action::KeepCrashes(crashes) => {
                 if self.thread.crashes.try_send(crashes).is_err() {
                     warn!(self.thread.logger, "crashes: not kept in the store");
@@ -358,7 +358,7 @@
         match (to, &self.thread.notes) {
             (Some(to), Some(sender)) => sender.tell_usage(&note, to),
             (Some(_), None) => {}
-            // A full ring drops it: the next one says all again.
+            // A full channel drops the note; the next note repeats all counts.
             (None, _) => {
                 let _ = self.thread.usage.try_send(note);
             }
@@ -371,7 +371,7 @@
         }
     }
 
-    /// Logs what an upstream's answer says that no outcome does.
+    /// Logs details of an event that the request's outcome does not contain.
     fn log_event(&mut self, event: &Event) {
         let now = self.thread.clock.now();
         match event {
@@ -394,7 +394,7 @@
         }
     }
 
-    /// Counts and logs how a request ended, and forgets it.
+    /// Counts and logs the outcome of a request and removes the request.
     fn finish_request(&mut self, outcome: &Outcome) {
         self.record_outcome(outcome);
         let Some(pending) = self.requests.remove(&outcome.request) else {
@@ -423,7 +423,7 @@
             .try_send(PlatformJob::Claim(claim))
             .is_err()
         {
-            // Nothing was written, and nothing is sent.
+            // No claim was written, so the request must not be sent to an upstream.
             let answer = ClaimResult::Unknown;
             self.handle(Event::ClaimAnswered { answer, request });
         }
@@ -455,11 +455,12 @@
             heartbeat,
             host,
         };
-        // One is under way at a time, so the ring cannot be full.
+        // Only one heartbeat is in flight at a time, so the channel cannot be full.
         let _ = self.thread.peer_jobs.try_send(job);
     }
 
-    /// Where the ring is full the answer fails to come, and other signs must do.
+    /// Queues a probe. If the channel is full, the probe is dropped, and the controller judges the
+    /// upstream by other signals.
     fn probe(
         &mut self,
         address: SocketAddr,
@@ -487,6 +488,7 @@
         statistics.record(self.thread.clock.now(), outcome);
     }
 
+    /// Updates the gauges and, if it changed, the host status.
     fn publish_status(&mut self) {
         let controller = &self.thread.controller;
         gauge!("rhubarbcove_queued").set(controller.queued() as f64);
@@ -543,7 +545,7 @@
     }
 }
 
-/// Unix time in milliseconds, by this host's time of day.
+/// Unix time in milliseconds by this host's wall clock.
 fn unix_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(0, |elapsed| elapsed.as_millis() as u64)
--- a/crates/router/src/instruction.rs
+++ b/crates/router/src/instruction.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// What the controller tells the task that serves one request.
+/// An instruction from the controller to the task that serves one request.
 #[derive(Debug)]
 pub(crate) enum Instruction {
-    /// Give an attempt up.
+    /// Abandon an attempt.
     Abandon(AttemptId),
-    /// End a stream that was cut.
+    /// End an interrupted stream with an error event.
     Break(Refusal),
-    /// Give the final answer.
+    /// Answer the caller with a refusal.
     Refuse(Refusal),
-    /// Give a stored answer.
+    /// Answer the caller with a stored response.
     Replay(StoredResponse),
     /// Send the request to an upstream.
     Send(Box<SendOrder>),
 }
 
 impl Instruction {
-    /// The controller has at most this many instructions under way for one
-    /// request: a send, an abandonment, a break and a refusal.
+    /// Maximum number of instructions that the controller sends to one request task before the task
+    /// reads them: one each of `Send`, `Abandon`, `Break` and `Refuse`.
     pub(crate) const CHANNEL_CAPACITY: usize = 4;
 }
--- a/crates/router/src/instruction_receiver.rs
+++ b/crates/router/src/instruction_receiver.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// The controller's instructions for one request.
+/// Receives the controller's instructions for one request.
 pub(crate) struct InstructionReceiver {
-    /// One that came while an attempt was under way.
+    /// Instruction that was received while an attempt was running.
     buffered: Option<Instruction>,
     receiver: mpsc::Receiver<Instruction>,
 }
@@ -23,7 +23,9 @@
         }
     }
 
-    /// Waits until an attempt is to be given up.
+    /// Waits until the controller abandons the attempt, and ignores the abandonment of any other
+    /// attempt. Another instruction is buffered for [`Self::next`], and the future then never
+    /// completes.
     pub(crate) async fn wait_for_abandon(&mut self, attempt: AttemptId) {
         while self.buffered.is_none() {
             match self.receiver.recv().await {
