--- a/crates/router/src/decision_log.rs
+++ b/crates/router/src/decision_log.rs
@@ -1,31 +1,30 @@
-//! One line for each decision that touches a request, and for each change of
-//! what the host believes.
+//! Logs each decision about a request and each change of the host's state, at a limited rate.
 
 use super::*;
 
-/// Time between two lines that count what was dropped.
+/// Interval between log lines that report the number of dropped lines.
 const DROPPED_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two lines on which other hosts are observed. Where hosts are many each is
-/// observed seldom, and a line for each change would be most of the log.
+/// Minimum time between log lines about the observed hosts. In a large fleet each host is observed
+/// only occasionally, and one line per change would dominate the log.
 const OBSERVED_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Most hosts that such a line names.
+/// Maximum number of hosts that one list in such a line names.
 const MAX_NAMED_HOSTS: usize = 8;
 
-/// What the host knew when it decided.
+/// State of the host at the time of a decision.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecisionContext {
-    /// How long ago the configuration was known to be the newest.
+    /// Time since the configuration was last known to be the newest.
     pub(crate) config_age: Option<Duration>,
     pub(crate) queued: usize,
     pub(crate) version: Option<ConfigVersion>,
 }
 
-/// Writes the lines, within a budget.
+/// Writes the log lines, within a [`LogBudget`].
 pub(crate) struct DecisionLog {
     budget: LogBudget,
-    /// Hosts observed, by the last line on them.
+    /// Observed hosts as of the last log line about them.
     logged_observed: Vec<HostId>,
     logger: Logger,
     next_dropped_at: Time,
@@ -43,7 +42,7 @@
         }
     }
 
-    /// A request is sent to an upstream.
+    /// Logs that a request is sent to an upstream.
     pub(crate) fn log_sent(&mut self, now: Time, id: &str, order: &SendOrder) {
         if !self.budget.take(LineKind::Routine, now) {
             return;
@@ -78,7 +77,7 @@
         );
     }
 
-    /// An attempt gave no answer.
+    /// Logs an attempt that failed; other ends of an attempt are ignored.
     pub(crate) fn log_attempt_failure(
         &mut self,
         now: Time,
@@ -106,7 +105,7 @@
         }
     }
 
-    /// A connection to an upstream was wanted; one that was made at once is counted only.
+    /// Counts the connection attempts to an upstream and logs them if any of them failed.
     pub(crate) fn log_path_attempts(
         &mut self,
         now: Time,
@@ -132,7 +131,7 @@
         );
     }
 
-    /// An upstream says something else of the rejections that it bears.
+    /// Logs a change of the rejections per second that an upstream reports it can handle.
     pub(crate) fn log_rejection_limit(&mut self, now: Time, noted: &BrittleNoted) {
         if self.budget.take(LineKind::Important, now) {
             info!(self.logger, "belief: brittle upstream";
@@ -142,7 +141,7 @@
         }
     }
 
-    /// The own path to an upstream was found lost, or restored.
+    /// Counts and logs that this host's own path to an upstream was lost or restored.
     pub(crate) fn log_path_change(&mut self, now: Time, noted: &PathChange) {
         let change = if noted.is_open { "regained" } else { "lost" };
         counter!("rhubarbcove_own_paths_noted_total", "change" => change).increment(1);
@@ -160,7 +159,7 @@
         );
     }
 
-    /// A request ended.
+    /// Logs the outcome of a request.
     pub(crate) fn log_end(
         &mut self,
         now: Time,
@@ -200,7 +199,7 @@
         );
     }
 
-    /// The part of a class that is taken changed.
+    /// Publishes and logs a change of the fraction of a class's requests that is admitted.
     pub(crate) fn log_admission_change(&mut self, now: Time, noted: &AdmissionChange) {
         let class = noted.class.to_string();
         gauge!("rhubarbcove_admission_level", "class" => class).set(noted.level);
@@ -215,7 +214,8 @@
         }
     }
 
-    /// An upstream ended under a request.
+    /// Counts an upstream that crashed while serving a request. Logs the crash if this host
+    /// observed it or if it is not the first crash for the fingerprint.
     pub(crate) fn log_crash(&mut self, now: Time, noted: &CrashNoted) {
         let (source, from) = match &noted.source {
             CrashSource::Host(host) => ("advertised", Some(host.to_string())),
@@ -223,8 +223,8 @@
             CrashSource::Store => ("store", None),
         };
         counter!("rhubarbcove_crashes_noted_total", "source" => source).increment(1);
-        // A first crash that another host saw is in that host's log. With many hosts these
-        // would be most lines.
+        // The first crash for a fingerprint is logged by the host that observed it. If every host
+        // logged it, such lines would dominate the log of a large fleet.
         let is_logged = noted.source == CrashSource::Own || noted.crashes > 1;
         if !is_logged || !self.budget.take(LineKind::Important, now) {
             return;
@@ -238,7 +238,7 @@
         );
     }
 
-    /// What an upstream names as its limit changed.
+    /// Counts and logs a change of the rate limit that an upstream reports.
     pub(crate) fn log_limit_change(&mut self, now: Time, noted: &LimitChange) {
         let source = noted.source.as_str();
         counter!("rhubarbcove_limits_noted_total", "source" => source).increment(1);
@@ -251,7 +251,7 @@
         }
     }
 
-    /// What an engine is believed to do changed.
+    /// Logs a change of the estimated speed of an engine.
     pub(crate) fn log_speed_change(&mut self, now: Time, noted: &SpeedNoted) {
         if self.budget.take(LineKind::Important, now) {
             info!(self.logger, "belief: engine speed";
@@ -265,7 +265,7 @@
         }
     }
 
-    /// An upstream is newly known to leave.
+    /// Counts and logs an upstream that is newly known to be leaving.
     pub(crate) fn log_leaving(&mut self, now: Time, noted: &LeavingDetected) {
         let source = noted.source.as_str();
         counter!("rhubarbcove_leaving_noted_total", "source" => source).increment(1);
@@ -278,7 +278,7 @@
         }
     }
 
-    /// An upstream said something of itself in an answer.
+    /// Counts and logs what an upstream reported about itself in a response.
     pub(crate) fn log_upstream_notice(
         &mut self,
         now: Time,
@@ -344,7 +344,7 @@
         }
     }
 
-    /// A request was refused before anything had to be decided.
+    /// Logs a request that was rejected before it reached the controller.
     pub(crate) fn log_rejected(
         &mut self,
         now: Time,
@@ -364,7 +364,7 @@
         );
     }
 
-    /// What the host believes has changed.
+    /// Logs the differences between two host statuses.
     pub(crate) fn log_status_changes(
         &mut self,
         now: Time,
@@ -402,7 +402,8 @@
         self.log_observed_changes(now, &after.observed);
     }
 
-    /// Which hosts are observed: what changed since the last line, at most one in some seconds.
+    /// Logs the changes of the observed hosts since the last such line, at most once per
+    /// [`OBSERVED_INTERVAL`].
     fn log_observed_changes(&mut self, now: Time, observed: &[HostId]) {
         if now < self.next_observed_at || self.logged_observed == observed {
             return;
@@ -445,7 +446,7 @@
         );
     }
 
-    /// Says now and then how many lines were dropped.
+    /// Logs and counts the dropped lines, at most once per [`DROPPED_INTERVAL`].
     pub(crate) fn log_dropped_lines(&mut self, now: Time) {
         if now < self.next_dropped_at {
             return;
@@ -461,7 +462,7 @@
     }
 }
 
-/// What one of two sets has and the other has not.
+/// The items of `items` that are not in `others`.
 fn difference<T: Display + PartialEq>(items: &[T], others: &[T]) -> Vec<String> {
     let difference = items.iter().filter(|item| !others.contains(item));
     difference.map(ToString::to_string).collect()
--- a/crates/router/src/duty_log.rs
+++ b/crates/router/src/duty_log.rs
@@ -1,8 +1,8 @@
-//! Lines and counters on the duties that one host does for all.
+//! Logs and metrics for the cluster-wide duties, which one host performs under a lease.
 
 use super::*;
 
-/// Logs and counts what was done under the lease.
+/// Logs and counts one report about the duties.
 pub(crate) fn log(logger: &Logger, report: &DutyReport) {
     match report {
         DutyReport::Demand {
@@ -57,7 +57,7 @@
             are_usable: false,
             service,
         } => {
-            warn!(logger, "duties: prices by failure domain not usable, taken as equal";
+            warn!(logger, "duties: prices by failure domain not usable, treated as equal";
                 "service" => %service);
         }
         DutyReport::Usage {
--- a/crates/router/src/log_budget.rs
+++ b/crates/router/src/log_budget.rs
@@ -1,34 +1,33 @@
 use super::*;
 
-/// Lines a second for what goes as it should, and how many may come at once.
-/// Two lines a request cover 100 requests a second, four times what a host of
-/// today's installations gets at its peak.
+/// Rate and burst of lines about requests that go as expected. With two lines per request, the rate
+/// covers 100 requests per second, four times the peak load of a host in today's installations.
 const ROUTINE_PER_S: f64 = 200.0;
 const ROUTINE_BURST: f64 = 400.0;
 
-/// The same for failures and changes of belief: more, as they explain what went
-/// wrong, and are the last to be dropped.
+/// Rate and burst of lines about failures and changes of the host's state. They are higher than the
+/// routine ones because these lines explain what went wrong and must be the last to be dropped.
 const IMPORTANT_PER_S: f64 = 500.0;
 const IMPORTANT_BURST: f64 = 2_000.0;
 
 /// How important a line is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum LineKind {
-    /// A failure, a refusal, or a change of what the host believes.
+    /// A failure, a refusal, or a change of the host's state.
     Important,
-    /// A request that goes as it should.
+    /// A request that goes as expected.
     Routine,
 }
 
-/// Bounds the lines that a host writes, so that logging costs no more under
-/// load than the budget allows. Lines of each kind have a budget of their own:
-/// under load the routine ones go first.
+/// Limits the rate of log lines of a host, so that the cost of logging stays bounded under load.
+/// Each kind of line has its own token bucket: under load, routine lines are dropped first.
 #[derive(Debug)]
 pub(crate) struct LogBudget {
     important: LineBucket,
     routine: LineBucket,
 }
 
+/// A token bucket in which each token allows one log line.
 #[derive(Debug)]
 struct LineBucket {
     burst: f64,
@@ -72,7 +71,7 @@
 }
 
 impl LogBudget {
-    /// Takes one line from the budget of its kind; false if it must be dropped.
+    /// Takes one line from the budget of its kind; returns false if the line must be dropped.
     pub(crate) fn take(&mut self, kind: LineKind, now: Time) -> bool {
         match kind {
             LineKind::Important => self.important.take(now),
@@ -80,7 +79,7 @@
         }
     }
 
-    /// Lines dropped since the last call: important and routine ones.
+    /// Numbers of important and of routine lines that were dropped since the last call.
     pub(crate) fn take_dropped(&mut self) -> (u64, u64) {
         let take = |bucket: &mut LineBucket| std::mem::take(&mut bucket.dropped);
         (take(&mut self.important), take(&mut self.routine))
@@ -91,9 +90,9 @@
 mod tests {
     use super::*;
 
-    /// Symptom: in an outage the log tells nothing of the failures. Events: many
-    /// requests a second succeed while some fail. Cause: all lines share one
-    /// budget, and the many routine ones use it up.
+    /// Guards against a log that shows no failures during an outage. If all lines shared one
+    /// budget, the routine lines of the many requests that succeed would use it up, and the lines
+    /// about the few that fail would be dropped.
     #[test]
     fn routine_lines_do_not_use_the_budget_of_important_lines() {
         let mut budget = LogBudget::default();
--- a/crates/router/src/logs.rs
+++ b/crates/router/src/logs.rs
@@ -1,20 +1,19 @@
 use super::*;
 
-/// Messages that may wait to be written before new ones are dropped and
-/// counted: logging never holds a request up.
+/// Maximum number of queued log messages. When the queue is full, new messages are dropped and
+/// counted, so that logging never delays a request.
 const LOG_QUEUE_CAPACITY: usize = 4_096;
 
-/// A logger that writes one JSON object a line to standard output.
+/// A logger that writes one JSON object per line to standard output.
 ///
-/// Writing is done by a thread of its own. While nobody reads standard output
-/// that thread stands still, the ring fills, and lines are dropped and counted;
-/// once nobody can read it any more, writing fails and is given up. Neither
-/// holds a request up or ends the host.
+/// A separate thread writes the lines. While standard output is not read, the thread blocks, the
+/// queue fills, and further lines are dropped and counted. If standard output is closed, write
+/// errors are ignored. Neither case delays a request or ends the host.
 pub fn json_logger(host: &HostId) -> Logger {
     json_logger_to(host, std::io::stdout())
 }
 
-/// The same to another place.
+/// Like [`json_logger`], but writes to `output`.
 pub fn json_logger_to(host: &HostId, output: impl std::io::Write + Send + 'static) -> Logger {
     let drain = slog_json::Json::new(output)
         .add_default_keys()
--- a/crates/router/tests/unit/decision_log.rs
+++ b/crates/router/tests/unit/decision_log.rs
@@ -1,6 +1,6 @@
 use {super::*, std::sync::atomic::AtomicUsize};
 
-/// Counts lines.
+/// A drain that counts log lines.
 struct LineCounter(Arc<AtomicUsize>);
 
 impl Drain for LineCounter {
@@ -13,9 +13,9 @@
     }
 }
 
-/// Symptom: nine in ten lines of a large fleet say which hosts are observed. Events: each of
-/// 195 hosts is observed now and then, and does not count between two notes. Cause: a line for
-/// each change, so lines grow with hosts times hosts.
+/// Guards against a log of which nine in ten lines are about observed hosts. In a fleet of 195
+/// hosts each host is observed only occasionally and counts as not observed between two notes. With
+/// one line per change, the number of lines grows with the square of the number of hosts.
 #[test]
 fn the_rate_of_observed_host_lines_does_not_grow_with_the_host_count() {
     for hosts in [7, 195] {
