--- a/crates/router/src/burn_window.rs
+++ b/crates/router/src/burn_window.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-/// Length of one bucket.
+/// Length of one bucket in seconds.
 const BUCKET_S: u64 = 10;
 
-/// Buckets kept: one hour.
+/// Number of buckets that are kept: one hour.
 const MAX_BUCKETS: usize = 360;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
-    /// Number of the bucket since the start of the clock.
+    /// Index of the bucket, counted from the start of the clock.
     index: u64,
     missed: u64,
     total: u64,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Share of missed requests over a window, as a multiple of what the
-    /// objective allows; 1 uses the error budget up exactly.
+    /// Fraction of requests in the window that missed their targets, divided by the fraction that
+    /// the objective allows. A burn rate of 1 uses up the error budget exactly.
     pub(crate) fn burn_rate(&self, now: Time, window_s: u64, objective: f64) -> f64 {
         let oldest = bucket_index(now).saturating_sub(window_s / BUCKET_S);
         let recent = self.buckets.iter().filter(|bucket| bucket.index >= oldest);
--- a/crates/router/src/class_report.rs
+++ b/crates/router/src/class_report.rs
@@ -1,32 +1,33 @@
 use super::*;
 
-/// What a report says of one class.
+/// The service-level report of one request class.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ClassReport {
-    /// Share of its requests that met their targets, 0 to 1.
+    /// Fraction of the class's requests that met their targets, 0 to 1.
     pub attainment: f64,
-    /// Share of the error budget that is left, 0 or less when it is used up.
+    /// Fraction of the error budget that remains; 0 or less when the budget is used up.
     pub budget_left: f64,
-    /// Burn rate over the last 5 minutes: 1 uses the budget up exactly.
+    /// Burn rate over the last 5 minutes; a rate of 1 uses up the error budget exactly.
     pub burn_rate: f64,
     /// Burn rate over the last hour.
     pub burn_rate_long: f64,
     /// The class.
     pub class: ClassId,
-    /// Requests with a whole answer.
+    /// Requests that received a complete response.
     pub finished: u64,
     /// Median time to the first token, in milliseconds.
     pub first_token_p50_ms: f64,
     /// 95th percentile of the time to the first token, in milliseconds.
     pub first_token_p95_ms: f64,
-    /// Requests within their targets.
+    /// Requests that met their targets.
     pub met: u64,
-    /// Share of requests that should meet their targets.
+    /// Fraction of requests that should meet their targets.
     pub objective: f64,
-    /// Requests refused for want of capacity or time.
+    /// Requests refused for lack of capacity or time.
     pub shed: u64,
-    /// Its tier.
+    /// Tier of the class.
     pub tier: Tier,
-    /// Requests, those rejected for the caller's own fault not counted.
+    /// All requests of the class, except those that were rejected because of an error of the
+    /// caller and those whose caller disconnected.
     pub total: u64,
 }
--- a/crates/router/src/guarantee_check.rs
+++ b/crates/router/src/guarantee_check.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// How a promise was checked against a history.
+/// Result of checking one guarantee of the router against the recorded history of a run.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GuaranteeCheck {
-    /// Cases that broke it.
+    /// Number of cases that violated the guarantee.
     pub broken: u64,
-    /// Cases that could show whether it holds.
+    /// Number of cases to which the guarantee applied.
     pub checked: u64,
-    /// Its name.
+    /// Name of the guarantee.
     pub name: String,
 }
--- a/crates/router/src/host_status.rs
+++ b/crates/router/src/host_status.rs
@@ -1,39 +1,39 @@
 use super::*;
 
-/// What a host shows of itself.
+/// The published status of a host.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct HostStatus {
-    /// Whether it knows that a newer configuration exists.
+    /// Whether the host knows that a newer configuration exists.
     pub behind: bool,
-    /// Whether it knows that its configuration is the newest one.
+    /// Whether the host knows that its configuration is the newest.
     pub current: bool,
-    /// Upstreams that get no new work until a probe succeeds.
+    /// Upstreams that get no new requests until a probe succeeds.
     pub ejected: Vec<UpstreamId>,
-    /// Failure domain it stands in.
+    /// Failure domain of the host.
     pub failure_domain: FailureDomainId,
-    /// Other hosts that it observes, in an installation.
+    /// Other hosts that this host observes, in an installation.
     #[serde(rename = "heard")]
     pub observed: Vec<HostId>,
     /// Upstreams on which this host has slots of its own.
     pub home: Arc<Vec<UpstreamId>>,
-    /// Id.
+    /// Id of the host.
     pub host: HostId,
-    /// Hosts of the installation, by its table; 0 before that was read.
+    /// Number of hosts in the table of the installation; 0 before the table has been read.
     #[serde(default)]
     pub hosts_listed: u32,
-    /// Upstreams that get no new work because they are leaving.
+    /// Upstreams that get no new requests because they are leaving.
     pub leaving: Vec<UpstreamId>,
-    /// Upstreams that it does not reach by itself while other hosts do.
+    /// Upstreams that this host cannot reach directly, while other hosts can.
     #[serde(default)]
     pub out_of_reach: Vec<UpstreamId>,
-    /// Where it is in its life.
+    /// Phase of the host's life cycle.
     pub phase: HostPhase,
-    /// Requests queued.
+    /// Number of queued requests.
     pub queued: usize,
-    /// Host that it asks for its shares.
+    /// Coordinator from which the host requests its slot shares.
     #[serde(rename = "steward")]
     pub coordinator: HostId,
-    /// Upstreams that it uses though the directory lists them no more.
+    /// Upstreams that the host still uses although the directory no longer lists them.
     #[serde(default)]
     pub unlisted: Vec<UpstreamId>,
     /// Version of the configuration in force.
--- a/crates/router/src/request_metrics.rs
+++ b/crates/router/src/request_metrics.rs
@@ -1,11 +1,11 @@
-//! How requests ended, as metrics.
+//! Metrics of finished requests.
 //!
-//! No metric is named by team and class together: with 870 teams and 8 classes
-//! their series would take more memory than the 32 MB that control may have.
+//! No metric has both a team and a class label: with 870 teams and 8 classes, its time series would
+//! need more memory than the 32 MB that the control plane may use.
 
 use super::*;
 
-/// Counts a request that has ended.
+/// Records the outcome of a request.
 pub(crate) fn record(outcome: &Outcome) {
     let class = label(outcome.class.as_ref());
     let end = outcome.end.as_str();
@@ -41,7 +41,7 @@
     }
 }
 
-/// Counts what an upstream is to fetch of a prompt that is sent to it.
+/// Counts the prompt tokens that an upstream is to fetch from another engine.
 pub(crate) fn record_fetch(order: &SendOrder) {
     if order.fetch_from.is_some() {
         counter!("rhubarbcove_prompt_fetches_total").increment(1);
@@ -50,7 +50,7 @@
     }
 }
 
-/// A label; empty where nothing is known.
+/// Value of a label; empty if the value is unknown.
 fn label(value: Option<&impl ToString>) -> String {
     value.map(ToString::to_string).unwrap_or_default()
 }
--- a/crates/router/src/request_statistics.rs
+++ b/crates/router/src/request_statistics.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Short window of the burn rate: 5 minutes.
+/// Short window of the burn rate in seconds: 5 minutes.
 const SHORT_WINDOW_S: u64 = 300;
 
-/// Long window of the burn rate: one hour.
+/// Long window of the burn rate in seconds: one hour.
 const LONG_WINDOW_S: u64 = 3_600;
 
-/// Times to the first token that are kept for percentiles, the newest.
+/// Maximum number of times to first token that are kept for percentiles; the newest are kept.
 const MAX_FIRST_TOKEN_SAMPLES: usize = 4_096;
 
 #[derive(Debug, Default)]
@@ -20,7 +20,7 @@
     window: BurnWindow,
 }
 
-/// What a host counts for its report.
+/// Counts requests and tokens for the report of a host.
 #[derive(Debug, Default)]
 pub(crate) struct RequestStatistics {
     classes: BTreeMap<ClassId, ClassStatistics>,
