--- a/crates/router/src/directory_thread.rs
+++ b/crates/router/src/directory_thread.rs
@@ -1,11 +1,11 @@
-//! The thread that follows an installation's directory.
+//! The directory thread: follows the directory of an installation.
 
 use super::*;
 
-/// Updates that may wait to be reported to the controller.
+/// Capacity of the channel of directory updates that have not been handled yet.
 const UPDATE_CAPACITY: usize = 64;
 
-/// What the thread is given.
+/// The inputs and outputs of the directory thread.
 pub(crate) struct DirectoryThread {
     pub(crate) table_requests: flume::Receiver<()>,
     pub(crate) clock: Clock,
@@ -33,7 +33,7 @@
                 metrics.with_recorder(|| runtime.block_on(self.run()));
                 Ok(())
             })
-            .wrap_err("cannot start the directory's thread")
+            .wrap_err("cannot start the directory thread")
     }
 
     async fn run(self) {
@@ -78,7 +78,8 @@
     }
 }
 
-/// Passes on what the directory tells: to the controller, to the log, to other hosts.
+/// Forwards directory updates to the controller, to the log and to the state that is served to
+/// other hosts.
 struct UpdateForwarder {
     clock: Clock,
     events: flume::Sender<ControllerMessage>,
@@ -91,7 +92,7 @@
     async fn run(&self, updates: &flume::Receiver<DirectoryUpdate>) {
         while let Ok(update) = updates.recv_async().await {
             if let Some(event) = self.handle(update) {
-                // Waits while the ring is full: no update is lost.
+                // Waits while the channel is full, so that no update is lost.
                 let _ = self
                     .events
                     .send_async(ControllerMessage::Event(event))
@@ -106,7 +107,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What the controller is notified of it.
+    /// Handles an update; returns the event for the controller, if the update concerns it.
     fn handle(&self, update: DirectoryUpdate) -> Option<Event> {
         let logger = &self.logger;
         Some(match update {
@@ -174,7 +175,10 @@
             DirectoryUpdate::TableDivided { coverage, levels } => {
                 info!(logger, "directory: upstreams divided";
                     "division" => coverage.division,
-                    "known" => levels.iter().filter(|(_, level)| *level <= WorkingSet::KNOWN_LEVEL).count(),
+                    "known" => levels
+                        .iter()
+                        .filter(|(_, level)| *level <= WorkingSet::KNOWN_LEVEL)
+                        .count(),
                     "upstreams" => levels.len());
                 self.lock_received_tables().divide(coverage, levels);
                 return None;
@@ -204,7 +208,7 @@
     }
 }
 
-/// Notes for other hosts when the configuration was the newest one.
+/// Records for other hosts the time at which the served configuration was known to be the newest.
 fn note_confirmed(served_configuration: &ArcSwapOption<ServedConfiguration>, as_of: Time) {
     let Some(known) = served_configuration.load_full() else {
         return;
--- a/crates/router/src/host.rs
+++ b/crates/router/src/host.rs
@@ -1,25 +1,25 @@
 use super::*;
 
-/// Time without bytes after which connections that are passed on count as idle.
+/// Time without traffic after which forwarded connections count as idle.
 const FORWARDING_IDLE_TIME: Duration = Duration::from_secs(1);
 
-/// Pause between two looks at them.
+/// Interval at which a stopping host checks the forwarded connections.
 const FORWARDING_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause between two looks at whether a host is ready.
+/// Interval at which [`Host::wait_ready`] checks the status.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A host in one phase of its life. A phase is left by a method that takes the
-/// host and returns the next one, so none can be skipped or entered twice.
+/// A host in one phase of its life cycle. A method that ends a phase consumes the host and returns
+/// it in the next phase, so no phase can be skipped or entered twice.
 pub struct Host<S> {
     parts: HostParts,
     state: S,
 }
 
-/// Takes requests, or will as soon as it has a configuration.
+/// Phase of a host that accepts requests, or will accept them once it has a configuration.
 pub struct Serving;
 
-/// Fails its readiness check, and still answers what comes.
+/// Phase of a host that fails its readiness check but still serves requests.
 pub struct Draining;
 
 struct HostParts {
@@ -32,13 +32,15 @@
 }
 
 impl HostParts {
-    /// Tells the controller something; it outlives the host's other parts.
-    fn send_to_controller(&self, event: ControllerMessage) {
-        let _ = self.threads.channels.events.0.send(event);
+    /// Sends a message to the controller thread. The result is ignored: the controller thread runs
+    /// until it receives the stop message.
+    fn send_to_controller(&self, message: ControllerMessage) {
+        let _ = self.threads.channels.events.0.send(message);
     }
 
-    /// Lets other hosts' requests end that are passed on to upstreams, within the time for own
-    /// ones. New ones have been declined since the drain began.
+    /// Waits until all connections that are forwarded to upstreams for other hosts have ended, none
+    /// of them has carried data for [`FORWARDING_IDLE_TIME`], or the drain limit of this host's own
+    /// requests has passed. New connections have been declined since the drain began.
     fn wait_for_forwarded_connections(&self, began: Instant) {
         let limit = relay_rules::drain_limit(&self.threads.settings).unwrap_or_default();
         let SharedState {
@@ -56,14 +58,14 @@
 }
 
 impl Host<Serving> {
-    /// Opens the listeners and starts the threads. It returns at once; the
-    /// host is ready when it has read a configuration from the platform.
+    /// Opens the listeners and starts the threads. Returns without waiting for a configuration; the
+    /// host is ready when it has read one from the platform.
     pub fn start(settings: Settings, logger: Logger) -> eyre::Result<Self> {
         Self::start_in(settings, None, logger)
     }
 
-    /// The same in an installation: requests are relayed by its protocol, and
-    /// configuration and upstreams are read from its directory.
+    /// Like [`Self::start`], but in an installation if one is given: requests are relayed by its
+    /// protocol, and the configuration and the upstreams are read from its directory.
     pub fn start_in(
         settings: Settings,
         installation: Option<Installation>,
@@ -107,7 +109,7 @@
         })
     }
 
-    /// Waits until the host takes requests; false if it takes longer.
+    /// Waits until the host accepts requests; returns false if that takes longer than `longest`.
     pub fn wait_ready(&self, longest: Duration) -> bool {
         let deadline = Instant::now() + longest;
         while self.status().phase != HostPhase::Serving {
@@ -119,8 +121,7 @@
         true
     }
 
-    /// Follows changed settings. Those that only a new start can follow are
-    /// logged.
+    /// Applies changed settings. If some changes need a restart, the log line says so.
     pub fn reload(&mut self, settings: Settings) {
         let limits = settings.limits.clone();
         self.parts.threads.shared.limits.store(Arc::new(limits));
@@ -145,8 +146,8 @@
             "needs_restart" => !is_fully_applied);
     }
 
-    /// Begins a planned stop: the readiness check fails from now on, while
-    /// requests are still answered.
+    /// Starts a graceful stop: from now on the readiness check fails, while requests are still
+    /// served.
     pub fn drain(self) -> Host<Draining> {
         info!(self.parts.threads.logger, "host: draining");
         let draining = &self.parts.threads.shared.draining;
@@ -161,9 +162,9 @@
 }
 
 impl Host<Draining> {
-    /// Ends the planned stop: waits for the balancer to see the failed
-    /// readiness check, lets every request in flight end, settles the claims
-    /// and joins the threads. Gives back what the host counted.
+    /// Completes the graceful stop: waits for the load balancer to see the failed readiness check,
+    /// lets the requests in flight end, settles the idempotency claims and joins the threads. In an
+    /// installation, the drain limit bounds the wait for requests. Returns the report of the host.
     pub fn stop(self) -> eyre::Result<Report> {
         let mut parts = self.parts;
         let pause_ms = parts.threads.settings.balancer_pause_ms;
@@ -185,7 +186,7 @@
             ..
         } = parts.threads;
         background_shutdown.start();
-        // A thread that still empties its ring ends once nobody can fill it.
+        // A thread that still drains its channel ends once all senders are dropped.
         drop(channels);
         for thread in threads {
             join(thread)?;
@@ -196,32 +197,32 @@
 }
 
 impl<S> Host<S> {
-    /// Where it listens for callers.
+    /// Address on which the host listens for callers.
     pub const fn caller_address(&self) -> SocketAddr {
         self.parts.caller_address
     }
 
-    /// Where it listens for operators.
+    /// Address on which the host listens for operators.
     pub const fn operator_address(&self) -> SocketAddr {
         self.parts.operator_address
     }
 
-    /// Where it listens for other hosts.
+    /// Address on which the host listens for other hosts.
     pub const fn peer_address(&self) -> SocketAddr {
         self.parts.peer_address
     }
 
-    /// What it shows of itself.
+    /// Latest published status of the host.
     pub fn status(&self) -> HostStatus {
         (**self.parts.threads.shared.status.load()).clone()
     }
 
-    /// Its report on service-level burn.
+    /// Report on service levels and error budgets.
     pub fn report(&self) -> Report {
         self.parts.threads.shared.report()
     }
 
-    /// The phase it is in.
+    /// Current phase of the host.
     pub const fn phase(&self) -> &S {
         &self.state
     }
--- a/crates/router/src/host_threads.rs
+++ b/crates/router/src/host_threads.rs
@@ -1,17 +1,17 @@
-//! Starts the threads of a host and joins them by channels.
+//! Starts the threads of a host and connects them by channels.
 
 use super::*;
 
-/// Time that an operator or another host may take to send a request's head.
+/// Timeout for an operator or another host to send the head of a request.
 const INTERNAL_HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Part of the reserve for the end of a stop that the controller waits for
-/// requests that cannot be served any more.
+/// Divisor of the time that is reserved for the end of a stop: after the stop message, the
+/// controller waits one third of that time for remaining requests, which can no longer be served.
 const CONTROLLER_STOP_DIVISOR: u32 = 3;
 
 pub(crate) type ThreadHandle = JoinHandle<eyre::Result<()>>;
 
-/// What the threads of a host are given, and those that have been started.
+/// The shared parts of a host's threads, and the handles of the threads that have been started.
 pub(crate) struct HostThreads {
     pub(crate) caller_shutdown: Shutdown,
     pub(crate) logger: Logger,
@@ -20,7 +20,7 @@
     pub(crate) channels: Channels,
     pub(crate) settings: Settings,
     pub(crate) shared: SharedState,
-    /// Threads that stop after the callers' and the controller's.
+    /// Threads that stop after the caller threads and the controller thread.
     pub(crate) threads: Vec<ThreadHandle>,
 }
 
@@ -42,7 +42,7 @@
         self.channels.events.0.clone()
     }
 
-    /// The thread that decides.
+    /// Starts the controller thread.
     pub(crate) fn start_controller(&self, notes: Option<NoteSender>) -> eyre::Result<ThreadHandle> {
         let relays = self.settings.relay.is_some();
         let thread = ControllerThread {
@@ -68,7 +68,7 @@
         thread.spawn()
     }
 
-    /// Follows an installation's directory.
+    /// Starts the thread that follows the directory of an installation.
     pub(crate) fn start_directory_thread(
         &mut self,
         directory: Box<dyn Directory>,
@@ -101,8 +101,8 @@
         Ok(())
     }
 
-    /// Follows the store of the product's own protocol; gives the client through
-    /// which operators submit patches.
+    /// Starts the thread that follows the store outside an installation. Returns the client through
+    /// which operators submit configuration patches.
     pub(crate) fn start_platform_thread(&mut self) -> eyre::Result<ConfigStore> {
         let address = self.settings.platform_address;
         let thread = PlatformThread {
@@ -119,7 +119,7 @@
         Ok(ConfigStore::new(Arc::new(client)))
     }
 
-    /// Polls and probes the upstreams.
+    /// Starts the thread that polls and probes the upstreams.
     pub(crate) fn start_upstream_thread(
         &mut self,
         protocol: Option<Arc<dyn Protocol>>,
@@ -139,7 +139,7 @@
         Ok(())
     }
 
-    /// Exchanges heartbeats with the other hosts, outside an installation.
+    /// Starts the thread that exchanges heartbeats with other hosts, outside an installation.
     pub(crate) fn start_peer_thread(
         &mut self,
         listener: std::net::TcpListener,
@@ -156,15 +156,15 @@
         Ok(())
     }
 
-    /// Takes notes of the other hosts of an installation, and serves them the
-    /// configuration; gives the sender of own notes.
+    /// Starts the thread that receives notes from the other hosts of an installation, and the
+    /// listener that serves the configuration to them. Returns the sender of this host's notes.
     pub(crate) fn start_note_thread(
         &mut self,
         listener: std::net::TcpListener,
     ) -> eyre::Result<NoteSender> {
         let token = self.settings.peer_token.clone();
         let socket = std::net::UdpSocket::bind(listener.local_addr()?)
-            .wrap_err("cannot open the socket for notes")?;
+            .wrap_err("cannot open the UDP socket for notes")?;
         let sender = NoteSender {
             socket: socket.try_clone()?,
             token: token.clone(),
@@ -201,7 +201,7 @@
         Ok(sender)
     }
 
-    /// Answers operators, and whoever reads the metrics.
+    /// Starts the listeners for operators and, if configured, for readers of the metrics.
     pub(crate) fn start_operator_listeners(
         &mut self,
         listener: std::net::TcpListener,
@@ -252,8 +252,8 @@
         Ok(())
     }
 
-    /// Starts the threads that serve callers, by an installation's protocol or
-    /// by the product's own.
+    /// Starts the threads that serve callers, by the protocol of an installation or by
+    /// rhubarbcove's own protocol.
     pub(crate) fn start_caller_threads(
         &self,
         listener: &std::net::TcpListener,
@@ -315,7 +315,7 @@
     }
 }
 
-/// Opens a listener.
+/// Opens a non-blocking TCP listener.
 pub(crate) fn listen(address: SocketAddr) -> eyre::Result<std::net::TcpListener> {
     let listener = std::net::TcpListener::bind(address)
         .wrap_err_with(|| format!("cannot listen on {address}"))?;
--- a/crates/router/src/installation.rs
+++ b/crates/router/src/installation.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// An installation that a host relays requests in.
+/// The installation in which a host relays requests.
 pub struct Installation {
-    /// Where configuration and upstreams are read.
+    /// Source of the configuration and the upstreams.
     pub directory: Box<dyn Directory>,
-    /// How requests and answers look on the wire.
+    /// Wire protocol of requests and responses.
     pub protocol: Arc<dyn Protocol>,
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,6 +1,6 @@
-//! The host of rhubarbcove. A thread for each duty (callers, decisions,
-//! upstreams, platform, operators), joined by bounded rings; the decisions
-//! themselves are in the package `policy`.
+//! The router host of rhubarbcove. Each job (serving callers, deciding, polling upstreams, talking
+//! to the platform, serving operators) has its own threads, which are connected by bounded
+//! channels. The decision logic is in the package `policy`.
 
 use {
     arc_swap::{ArcSwap, ArcSwapOption},
@@ -232,16 +232,16 @@
     whole_body::WholeBody,
 };
 
-/// Header by which a caller names its class.
+/// Header in which a caller names the request class.
 pub const CLASS_HEADER: &str = "x-request-class";
 
-/// Header by which a caller says `false` to forbid a second run.
+/// Header that a caller sets to `false` to forbid that the request runs a second time.
 pub const IDEMPOTENT_HEADER: &str = "x-idempotent";
 
-/// Header that carries the verdict of an answer.
+/// Response header that carries the verdict on the request.
 pub const VERDICT_HEADER: &str = "x-request-verdict";
 
-/// Header that marks a stored answer.
+/// Header that marks a response as replayed from storage.
 pub const REPLAYED_HEADER: &str = "idempotent-replayed";
 
 /// Header that carries the idempotency key.
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -56,22 +56,22 @@
     }
 }
 
-/// Time for the last lines of the log to be written. Where nobody reads them the
-/// process must end all the same.
+/// Maximum time to write the remaining log lines at exit. The process must end even if nobody reads
+/// its output.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Writes the last lines of the log, as far as that can be done in time.
+/// Waits until the remaining log lines are written, at most for [`FLUSH_TIMEOUT`].
 fn flush_log(logger: Logger) {
     let (done, flushed) = std::sync::mpsc::channel::<()>();
     std::thread::spawn(move || {
-        // Dropping the last logger waits for its thread.
+        // Dropping the last clone of the logger waits for the logging thread to finish.
         drop(logger);
         drop(done);
     });
     let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
 }
 
-/// What the other hosts learn of this one.
+/// The entry by which other hosts know this host.
 fn peer_host(settings: &Settings) -> PeerHost {
     PeerHost {
         address: settings.peer_address,
@@ -81,13 +81,12 @@
     }
 }
 
-/// Time between two looks at the settings file, which may change without a
-/// signal.
+/// Interval at which the settings file is checked for changes, which may come without a SIGHUP.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Registers the signals before the host starts, so that none is lost. A
-/// second signal to stop changes nothing: the stop that is under way ends in
-/// order.
+/// Runs the host until it receives SIGTERM or SIGINT. Signal handlers are registered before the
+/// host starts, so that no signal is lost. A second signal to stop has no effect: the graceful stop
+/// that is in progress completes.
 fn run(file: &Path) -> eyre::Result<()> {
     let (mut file, settings) = SettingsFile::open(file)?;
     let signals = receive_signals()?;
@@ -113,11 +112,12 @@
     Ok(())
 }
 
-/// Passes the signals on to the main thread. The thread lives as long as the
-/// process.
+/// Starts a thread that passes signals to the main thread through a channel. The thread runs as
+/// long as the process.
 fn receive_signals() -> eyre::Result<Receiver<i32>> {
     let handled_signals = [SIGHUP, SIGINT, SIGTERM];
-    let mut signals = Signals::new(handled_signals).wrap_err("cannot watch for signals")?;
+    let mut signals =
+        Signals::new(handled_signals).wrap_err("cannot register the signal handlers")?;
     let (sender, receiver) = std::sync::mpsc::channel();
     std::thread::Builder::new()
         .name("signals".to_string())
@@ -128,11 +128,11 @@
                 }
             }
         })
-        .wrap_err("cannot start the signals' thread")?;
+        .wrap_err("cannot start the signal thread")?;
     Ok(receiver)
 }
 
-/// Follows a changed settings file; one that cannot be used changes nothing.
+/// Applies the settings file if it has changed. An invalid file is logged and changes nothing.
 fn reload(host: &mut Host<Serving>, file: &mut SettingsFile, logger: &Logger) {
     match file.reload_if_changed() {
         Ok(Some(settings)) => host.reload(settings),
--- a/crates/router/src/settings_file.rs
+++ b/crates/router/src/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file, read again when it changes.
+//! The settings file, which is reloaded when it changes.
 
 use {
     config::Settings,
@@ -6,14 +6,14 @@
     std::path::{Path, PathBuf},
 };
 
-/// A settings file and what was last read from it.
+/// A settings file and the text that was last read from it.
 pub struct SettingsFile {
     path: PathBuf,
     text: String,
 }
 
 impl SettingsFile {
-    /// Reads and checks the file.
+    /// Reads and validates the file.
     pub fn open(path: &Path) -> eyre::Result<(Self, Settings)> {
         let text = read(path)?;
         let settings = parse(path, &text)?;
@@ -21,8 +21,8 @@
         Ok((Self { path, text }, settings))
     }
 
-    /// The settings, if the file's text has changed since it was last read. One
-    /// that cannot be used is reported once, and not again until it changes.
+    /// Reads the file and returns the settings if the text has changed since the last read. An
+    /// invalid file causes one error, and no further error until the text changes again.
     pub fn reload_if_changed(&mut self) -> eyre::Result<Option<Settings>> {
         let text = read(&self.path)?;
         if text == self.text {
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -1,23 +1,24 @@
 use super::*;
 
-/// What several threads read.
+/// State that several threads of a host share.
 pub(crate) struct SharedState {
     pub(crate) bodies: BodyBudget,
     pub(crate) clock: Clock,
     pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
-    /// Whether the host is to stop.
+    /// Whether a graceful stop has started.
     pub(crate) draining: Arc<AtomicBool>,
-    /// What other hosts are handed.
+    /// The configuration that is served to other hosts.
     pub(crate) served_configuration: Arc<ArcSwapOption<ServedConfiguration>>,
-    /// What other hosts are notified of the store's tables.
+    /// What other hosts can learn from this host about the store's tables.
     pub(crate) received_tables: Arc<Mutex<ReceivedTables>>,
     pub(crate) statistics: Arc<Mutex<RequestStatistics>>,
-    /// Limits of the settings, as they are now.
+    /// Current limits of the settings.
     pub(crate) limits: Arc<ArcSwap<Limits>>,
-    /// When bytes were passed on last for other hosts.
+    /// When data was last forwarded for other hosts.
     pub(crate) forwarding_activity: LastActivity,
-    /// Connections that are passed on for other hosts.
+    /// Connections that are forwarded to upstreams for other hosts.
     pub(crate) forwarded_connections: Pumps,
+    /// Notified when the newest configuration is to be read now.
     pub(crate) read_configuration: Arc<Notify>,
     pub(crate) status: Arc<ArcSwap<HostStatus>>,
     pub(crate) unread: UnreadAnswers,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The host's report on service-level burn.
+    /// Report on service levels and error budgets; empty before a configuration is in force.
     pub(crate) fn report(&self) -> Report {
         let Some(numbered) = self.configuration.load_full() else {
             return Report::default();
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/shutdown.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Tells the threads of a host to stop.
+/// Signals the threads of a host to stop.
 #[derive(Clone, Debug)]
 pub(crate) struct Shutdown {
     sender: watch::Sender<bool>,
@@ -21,10 +21,10 @@
         *self.sender.borrow()
     }
 
-    /// Returns once the host is to stop.
+    /// Waits until the shutdown has started.
     pub(crate) async fn started(&self) {
         let mut receiver = self.sender.subscribe();
-        // The sender lives as long as `self`.
+        // Waiting cannot fail, as the sender lives as long as `self`.
         let _ = receiver.wait_for(|started| *started).await;
     }
 }
