--- a/crates/router/src/effective_limits.rs
+++ b/crates/router/src/effective_limits.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// Smallest read buffer that the HTTP library takes.
+/// Smallest read buffer that the HTTP library accepts.
 const MIN_HEAD_BYTES: u64 = 8_192;
 
-/// Time for which a connection is kept beyond the limit that callers know of.
+/// Time for which an idle connection is kept open beyond the idle timeout that callers know of.
 ///
-/// What goes wrong without it: a caller uses a connection again at the very end of
-/// the time, as it may, and meets the close that was just sent.
+/// Without the margin, a caller that correctly reuses a connection at the very end of the idle
+/// timeout finds that the host has just closed the connection.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
-/// The limits that callers are held to now: those of the shared configuration
-/// where it names them, else those of this host's settings. Both may change.
+/// The limits that currently apply to callers: those of the shared configuration if it has any,
+/// otherwise those of this host's settings. Both may change at run time.
 #[derive(Clone, Debug)]
 pub(crate) struct EffectiveLimits {
     configuration: Arc<ArcSwapOption<Numbered>>,
@@ -33,9 +33,9 @@
         self.settings.load_full()
     }
 
-    /// Time that a connection may take to bring the head of its next request. The
-    /// library has one timer for an idle connection and for a slow head, so the
-    /// longer of the two limits holds.
+    /// Timeout for receiving the head of the next request on a connection. The HTTP library has one
+    /// timer for both an idle connection and a slow request head, so the longer of the two limits
+    /// applies.
     pub(crate) fn head_timeout(&self) -> Duration {
         match self.configuration_limits() {
             Some(shared) => {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Size of a connection's read buffer, which bounds the head of a request.
+    /// Size of a connection's read buffer, which bounds the size of a request head.
     pub(crate) fn max_head_bytes(&self) -> usize {
         let max = match self.configuration_limits() {
             Some(shared) => shared.max_head_bytes,
--- a/crates/router/src/last_activity.rs
+++ b/crates/router/src/last_activity.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// When something of one kind happened last.
+/// The time of the latest activity of one kind, shared between threads.
 #[derive(Clone, Debug)]
 pub(crate) struct LastActivity {
     clock: Clock,
@@ -15,12 +15,13 @@
         }
     }
 
+    /// Records activity at the current time.
     pub(crate) fn note(&self) {
         let now = self.clock.now().as_us();
         self.last_at_us.store(now, Ordering::Relaxed);
     }
 
-    /// Time since then.
+    /// Time since the latest activity.
     pub(crate) fn idle_time(&self) -> Duration {
         let last = Time::from_us(self.last_at_us.load(Ordering::Relaxed));
         self.clock.now().since(last)
--- a/crates/router/src/parsed_request.rs
+++ b/crates/router/src/parsed_request.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// What a request asks for, by its path and body.
+/// The fields that the router reads from the path and the body of a request.
 #[derive(Debug)]
 pub(crate) struct ParsedRequest {
     pub(crate) max_output: Option<Tokens>,
-    /// Path and query for the upstream.
+    /// Path and query that are sent to the upstream.
     pub(crate) path: String,
     pub(crate) prefix: Option<PrefixHash>,
     pub(crate) prompt_tokens: Tokens,
--- a/crates/router/src/served_configuration.rs
+++ b/crates/router/src/served_configuration.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// The configuration that other hosts are handed.
+/// The configuration document that this host serves to other hosts.
 #[derive(Clone, Debug)]
 pub(crate) struct ServedConfiguration {
-    /// When it was the newest one, if that is known.
+    /// Latest time at which the document was known to be the newest; `None` if unknown.
     pub(crate) as_of: Option<Time>,
     pub(crate) document: Arc<SourceDocument>,
 }
