--- a/crates/router/src/host.rs
+++ b/crates/router/src/host.rs
@@ -182,13 +182,13 @@
             background_shutdown,
             channels,
             shared,
-            threads,
+            background_threads,
             ..
         } = parts.threads;
         background_shutdown.start();
         // A thread that still drains its channel ends once all senders are dropped.
         drop(channels);
-        for thread in threads {
+        for thread in background_threads {
             join(thread)?;
         }
         info!(logger, "host: stopped");
--- a/crates/router/src/host_threads.rs
+++ b/crates/router/src/host_threads.rs
@@ -21,7 +21,7 @@
     pub(crate) settings: Settings,
     pub(crate) shared: SharedState,
     /// Threads that stop after the caller threads and the controller thread.
-    pub(crate) threads: Vec<ThreadHandle>,
+    pub(crate) background_threads: Vec<ThreadHandle>,
 }
 
 impl HostThreads {
@@ -34,7 +34,7 @@
             channels: Channels::new(),
             shared: SharedState::new(&settings),
             settings,
-            threads: Vec::new(),
+            background_threads: Vec::new(),
         })
     }
 
@@ -97,7 +97,7 @@
             shutdown: self.background_shutdown.clone(),
             usage: self.channels.usage.1.clone(),
         };
-        self.threads.push(thread.spawn()?);
+        self.background_threads.push(thread.spawn()?);
         Ok(())
     }
 
@@ -114,7 +114,7 @@
             shutdown: self.background_shutdown.clone(),
             status: Arc::clone(&self.shared.status),
         };
-        self.threads.push(thread.spawn()?);
+        self.background_threads.push(thread.spawn()?);
         let client = PlatformClient::new(address, platform_thread::CALL_TIMEOUT);
         Ok(ConfigStore::new(Arc::new(client)))
     }
@@ -135,7 +135,7 @@
             status: Arc::clone(&self.shared.status),
             token: self.settings.peer_token.clone(),
         };
-        self.threads.push(thread.spawn()?);
+        self.background_threads.push(thread.spawn()?);
         Ok(())
     }
 
@@ -152,7 +152,7 @@
             shutdown: self.background_shutdown.clone(),
             token: self.settings.peer_token.clone(),
         };
-        self.threads.push(thread.spawn()?);
+        self.background_threads.push(thread.spawn()?);
         Ok(())
     }
 
@@ -177,7 +177,7 @@
             token: token.clone(),
             usage: self.channels.usage.0.clone(),
         };
-        self.threads.push(thread.spawn()?);
+        self.background_threads.push(thread.spawn()?);
         let service = PeerService {
             asked: self.channels.table_requests.0.clone(),
             received: Arc::clone(&self.shared.received_tables),
@@ -248,7 +248,7 @@
             listener,
             shutdown: self.background_shutdown.clone(),
         };
-        self.threads.push(http.spawn(name, answer)?);
+        self.background_threads.push(http.spawn(name, answer)?);
         Ok(())
     }
 
--- a/crates/router/src/request_statistics.rs
+++ b/crates/router/src/request_statistics.rs
@@ -90,9 +90,9 @@
             OutcomeEnd::Broken | OutcomeEnd::Failed | OutcomeEnd::Replayed => {}
         }
         self.total += 1;
-        let met = outcome.met_target || outcome.end == OutcomeEnd::Replayed;
-        self.met += u64::from(met);
-        self.window.record(now, met);
+        let is_within_target = outcome.met_target || outcome.end == OutcomeEnd::Replayed;
+        self.met += u64::from(is_within_target);
+        self.window.record(now, is_within_target);
         if let Some(first_token) = outcome.first_token {
             self.first_token_us
                 .push_back(first_token.as_micros() as u64);
