--- a/crates/router/src/channels.rs
+++ b/crates/router/src/channels.rs
@@ -1,35 +1,36 @@
 use super::*;
 
-/// Requests of other hosts for the store's tables. One entry is enough, as it only tells the
-/// directory thread that there was a request.
+/// Capacity of the channel of other hosts' requests for the store's tables. One entry is enough, as
+/// it only notifies the directory thread that there was a request.
 const TABLE_REQUEST_CAPACITY: usize = 1;
 
-/// Messages to the controller thread.
+/// Capacity of the channel of messages to the controller thread.
 const EVENT_CAPACITY: usize = 65_536;
 
-/// Configurations that were fetched from other hosts; only one is fetched at a time.
+/// Capacity of the channel of configurations that were fetched from other hosts; only one is
+/// fetched at a time.
 pub(crate) const OFFER_CAPACITY: usize = 4;
 
-/// Batches of crashes to be kept in the store.
+/// Capacity of the channel of crash batches that are to be kept in the store.
 pub(crate) const CRASH_CAPACITY: usize = 64;
 
-/// Configuration fetches; the controller requests one at a time.
+/// Capacity of the channel of configuration fetches; the controller requests one at a time.
 const FETCH_CAPACITY: usize = 4;
 
-/// Heartbeats for the peer thread.
+/// Capacity of the channel of heartbeats for the peer thread.
 const PEER_CAPACITY: usize = 16;
 
-/// Jobs for the platform thread.
+/// Capacity of the channel of jobs for the platform thread.
 const PLATFORM_CAPACITY: usize = 4_096;
 
-/// Probes for the upstream thread.
+/// Capacity of the channel of probes for the upstream thread.
 const PROBE_CAPACITY: usize = 256;
 
-/// Usage notes; holds one note from each host, as all hosts may send at the same time.
+/// Capacity of the channel of usage notes. The channel must hold one note from each host, as all
+/// hosts may send at the same time.
 const USAGE_CAPACITY: usize = 1_024;
 
-/// The bounded channels that connect the threads of a host. Each capacity constant gives the
-/// maximum number of items that wait in the channel.
+/// The bounded channels that connect the threads of a host.
 pub(crate) struct Channels {
     pub(crate) table_requests: (flume::Sender<()>, flume::Receiver<()>),
     pub(crate) crashes: (flume::Sender<Vec<Crash>>, flume::Receiver<Vec<Crash>>),
--- a/crates/router/src/host.rs
+++ b/crates/router/src/host.rs
@@ -24,8 +24,8 @@
 
 struct HostParts {
     caller_address: SocketAddr,
-    callers: Vec<ThreadHandle>,
-    controller: ThreadHandle,
+    caller_threads: Vec<ThreadHandle>,
+    controller_thread: ThreadHandle,
     operator_address: SocketAddr,
     peer_address: SocketAddr,
     threads: HostThreads,
@@ -89,16 +89,16 @@
                 (None, Some(threads.start_platform_thread()?), None)
             }
         };
-        let controller = threads.start_controller(notes)?;
+        let controller_thread = threads.start_controller(notes)?;
         threads.start_upstream_thread(protocol.clone())?;
         threads.start_operator_listeners(operators, store)?;
-        let callers = threads.start_caller_threads(&callers, protocol.as_ref())?;
+        let caller_threads = threads.start_caller_threads(&callers, protocol.as_ref())?;
         info!(threads.logger, "host: started";
             "callers" => %caller_address, "operators" => %operator_address);
         let parts = HostParts {
             caller_address,
-            callers,
-            controller,
+            caller_threads,
+            controller_thread,
             operator_address,
             peer_address,
             threads,
@@ -171,12 +171,12 @@
         std::thread::sleep(Duration::from_millis(pause_ms));
         parts.threads.caller_shutdown.start();
         let began = Instant::now();
-        for thread in std::mem::take(&mut parts.callers) {
+        for thread in std::mem::take(&mut parts.caller_threads) {
             join(thread)?;
         }
         parts.wait_for_forwarded_connections(began);
         parts.send_to_controller(ControllerMessage::Stop);
-        join(parts.controller)?;
+        join(parts.controller_thread)?;
         let HostThreads {
             logger,
             background_shutdown,
