--- a/crates/router/src/decision_log.rs
+++ b/crates/router/src/decision_log.rs
@@ -1,50 +1,49 @@
-//! One line for each decision that touches a request, and for each change of
-//! what the host believes.
+//! Logs each decision about a request and each change of the host's state, at a limited rate.
 
 use super::*;
 
-/// Time between two lines that count what was dropped.
+/// Interval between log lines that report the number of dropped lines.
 const DROPPED_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two lines on which other hosts are observed. Where hosts are many each is
-/// observed seldom, and a line for each change would be most of the log.
+/// Minimum time between log lines about the observed hosts. In a large fleet each host is observed
+/// only occasionally, and one line per change would dominate the log.
 const OBSERVED_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Most hosts that such a line names.
-const MAX_NAMED: usize = 8;
+/// Maximum number of hosts that one list in such a line names.
+const MAX_NAMED_HOSTS: usize = 8;
 
-/// What the host knew when it decided.
+/// State of the host at the time of a decision.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Knowledge {
-    /// How long ago the configuration was known to be the newest.
+pub(crate) struct DecisionContext {
+    /// Time since the configuration was last known to be the newest.
     pub(crate) config_age: Option<Duration>,
     pub(crate) queued: usize,
     pub(crate) version: Option<ConfigVersion>,
 }
 
-/// Writes the lines, within a budget.
+/// Writes the log lines, within a [`LogBudget`].
 pub(crate) struct DecisionLog {
     budget: LogBudget,
-    /// Hosts observed, by the last line on them.
-    observed: Vec<HostId>,
+    /// Observed hosts as of the last log line about them.
+    logged_observed: Vec<HostId>,
     logger: Logger,
-    next_dropped: Time,
-    next_observed: Time,
+    next_dropped_at: Time,
+    next_observed_at: Time,
 }
 
 impl DecisionLog {
     pub(crate) fn new(logger: Logger) -> Self {
         Self {
             budget: LogBudget::default(),
-            observed: Vec::new(),
+            logged_observed: Vec::new(),
             logger,
-            next_dropped: Time::default(),
-            next_observed: Time::default(),
+            next_dropped_at: Time::default(),
+            next_observed_at: Time::default(),
         }
     }
 
-    /// A request is sent to an upstream.
-    pub(crate) fn sent(&mut self, now: Time, id: &str, order: &SendOrder) {
+    /// Logs that a request is sent to an upstream.
+    pub(crate) fn log_sent(&mut self, now: Time, id: &str, order: &SendOrder) {
         if !self.budget.take(LineKind::Routine, now) {
             return;
         }
@@ -78,8 +77,8 @@
         );
     }
 
-    /// An attempt gave no answer.
-    pub(crate) fn attempt_failed(
+    /// Logs an attempt that failed; other ends of an attempt are ignored.
+    pub(crate) fn log_attempt_failure(
         &mut self,
         now: Time,
         id: &str,
@@ -106,8 +105,13 @@
         }
     }
 
-    /// A connection to an upstream was wanted; one that was made at once is counted only.
-    pub(crate) fn paths_tried(&mut self, now: Time, upstream: &UpstreamId, tries: &[PathAttempt]) {
+    /// Counts the connection attempts to an upstream and logs them if any of them failed.
+    pub(crate) fn log_path_attempts(
+        &mut self,
+        now: Time,
+        upstream: &UpstreamId,
+        tries: &[PathAttempt],
+    ) {
         for tried in tries {
             let path = match tried.path {
                 Path::Direct => "direct",
@@ -116,10 +120,10 @@
             let end = tried.outcome.as_str();
             counter!("rhubarbcove_paths_tried_total", "path" => path, "end" => end).increment(1);
         }
-        let as_usual = tries
+        let all_connected = tries
             .iter()
             .all(|tried| tried.outcome == PathOutcome::Connected);
-        if as_usual || !self.budget.take(LineKind::Important, now) {
+        if all_connected || !self.budget.take(LineKind::Important, now) {
             return;
         }
         let tries: Vec<String> = tries.iter().map(ToString::to_string).collect();
@@ -129,8 +133,8 @@
         );
     }
 
-    /// An upstream says something else of the rejections that it bears.
-    pub(crate) fn brittle_noted(&mut self, now: Time, noted: &BrittlenessChange) {
+    /// Logs a change of the rejections per second that an upstream reports it can handle.
+    pub(crate) fn log_rejection_limit(&mut self, now: Time, noted: &BrittlenessChange) {
         if self.budget.take(LineKind::Important, now) {
             info!(self.logger, "belief: brittle upstream";
                 "upstream" => %noted.upstream,
@@ -139,8 +143,8 @@
         }
     }
 
-    /// The own path to an upstream was found lost, or restored.
-    pub(crate) fn reach_noted(&mut self, now: Time, noted: &PathChange) {
+    /// Counts and logs that this host's own path to an upstream was lost or restored.
+    pub(crate) fn log_path_change(&mut self, now: Time, noted: &PathChange) {
         let change = if noted.is_open { "regained" } else { "lost" };
         counter!("rhubarbcove_own_paths_noted_total", "change" => change).increment(1);
         if !self.budget.take(LineKind::Important, now) {
@@ -157,10 +161,16 @@
         );
     }
 
-    /// A request ended.
-    pub(crate) fn ended(&mut self, now: Time, id: &str, outcome: &Outcome, known: &Knowledge) {
-        let as_it_should = matches!(outcome.end, OutcomeEnd::Finished | OutcomeEnd::Replayed);
-        let kind = if as_it_should {
+    /// Logs the outcome of a request.
+    pub(crate) fn log_end(
+        &mut self,
+        now: Time,
+        id: &str,
+        outcome: &Outcome,
+        context: &DecisionContext,
+    ) {
+        let is_success = matches!(outcome.end, OutcomeEnd::Finished | OutcomeEnd::Replayed);
+        let kind = if is_success {
             LineKind::Routine
         } else {
             LineKind::Important
@@ -185,14 +195,14 @@
             "first_token_ms" => outcome.first_token.map(millis),
             "longest_pause_ms" => millis(outcome.longest_pause),
             "in_target" => outcome.met_target,
-            "config_version" => known.version.map(ConfigVersion::get),
-            "config_age_ms" => known.config_age.map(millis),
-            "queued" => known.queued,
+            "config_version" => context.version.map(ConfigVersion::get),
+            "config_age_ms" => context.config_age.map(millis),
+            "queued" => context.queued,
         );
     }
 
-    /// The part of a class that is taken changed.
-    pub(crate) fn admission_noted(&mut self, now: Time, noted: &AdmissionChange) {
+    /// Publishes and logs a change of the fraction of a class's requests that is admitted.
+    pub(crate) fn log_admission_change(&mut self, now: Time, noted: &AdmissionChange) {
         let class = noted.class.to_string();
         gauge!("rhubarbcove_admission_level", "class" => class).set(noted.level);
         if self.budget.take(LineKind::Important, now) {
@@ -206,18 +216,19 @@
         }
     }
 
-    /// An upstream ended under a request.
-    pub(crate) fn crash_noted(&mut self, now: Time, noted: &CrashDetected) {
+    /// Counts an upstream that crashed while serving a request. Logs the crash if this host
+    /// observed it or if it is not the first crash for the fingerprint.
+    pub(crate) fn log_crash(&mut self, now: Time, noted: &CrashDetected) {
         let (source, from) = match &noted.source {
             CrashSource::Host(host) => ("advertised", Some(host.to_string())),
             CrashSource::Own => ("own", None),
             CrashSource::Store => ("store", None),
         };
         counter!("rhubarbcove_crashes_noted_total", "source" => source).increment(1);
-        // A first crash that another host saw is in that host's log. With many hosts these
-        // would be most lines.
-        let is_news = noted.source == CrashSource::Own || noted.crashes > 1;
-        if !is_news || !self.budget.take(LineKind::Important, now) {
+        // The first crash for a fingerprint is logged by the host that observed it. If every host
+        // logged it, such lines would dominate the log of a large fleet.
+        let is_logged = noted.source == CrashSource::Own || noted.crashes > 1;
+        if !is_logged || !self.budget.take(LineKind::Important, now) {
             return;
         }
         warn!(self.logger, "crashes: upstream ended under a request";
@@ -229,8 +240,8 @@
         );
     }
 
-    /// What an upstream names as its limit changed.
-    pub(crate) fn limit_noted(&mut self, now: Time, noted: &LimitChange) {
+    /// Counts and logs a change of the rate limit that an upstream reports.
+    pub(crate) fn log_limit_change(&mut self, now: Time, noted: &LimitChange) {
         let source = noted.source.as_str();
         counter!("rhubarbcove_limits_noted_total", "source" => source).increment(1);
         if self.budget.take(LineKind::Important, now) {
@@ -242,8 +253,8 @@
         }
     }
 
-    /// What an engine is believed to do changed.
-    pub(crate) fn speed_noted(&mut self, now: Time, noted: &SpeedChange) {
+    /// Logs a change of the estimated speed of an engine.
+    pub(crate) fn log_speed_change(&mut self, now: Time, noted: &SpeedChange) {
         if self.budget.take(LineKind::Important, now) {
             info!(self.logger, "belief: engine speed";
                 "upstream" => %noted.upstream,
@@ -256,8 +267,8 @@
         }
     }
 
-    /// An upstream is newly known to leave.
-    pub(crate) fn leaving_noted(&mut self, now: Time, noted: &LeavingDetected) {
+    /// Counts and logs an upstream that is newly known to be leaving.
+    pub(crate) fn log_leaving(&mut self, now: Time, noted: &LeavingDetected) {
         let source = noted.source.as_str();
         counter!("rhubarbcove_leaving_noted_total", "source" => source).increment(1);
         if self.budget.take(LineKind::Important, now) {
@@ -269,8 +280,8 @@
         }
     }
 
-    /// An upstream said something of itself in an answer.
-    pub(crate) fn notice_answered(
+    /// Counts and logs what an upstream reported about itself in a response.
+    pub(crate) fn log_upstream_notice(
         &mut self,
         now: Time,
         upstream: &UpstreamId,
@@ -278,7 +289,7 @@
     ) {
         if let AdvertisedLimit::Invalid(text) = &notice.limit {
             counter!("rhubarbcove_limits_unreadable_total").increment(1);
-            self.unreadable(
+            self.log_invalid_value(
                 now,
                 "request: unreadable limit in an answer",
                 upstream,
@@ -287,7 +298,7 @@
         }
         if let AdvertisedLimit::Invalid(text) = &notice.rejection_limit {
             counter!("rhubarbcove_brittleness_unreadable_total").increment(1);
-            self.unreadable(
+            self.log_invalid_value(
                 now,
                 "request: unreadable brittleness in an answer",
                 upstream,
@@ -296,7 +307,7 @@
         }
         if let AdvertisedBackoff::Invalid(text) = &notice.backoff {
             counter!("rhubarbcove_backoffs_unreadable_total").increment(1);
-            self.unreadable(
+            self.log_invalid_value(
                 now,
                 "request: unreadable backoff in an answer",
                 upstream,
@@ -313,8 +324,8 @@
         if notice.leaving {
             counter!("rhubarbcove_leaving_answers_total").increment(1);
         }
-        let is_news = notice.leaving || backoff.is_some();
-        if is_news && self.budget.take(LineKind::Important, now) {
+        let is_logged = notice.leaving || backoff.is_some();
+        if is_logged && self.budget.take(LineKind::Important, now) {
             info!(self.logger, "request: answer says";
                 "upstream" => %upstream,
                 "leaving" => notice.leaving,
@@ -323,14 +334,26 @@
         }
     }
 
-    fn unreadable(&mut self, now: Time, what: &'static str, upstream: &UpstreamId, text: &str) {
+    fn log_invalid_value(
+        &mut self,
+        now: Time,
+        message: &'static str,
+        upstream: &UpstreamId,
+        text: &str,
+    ) {
         if self.budget.take(LineKind::Important, now) {
-            warn!(self.logger, "{}", what; "upstream" => %upstream, "value" => text);
+            warn!(self.logger, "{}", message; "upstream" => %upstream, "value" => text);
         }
     }
 
-    /// A request was refused before anything had to be decided.
-    pub(crate) fn turned_away(&mut self, now: Time, id: &str, reason: &str, known: &Knowledge) {
+    /// Logs a request that was rejected before it reached the controller.
+    pub(crate) fn log_rejected(
+        &mut self,
+        now: Time,
+        id: &str,
+        reason: &str,
+        context: &DecisionContext,
+    ) {
         if !self.budget.take(LineKind::Important, now) {
             return;
         }
@@ -338,13 +361,18 @@
             "id" => id,
             "reason" => reason,
             "verdict" => Verdict::NotRun.as_str(),
-            "config_version" => known.version.map(ConfigVersion::get),
-            "config_age_ms" => known.config_age.map(millis),
+            "config_version" => context.version.map(ConfigVersion::get),
+            "config_age_ms" => context.config_age.map(millis),
         );
     }
 
-    /// What the host believes has changed.
-    pub(crate) fn changed(&mut self, now: Time, before: &HostStatus, after: &HostStatus) {
+    /// Logs the differences between two host statuses.
+    pub(crate) fn log_status_changes(
+        &mut self,
+        now: Time,
+        before: &HostStatus,
+        after: &HostStatus,
+    ) {
         if before.phase != after.phase && self.budget.take(LineKind::Important, now) {
             info!(self.logger, "belief: phase"; "phase" => format!("{:?}", after.phase));
         }
@@ -355,39 +383,40 @@
             info!(self.logger, "belief: configuration known to be the newest";
                 "known" => after.current);
         }
-        self.set_changed(
+        self.log_set_change(
             now,
             "belief: upstreams ejected",
             &before.ejected,
             &after.ejected,
         );
-        self.set_changed(
+        self.log_set_change(
             now,
             "belief: upstreams leaving",
             &before.leaving,
             &after.leaving,
         );
-        self.set_changed(
+        self.log_set_change(
             now,
             "belief: upstreams used though not listed",
             &before.unlisted,
             &after.unlisted,
         );
-        self.observed_changed(now, &after.observed);
+        self.log_observed_changes(now, &after.observed);
     }
 
-    /// Which hosts are observed: what changed since the last line, at most one in some seconds.
-    fn observed_changed(&mut self, now: Time, observed: &[HostId]) {
-        if now < self.next_observed || self.observed == observed {
+    /// Logs the changes of the observed hosts since the last such line, at most once per
+    /// [`OBSERVED_INTERVAL`].
+    fn log_observed_changes(&mut self, now: Time, observed: &[HostId]) {
+        if now < self.next_observed_at || self.logged_observed == observed {
             return;
         }
-        self.next_observed = now + OBSERVED_INTERVAL;
-        let before = std::mem::replace(&mut self.observed, observed.to_vec());
+        self.next_observed_at = now + OBSERVED_INTERVAL;
+        let before = std::mem::replace(&mut self.logged_observed, observed.to_vec());
         if !self.budget.take(LineKind::Important, now) {
             return;
         }
-        let named = |hosts: Vec<String>| {
-            let more = hosts.len().saturating_sub(MAX_NAMED);
+        let join_names = |hosts: Vec<String>| {
+            let more = hosts.len().saturating_sub(MAX_NAMED_HOSTS);
             let names = hosts[..hosts.len() - more].join(",");
             if more == 0 {
                 names
@@ -396,35 +425,35 @@
             }
         };
         info!(self.logger, "belief: hosts observed";
-            "added" => named(only(observed, &before)),
-            "gone" => named(only(&before, observed)),
+            "added" => join_names(difference(observed, &before)),
+            "gone" => join_names(difference(&before, observed)),
             "count" => observed.len(),
         );
     }
 
-    fn set_changed<T: Display + PartialEq>(
+    fn log_set_change<T: Display + PartialEq>(
         &mut self,
         now: Time,
-        what: &'static str,
+        message: &'static str,
         before: &[T],
         after: &[T],
     ) {
         if before == after || !self.budget.take(LineKind::Important, now) {
             return;
         }
-        info!(self.logger, "{}", what;
-            "added" => only(after, before).join(","),
-            "gone" => only(before, after).join(","),
+        info!(self.logger, "{}", message;
+            "added" => difference(after, before).join(","),
+            "gone" => difference(before, after).join(","),
             "count" => after.len(),
         );
     }
 
-    /// Says now and then how many lines were dropped.
-    pub(crate) fn tick(&mut self, now: Time) {
-        if now < self.next_dropped {
+    /// Logs and counts the dropped lines, at most once per [`DROPPED_INTERVAL`].
+    pub(crate) fn log_dropped_lines(&mut self, now: Time) {
+        if now < self.next_dropped_at {
             return;
         }
-        self.next_dropped = now + DROPPED_INTERVAL;
+        self.next_dropped_at = now + DROPPED_INTERVAL;
         let (important, routine) = self.budget.take_dropped();
         if important + routine == 0 {
             return;
@@ -435,10 +464,10 @@
     }
 }
 
-/// What one of two sets has and the other has not.
-fn only<T: Display + PartialEq>(of: &[T], than: &[T]) -> Vec<String> {
-    let only = of.iter().filter(|id| !than.contains(id));
-    only.map(ToString::to_string).collect()
+/// The items of `items` that are not in `others`.
+fn difference<T: Display + PartialEq>(items: &[T], others: &[T]) -> Vec<String> {
+    let difference = items.iter().filter(|item| !others.contains(item));
+    difference.map(ToString::to_string).collect()
 }
 
 fn millis(span: Duration) -> u64 {
--- a/crates/router/src/host.rs
+++ b/crates/router/src/host.rs
@@ -1,64 +1,71 @@
 use super::*;
 
-/// Time without bytes after which connections that are passed on count as idle.
-const PASSING_PAUSE: Duration = Duration::from_secs(1);
+/// Time without traffic after which forwarded connections count as idle.
+const FORWARDING_IDLE_TIME: Duration = Duration::from_secs(1);
 
-/// Pause between two looks at them.
-const PASSING_LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a stopping host checks the forwarded connections.
+const FORWARDING_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause between two looks at whether a host is ready.
-const READY_PAUSE: Duration = Duration::from_millis(5);
+/// Interval at which [`Host::wait_ready`] checks the status.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A host in one phase of its life. A phase is left by a method that takes the
-/// host and returns the next one, so none can be skipped or entered twice.
+/// A host in one phase of its life cycle. A method that ends a phase consumes the host and returns
+/// it in the next phase, so no phase can be skipped or entered twice.
 pub struct Host<S> {
-    parts: Parts,
+    parts: HostParts,
     state: S,
 }
 
-/// Takes requests, or will as soon as it has a configuration.
+/// Phase of a host that accepts requests, or will accept them once it has a configuration.
 pub struct Serving;
 
-/// Fails its readiness check, and still answers what comes.
+/// Phase of a host that fails its readiness check but still serves requests.
 pub struct Draining;
 
-struct Parts {
+struct HostParts {
     caller_address: SocketAddr,
-    callers: Vec<Thread>,
-    controller: Thread,
+    caller_threads: Vec<ThreadHandle>,
+    controller_thread: ThreadHandle,
     operator_address: SocketAddr,
     peer_address: SocketAddr,
-    wiring: Wiring,
+    threads: HostThreads,
 }
 
-impl Parts {
-    /// Tells the controller something; it outlives the host's other parts.
-    fn tell(&self, event: RingEvent) {
-        let _ = self.wiring.rings.events.0.send(event);
+impl HostParts {
+    /// Sends a message to the controller thread. The result is ignored: the controller thread runs
+    /// until it receives the stop message.
+    fn send_to_controller(&self, message: ControllerMessage) {
+        let _ = self.threads.channels.events.0.send(message);
     }
 
-    /// Lets other hosts' requests end that are passed on to upstreams, within the time for own
-    /// ones. New ones have been declined since the drain began.
-    fn finish_passing(&self, began: Instant) {
-        let limit = relay_rules::drain_limit(&self.wiring.settings).unwrap_or_default();
-        let Shared {
-            activity, passing, ..
-        } = &self.wiring.shared;
-        while passing.count() > 0 && activity.idle() < PASSING_PAUSE && began.elapsed() < limit {
-            std::thread::sleep(PASSING_LOOK);
+    /// Waits until all connections that are forwarded to upstreams for other hosts have ended, none
+    /// of them has carried data for [`FORWARDING_IDLE_TIME`], or the drain limit of this host's own
+    /// requests has passed. New connections have been declined since the drain began.
+    fn wait_for_forwarded_connections(&self, began: Instant) {
+        let limit = relay_rules::drain_limit(&self.threads.settings).unwrap_or_default();
+        let SharedState {
+            forwarding_activity,
+            forwarded_connections,
+            ..
+        } = &self.threads.shared;
+        while forwarded_connections.count() > 0
+            && forwarding_activity.idle_time() < FORWARDING_IDLE_TIME
+            && began.elapsed() < limit
+        {
+            std::thread::sleep(FORWARDING_POLL_INTERVAL);
         }
     }
 }
 
 impl Host<Serving> {
-    /// Opens the listeners and starts the threads. It returns at once; the
-    /// host is ready when it has read a configuration from the platform.
+    /// Opens the listeners and starts the threads. Returns without waiting for a configuration; the
+    /// host is ready when it has read one from the platform.
     pub fn start(settings: Settings, logger: Logger) -> eyre::Result<Self> {
         Self::start_in(settings, None, logger)
     }
 
-    /// The same in an installation: requests are relayed by its protocol, and
-    /// configuration and upstreams are read from its directory.
+    /// Like [`Self::start`], but in an installation if one is given: requests are relayed by its
+    /// protocol, and the configuration and the upstreams are read from its directory.
     pub fn start_in(
         settings: Settings,
         installation: Option<Installation>,
@@ -70,31 +77,31 @@
         let caller_address = callers.local_addr()?;
         let operator_address = operators.local_addr()?;
         let peer_address = peers.local_addr()?;
-        let mut wiring = Wiring::new(settings, logger)?;
+        let mut threads = HostThreads::new(settings, logger)?;
         let (protocol, store, notes) = match installation {
             Some(installation) => {
-                wiring.follow_directory(installation.directory)?;
-                let notes = wiring.exchange_notes(peers)?;
+                threads.start_directory_thread(installation.directory)?;
+                let notes = threads.start_note_thread(peers)?;
                 (Some(installation.protocol), None, Some(notes))
             }
             None => {
-                wiring.exchange_heartbeats(peers)?;
-                (None, Some(wiring.follow_store()?), None)
+                threads.start_peer_thread(peers)?;
+                (None, Some(threads.start_platform_thread()?), None)
             }
         };
-        let controller = wiring.start_controller(notes)?;
-        wiring.watch_upstreams(protocol.clone())?;
-        wiring.answer_operators(operators, store)?;
-        let callers = wiring.answer_callers(&callers, protocol.as_ref())?;
-        info!(wiring.logger, "host: started";
+        let controller_thread = threads.start_controller(notes)?;
+        threads.start_upstream_thread(protocol.clone())?;
+        threads.start_operator_listeners(operators, store)?;
+        let caller_threads = threads.start_caller_threads(&callers, protocol.as_ref())?;
+        info!(threads.logger, "host: started";
             "callers" => %caller_address, "operators" => %operator_address);
-        let parts = Parts {
+        let parts = HostParts {
             caller_address,
-            callers,
-            controller,
+            caller_threads,
+            controller_thread,
             operator_address,
             peer_address,
-            wiring,
+            threads,
         };
         Ok(Self {
             parts,
@@ -102,49 +109,51 @@
         })
     }
 
-    /// Waits until the host takes requests; false if it takes longer.
+    /// Waits until the host accepts requests; returns false if that takes longer than `longest`.
     pub fn wait_ready(&self, longest: Duration) -> bool {
         let deadline = Instant::now() + longest;
         while self.status().phase != HostPhase::Serving {
             if Instant::now() >= deadline {
                 return false;
             }
-            std::thread::sleep(READY_PAUSE);
+            std::thread::sleep(READY_POLL_INTERVAL);
         }
         true
     }
 
-    /// Follows changed settings. Those that only a new start can follow are
-    /// logged.
+    /// Applies changed settings. If some changes need a restart, the log line says so.
     pub fn reload(&mut self, settings: Settings) {
         let limits = settings.limits.clone();
-        self.parts.wiring.shared.limits.store(Arc::new(limits));
+        self.parts.threads.shared.limits.store(Arc::new(limits));
         let max_queued = settings.limits.max_queued;
         self.parts
-            .tell(RingEvent::Happened(Event::QueueLimitChanged(max_queued)));
-        let current = &mut self.parts.wiring.settings;
+            .send_to_controller(ControllerMessage::Event(Event::QueueLimitChanged(
+                max_queued,
+            )));
+        let current = &mut self.parts.threads.settings;
         current.limits.clone_from(&settings.limits);
         current.balancer_pause_ms = settings.balancer_pause_ms;
         if current.relay.is_some() && settings.relay.is_some() {
             current.relay.clone_from(&settings.relay);
         }
-        let all_followed = *current == settings;
+        let is_fully_applied = *current == settings;
         if let Some(relay) = &settings.relay {
             let rules = relay_rules::relay_rules(relay);
             self.parts
-                .tell(RingEvent::Happened(Event::RulesChanged(rules)));
+                .send_to_controller(ControllerMessage::Event(Event::RulesChanged(rules)));
         }
-        info!(self.parts.wiring.logger, "host: settings reloaded";
-            "needs_restart" => !all_followed);
+        info!(self.parts.threads.logger, "host: settings reloaded";
+            "needs_restart" => !is_fully_applied);
     }
 
-    /// Begins a planned stop: the readiness check fails from now on, while
-    /// requests are still answered.
+    /// Starts a graceful stop: from now on the readiness check fails, while requests are still
+    /// served.
     pub fn drain(self) -> Host<Draining> {
-        info!(self.parts.wiring.logger, "host: draining");
-        let draining = &self.parts.wiring.shared.draining;
+        info!(self.parts.threads.logger, "host: draining");
+        let draining = &self.parts.threads.shared.draining;
         draining.store(true, Ordering::Relaxed);
-        self.parts.tell(RingEvent::Happened(Event::DrainStarted));
+        self.parts
+            .send_to_controller(ControllerMessage::Event(Event::DrainStarted));
         Host {
             parts: self.parts,
             state: Draining,
@@ -153,33 +162,33 @@
 }
 
 impl Host<Draining> {
-    /// Ends the planned stop: waits for the balancer to see the failed
-    /// readiness check, lets every request in flight end, settles the claims
-    /// and joins the threads. Gives back what the host counted.
+    /// Completes the graceful stop: waits for the load balancer to see the failed readiness check,
+    /// lets the requests in flight end, settles the idempotency claims and joins the threads. In an
+    /// installation, the drain limit bounds the wait for requests. Returns the report of the host.
     pub fn stop(self) -> eyre::Result<Report> {
         let mut parts = self.parts;
-        let pause_ms = parts.wiring.settings.balancer_pause_ms;
+        let pause_ms = parts.threads.settings.balancer_pause_ms;
         std::thread::sleep(Duration::from_millis(pause_ms));
-        parts.wiring.callers_stop.start();
+        parts.threads.caller_shutdown.start();
         let began = Instant::now();
-        for thread in std::mem::take(&mut parts.callers) {
+        for thread in std::mem::take(&mut parts.caller_threads) {
             join(thread)?;
         }
-        parts.finish_passing(began);
-        parts.tell(RingEvent::Stop);
-        join(parts.controller)?;
-        let Wiring {
+        parts.wait_for_forwarded_connections(began);
+        parts.send_to_controller(ControllerMessage::Stop);
+        join(parts.controller_thread)?;
+        let HostThreads {
             logger,
-            others_stop,
-            rings,
+            background_shutdown,
+            channels,
             shared,
-            threads,
+            background_threads,
             ..
-        } = parts.wiring;
-        others_stop.start();
-        // A thread that still empties its ring ends once nobody can fill it.
-        drop(rings);
-        for thread in threads {
+        } = parts.threads;
+        background_shutdown.start();
+        // A thread that still drains its channel ends once all senders are dropped.
+        drop(channels);
+        for thread in background_threads {
             join(thread)?;
         }
         info!(logger, "host: stopped");
@@ -188,38 +197,38 @@
 }
 
 impl<S> Host<S> {
-    /// Where it listens for callers.
+    /// Address on which the host listens for callers.
     pub const fn caller_address(&self) -> SocketAddr {
         self.parts.caller_address
     }
 
-    /// Where it listens for operators.
+    /// Address on which the host listens for operators.
     pub const fn operator_address(&self) -> SocketAddr {
         self.parts.operator_address
     }
 
-    /// Where it listens for other hosts.
+    /// Address on which the host listens for other hosts.
     pub const fn peer_address(&self) -> SocketAddr {
         self.parts.peer_address
     }
 
-    /// What it shows of itself.
+    /// Latest published status of the host.
     pub fn status(&self) -> HostStatus {
-        (**self.parts.wiring.shared.status.load()).clone()
+        (**self.parts.threads.shared.status.load()).clone()
     }
 
-    /// Its report on service-level burn.
+    /// Report on service levels and error budgets.
     pub fn report(&self) -> Report {
-        self.parts.wiring.shared.report()
+        self.parts.threads.shared.report()
     }
 
-    /// The phase it is in.
+    /// Current phase of the host.
     pub const fn phase(&self) -> &S {
         &self.state
     }
 }
 
-fn join(thread: Thread) -> eyre::Result<()> {
+fn join(thread: ThreadHandle) -> eyre::Result<()> {
     let name = thread.thread().name().unwrap_or("unnamed").to_string();
     thread
         .join()
--- a/crates/router/src/instructions.rs
+++ b/crates/router/src/instruction_receiver.rs
@@ -1,36 +1,38 @@
 use super::*;
 
-/// The controller's instructions for one request.
-pub(crate) struct Instructions {
-    /// One that came while an attempt was under way.
-    next: Option<Instruction>,
+/// Receives the controller's instructions for one request.
+pub(crate) struct InstructionReceiver {
+    /// Instruction that was received while an attempt was running.
+    buffered: Option<Instruction>,
     receiver: mpsc::Receiver<Instruction>,
 }
 
-impl Instructions {
+impl InstructionReceiver {
     pub(crate) const fn new(receiver: mpsc::Receiver<Instruction>) -> Self {
         Self {
-            next: None,
+            buffered: None,
             receiver,
         }
     }
 
     /// The next instruction; `None` once the request has ended.
     pub(crate) async fn next(&mut self) -> Option<Instruction> {
-        match self.next.take() {
+        match self.buffered.take() {
             Some(instruction) => Some(instruction),
             None => self.receiver.recv().await,
         }
     }
 
-    /// Waits until an attempt is to be given up.
-    pub(crate) async fn abandoned(&mut self, attempt: AttemptId) {
-        while self.next.is_none() {
+    /// Waits until the controller abandons the attempt, and ignores the abandonment of any other
+    /// attempt. Another instruction is buffered for [`Self::next`], and the future then never
+    /// completes.
+    pub(crate) async fn wait_for_abandon(&mut self, attempt: AttemptId) {
+        while self.buffered.is_none() {
             match self.receiver.recv().await {
                 Some(Instruction::Abandon(abandoned)) if abandoned == attempt => return,
                 Some(Instruction::Abandon(_)) => {}
                 next => {
-                    self.next = next;
+                    self.buffered = next;
                     break;
                 }
             }
