--- a/crates/router/src/answer_sender.rs
+++ b/crates/router/src/answer_sender.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 /// Frames of a stream that wait for a slow reader.
-const FRAME_RING: usize = 16;
+const MAX_WAITING_PARTS: usize = 16;
 
-enum Part {
+enum BodyPart {
     Bytes(UnreadPart),
     /// The body is complete.
     End,
 }
 
-enum Way {
+enum SendState {
     /// The head has not been sent.
     Head(oneshot::Sender<Response<AnswerBody>>),
     /// The body is being streamed.
-    Stream(mpsc::Sender<Part>),
+    Stream(mpsc::Sender<BodyPart>),
     /// All has been sent, or the caller is gone.
     Closed,
 }
@@ -21,7 +21,7 @@
 /// The way back to the caller of one request.
 pub(crate) struct AnswerSender {
     reader: Arc<AnswerReader>,
-    way: Way,
+    state: SendState,
 }
 
 impl AnswerSender {
@@ -31,7 +31,7 @@
     ) -> Self {
         Self {
             reader,
-            way: Way::Head(head),
+            state: SendState::Head(head),
         }
     }
 
@@ -41,17 +41,17 @@
     }
 
     /// Returns once the caller is gone.
-    pub(crate) async fn gone(&mut self) {
-        match &mut self.way {
-            Way::Head(head) => head.closed().await,
-            Way::Stream(frames) => frames.closed().await,
-            Way::Closed => std::future::pending().await,
+    pub(crate) async fn caller_gone(&mut self) {
+        match &mut self.state {
+            SendState::Head(head) => head.closed().await,
+            SendState::Stream(parts) => parts.closed().await,
+            SendState::Closed => std::future::pending().await,
         }
     }
 
     /// Sends a whole answer, if nothing has been sent yet.
     pub(crate) fn send_whole(&mut self, response: Response<AnswerBody>) {
-        if let Way::Head(head) = std::mem::replace(&mut self.way, Way::Closed) {
+        if let SendState::Head(head) = std::mem::replace(&mut self.state, SendState::Closed) {
             let _ = head.send(response);
         }
     }
@@ -71,18 +71,18 @@
     /// task that ends early, for whatever reason, leaves an answer that looks
     /// complete to the caller and is not.
     pub(crate) fn start_stream(&mut self, head: Response<()>) {
-        if !matches!(self.way, Way::Head(_)) {
+        if !matches!(self.state, SendState::Head(_)) {
             return;
         }
-        let (frames, mut receiver) = mpsc::channel::<Part>(FRAME_RING);
+        let (parts, mut receiver) = mpsc::channel::<BodyPart>(MAX_WAITING_PARTS);
         let mut ended = false;
         let body = StreamBody::new(futures::stream::poll_fn(move |context| {
             if ended {
                 return Poll::Ready(None);
             }
             receiver.poll_recv(context).map(|part| match part {
-                Some(Part::Bytes(bytes)) => Some(Ok(Frame::data(bytes.into_bytes()))),
-                Some(Part::End) => {
+                Some(BodyPart::Bytes(bytes)) => Some(Ok(Frame::data(bytes.into_bytes()))),
+                Some(BodyPart::End) => {
                     ended = true;
                     None
                 }
@@ -93,7 +93,8 @@
             })
         }));
         let response = head.map(|()| body.boxed_unsync());
-        if let Way::Head(head) = std::mem::replace(&mut self.way, Way::Stream(frames)) {
+        if let SendState::Head(head) = std::mem::replace(&mut self.state, SendState::Stream(parts))
+        {
             let _ = head.send(response);
         }
     }
@@ -101,23 +102,23 @@
     /// Sends part of a stream as soon as there is room for it; false if the caller is gone
     /// or reads too slowly.
     pub(crate) async fn send_part(&mut self, part: Bytes, slow_reader: Duration) -> bool {
-        let Way::Stream(frames) = &self.way else {
+        let SendState::Stream(parts) = &self.state else {
             return false;
         };
         let mut rest = part;
         while !rest.is_empty() {
             let part = AnswerReader::split_part(&mut rest);
-            let held = tokio::select! {
+            let reserved = tokio::select! {
                 biased;
-                held = self.reader.hold_offered(part, slow_reader) => held,
-                () = frames.closed() => return false,
+                reserved = self.reader.reserve_streamed(part, slow_reader) => reserved,
+                () = parts.closed() => return false,
             };
-            let sent = match held {
-                Some(part) => send_held(frames, part, slow_reader).await,
-                None => Err(Unsent::TooSlow),
+            let sent = match reserved {
+                Some(part) => send_reserved(parts, part, slow_reader).await,
+                None => Err(SendFailure::TooSlow),
             };
-            if let Err(unsent) = sent {
-                unsent.count();
+            if let Err(failure) = sent {
+                failure.count();
                 return false;
             }
         }
@@ -127,45 +128,45 @@
     /// Marks the body as complete; false if the caller is gone or reads too
     /// slowly.
     pub(crate) async fn finish(&mut self, slow_reader: Duration) -> bool {
-        match std::mem::replace(&mut self.way, Way::Closed) {
-            Way::Stream(frames) => {
+        match std::mem::replace(&mut self.state, SendState::Closed) {
+            SendState::Stream(parts) => {
                 matches!(
-                    timeout(slow_reader, frames.send(Part::End)).await,
+                    timeout(slow_reader, parts.send(BodyPart::End)).await,
                     Ok(Ok(()))
                 )
             }
-            Way::Head(_) | Way::Closed => false,
+            SendState::Head(_) | SendState::Closed => false,
         }
     }
 }
 
 /// Why a part was not sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Unsent {
+enum SendFailure {
     Gone,
     TooSlow,
 }
 
-impl Unsent {
+impl SendFailure {
     fn count(self) {
         if self == Self::TooSlow {
-            answer_reader::count("timed-out");
+            answer_reader::count_slow_reader("timed-out");
         }
     }
 }
 
-async fn send_held(
-    frames: &mpsc::Sender<Part>,
+async fn send_reserved(
+    parts: &mpsc::Sender<BodyPart>,
     part: UnreadPart,
     slow_reader: Duration,
-) -> Result<(), Unsent> {
-    match frames.try_send(Part::Bytes(part)) {
+) -> Result<(), SendFailure> {
+    match parts.try_send(BodyPart::Bytes(part)) {
         Ok(()) => Ok(()),
-        Err(mpsc::error::TrySendError::Closed(_)) => Err(Unsent::Gone),
+        Err(mpsc::error::TrySendError::Closed(_)) => Err(SendFailure::Gone),
         Err(mpsc::error::TrySendError::Full(part)) => {
-            match timeout(slow_reader, frames.send(part)).await {
-                Ok(sent) => sent.map_err(|_| Unsent::Gone),
-                Err(_) => Err(Unsent::TooSlow),
+            match timeout(slow_reader, parts.send(part)).await {
+                Ok(sent) => sent.map_err(|_| SendFailure::Gone),
+                Err(_) => Err(SendFailure::TooSlow),
             }
         }
     }
--- a/crates/router/src/answers.rs
+++ b/crates/router/src/answers.rs
@@ -57,7 +57,7 @@
 }
 
 /// The answer to a request whose body cannot be used.
-pub(crate) fn body_refused(error: &BodyError) -> Response<AnswerBody> {
+pub(crate) fn body_error_answer(error: &BodyError) -> Response<AnswerBody> {
     let status = error.status();
     let mut response = error_answer(status, error.code(), &error.to_string(), Verdict::NotRun);
     if status == StatusCode::SERVICE_UNAVAILABLE {
@@ -93,7 +93,7 @@
 }
 
 /// The answer to a request whose task ended without a word: nothing is known of it.
-pub(crate) fn lost_track() -> Response<AnswerBody> {
+pub(crate) fn lost_request_answer() -> Response<AnswerBody> {
     let message = "the host lost track of the request";
     let verdict = Verdict::MayHaveRun;
     error_answer(StatusCode::BAD_GATEWAY, "lost_track", message, verdict)
@@ -130,7 +130,7 @@
 
 /// The answer to a relayed request that is refused. Only a request that has not
 /// run and never will gets a status that says so.
-pub(crate) fn relayed_refusal(refusal: &Refusal) -> Response<AnswerBody> {
+pub(crate) fn relayed_refusal_answer(refusal: &Refusal) -> Response<AnswerBody> {
     let reason = refusal.reason;
     let status = match (refusal_status(reason), refusal.verdict) {
         (StatusCode::BAD_GATEWAY, Verdict::NotRun) => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/router/src/body_budget.rs
+++ b/crates/router/src/body_budget.rs
@@ -7,37 +7,37 @@
 /// request on the host breaks off. One would notice restarts of hosts in a burst.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BodyBudget {
-    held: Arc<AtomicU64>,
+    reserved_bytes: Arc<AtomicU64>,
 }
 
 impl BodyBudget {
-    /// Nothing held yet, for one more request.
-    pub(crate) fn open(&self) -> HeldBytes {
-        HeldBytes {
+    /// Nothing reserved_bytes yet, for one more request.
+    pub(crate) fn start_reservation(&self) -> BodyReservation {
+        BodyReservation {
             bytes: 0,
-            held: Arc::clone(&self.held),
+            reserved_bytes: Arc::clone(&self.reserved_bytes),
         }
     }
 }
 
 /// The bytes of one request's body. They are given back when it is dropped.
 #[derive(Debug)]
-pub(crate) struct HeldBytes {
+pub(crate) struct BodyReservation {
     bytes: u64,
-    held: Arc<AtomicU64>,
+    reserved_bytes: Arc<AtomicU64>,
 }
 
-impl HeldBytes {
+impl BodyReservation {
     /// Takes more; false if all requests together would hold more than `max`.
-    pub(crate) fn grow(&mut self, bytes: u64, max: ByteSize) -> bool {
-        let before = self.held.fetch_add(bytes, Ordering::Relaxed);
+    pub(crate) fn add(&mut self, bytes: u64, max: ByteSize) -> bool {
+        let before = self.reserved_bytes.fetch_add(bytes, Ordering::Relaxed);
         self.bytes += bytes;
         before + bytes <= max.get()
     }
 }
 
-impl Drop for HeldBytes {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.held.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.reserved_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
--- a/crates/router/src/caller_interface.rs
+++ b/crates/router/src/caller_interface.rs
@@ -5,7 +5,7 @@
 #[derive(Clone)]
 pub(crate) enum CallerInterface {
     /// OpenAI-style requests and calls to plain services.
-    Own(CallerService),
+    OpenAi(CallerService),
     /// Requests that are relayed unchanged by route.
     Relay(RelayService),
 }
@@ -17,23 +17,23 @@
         reader: Arc<AnswerReader>,
     ) -> Response<AnswerBody> {
         match self {
-            Self::Own(service) => service.answer(request, reader).await,
+            Self::OpenAi(service) => service.answer(request, reader).await,
             Self::Relay(service) => service.answer(request, reader).await,
         }
     }
 
     pub(crate) const fn limits(&self) -> &LimitsInForce {
         match self {
-            Self::Own(service) => &service.limits,
+            Self::OpenAi(service) => &service.limits,
             Self::Relay(service) => &service.limits,
         }
     }
 
     /// The tasks that serve requests, to be joined at the end.
-    pub(crate) fn take_pumps(&self) -> JoinSet<()> {
+    pub(crate) fn take_tasks(&self) -> JoinSet<()> {
         match self {
-            Self::Own(service) => service.pumps.take(),
-            Self::Relay(service) => service.pumps.take(),
+            Self::OpenAi(service) => service.tasks.take(),
+            Self::Relay(service) => service.tasks.take(),
         }
     }
 }
--- a/crates/router/src/caller_request.rs
+++ b/crates/router/src/caller_request.rs
@@ -12,7 +12,7 @@
 /// A request of a caller, read whole.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
-    pub(crate) asked: Asked,
+    pub(crate) parsed: Asked,
     pub(crate) body: WholeBody,
     pub(crate) class: Option<ClassId>,
     pub(crate) content_type: String,
@@ -59,7 +59,7 @@
 impl CallerRequest {
     /// Whether it is for an engine, which can resume and cancel.
     pub(crate) const fn is_for_engine(&self) -> bool {
-        matches!(self.asked.target, Target::Model(_))
+        matches!(self.parsed.target, Target::Model(_))
     }
 
     pub(crate) fn arrival(&self, request: RequestId) -> Arrival {
@@ -67,19 +67,19 @@
             class: self.class.clone(),
             fingerprint: self.fingerprint,
             key_hash: Some(self.key_hash),
-            max_output: self.asked.max_output,
-            prefix: self.asked.prefix,
-            prompt_tokens: self.asked.prompt,
+            max_output: self.parsed.max_output,
+            prefix: self.parsed.prefix,
+            prompt_tokens: self.parsed.prompt,
             repeatability: self.repeatability.clone(),
             request,
             routed: None,
-            target: self.asked.target.clone(),
+            target: self.parsed.target.clone(),
         }
     }
 
     /// Whether the request must be carried to its end though the caller is
     /// gone, because a retry with the same key will ask for its answer.
-    pub(crate) const fn is_keyed(&self) -> bool {
+    pub(crate) const fn has_idempotency_key(&self) -> bool {
         matches!(self.repeatability, Repeatability::AtMostOncePerKey { .. })
     }
 
@@ -89,7 +89,7 @@
             body: self.body.bytes.clone(),
             content_type: self.content_type.clone(),
             method: self.method.clone(),
-            path: self.asked.path.clone(),
+            path: self.parsed.path.clone(),
             priority: order.priority,
         }
     }
--- a/crates/router/src/caller_service.rs
+++ b/crates/router/src/caller_service.rs
@@ -3,39 +3,39 @@
 /// Requests of one caller thread, from HTTP to the controller and back.
 #[derive(Clone)]
 pub(crate) struct CallerService {
-    pub(crate) bodies: BodyBudget,
+    pub(crate) body_budget: BodyBudget,
     pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
     pub(crate) connections: Connections,
     pub(crate) events: flume::Sender<RingEvent>,
     pub(crate) limits: LimitsInForce,
     pub(crate) next_request: Arc<AtomicU64>,
-    pub(crate) pumps: Pumps,
+    pub(crate) tasks: TaskSet,
 }
 
-type Answered = Response<AnswerBody>;
+type HttpAnswer = Response<AnswerBody>;
 
 impl CallerService {
     pub(crate) async fn answer(
         &self,
         request: Request<Incoming>,
         reader: Arc<AnswerReader>,
-    ) -> Answered {
-        match self.read(request).await {
+    ) -> HttpAnswer {
+        match self.read_request(request).await {
             Ok(Some(request)) => self.serve(request, reader).await,
-            Ok(None) => self.models(),
+            Ok(None) => self.list_models(),
             Err(answer) => *answer,
         }
     }
 
     /// Reads a request whole and checks its form; `None` asks for the models.
-    async fn read(
+    async fn read_request(
         &self,
         request: Request<Incoming>,
-    ) -> Result<Option<CallerRequest>, Box<Answered>> {
+    ) -> Result<Option<CallerRequest>, Box<HttpAnswer>> {
         let key_hash = bearer_key(&request)?;
         let class = parsed_header::<ClassId>(&request, CLASS_HEADER)?;
         let key = parsed_header::<IdempotencyKey>(&request, KEY_HEADER)?;
-        let forbidden = parsed_header::<bool>(&request, IDEMPOTENT_HEADER)? == Some(false);
+        let must_not_repeat = parsed_header::<bool>(&request, IDEMPOTENT_HEADER)? == Some(false);
         let method = request.method().clone();
         let path = request.uri().path().to_string();
         let path_and_query = request
@@ -45,7 +45,7 @@
         let content_type = header_text(&request, CONTENT_TYPE.as_str())
             .unwrap_or("application/json")
             .to_string();
-        let engine = match (&method, path.as_str()) {
+        let is_engine = match (&method, path.as_str()) {
             (&Method::GET, "/v1/models") => {
                 self.check_key(key_hash)?;
                 return Ok(None);
@@ -53,29 +53,35 @@
             (&Method::POST, "/v1/chat/completions" | "/v1/completions") => true,
             (_, path) if path.starts_with("/services/") => false,
             (_, "/v1/models" | "/v1/chat/completions" | "/v1/completions") => {
-                return Err(bad(
+                return Err(boxed_refusal(
                     StatusCode::METHOD_NOT_ALLOWED,
                     "method_not_allowed",
                     "wrong method",
                 ));
             }
-            _ => return Err(bad(StatusCode::NOT_FOUND, "not_found", "no such path")),
+            _ => {
+                return Err(boxed_refusal(
+                    StatusCode::NOT_FOUND,
+                    "not_found",
+                    "no such path",
+                ));
+            }
         };
-        let body = WholeBody::read(request.into_body(), &self.limits, &self.bodies).await;
-        let body = body.map_err(|error| Box::new(answers::body_refused(&error)))?;
+        let body = WholeBody::read(request.into_body(), &self.limits, &self.body_budget).await;
+        let body = body.map_err(|error| Box::new(answers::body_error_answer(&error)))?;
         let fingerprint = Fingerprint::of_request(method.as_str(), &path_and_query, &body.bytes);
         let repeatability = match key {
             Some(key) => Repeatability::AtMostOncePerKey { key },
-            None if forbidden => Repeatability::AtMostOnce,
+            None if must_not_repeat => Repeatability::AtMostOnce,
             None => Repeatability::AsConfigured,
         };
-        let asked = if engine {
-            ask_engine(path_and_query, &body.bytes)
+        let parsed = if is_engine {
+            parse_engine_request(path_and_query, &body.bytes)
         } else {
-            ask_service(&path_and_query)
+            parse_service_request(&path_and_query)
         };
         Ok(Some(CallerRequest {
-            asked: asked?,
+            parsed: parsed?,
             body,
             class,
             content_type,
@@ -89,27 +95,34 @@
     /// Hands the request to the controller and waits for the head of the
     /// answer. The rest is done by a task of its own, which outlives the
     /// caller where a claimed key must be carried to its end.
-    async fn serve(&self, request: CallerRequest, reader: Arc<AnswerReader>) -> Answered {
+    async fn serve(&self, request: CallerRequest, reader: Arc<AnswerReader>) -> HttpAnswer {
         let id = RequestId::new(self.next_request.fetch_add(1, Ordering::Relaxed));
-        let (instructor, instructions) = mpsc::channel(Instruction::RING);
+        let (instruction_sender, instructions) = mpsc::channel(Instruction::RING);
         let arrival = request.arrival(id);
         // A full ring is reported to the caller at once and truthfully; waiting
         // here would hide an overload from every limit that is meant for it.
         if self
             .events
-            .try_send(RingEvent::Arrived(arrival, id.to_string(), instructor))
+            .try_send(RingEvent::Arrived(
+                arrival,
+                id.to_string(),
+                instruction_sender,
+            ))
             .is_err()
         {
             return host_busy();
         }
-        let (head, answer) = oneshot::channel();
-        let answer_sender = AnswerSender::new(head, reader);
+        let (answer_head, answer) = oneshot::channel();
+        let answer_sender = AnswerSender::new(answer_head, reader);
         let task = RequestTask::new(id, self.events.clone(), instructions, answer_sender);
-        self.pumps.spawn(Pump::new(self, request, task).run());
-        answer.await.unwrap_or_else(|_| answers::lost_track())
+        self.tasks
+            .spawn(RequestHandler::new(self, request, task).run());
+        answer
+            .await
+            .unwrap_or_else(|_| answers::lost_request_answer())
     }
 
-    fn check_key(&self, key_hash: KeyHash) -> Result<(), Box<Answered>> {
+    fn check_key(&self, key_hash: KeyHash) -> Result<(), Box<HttpAnswer>> {
         let configuration = self.configuration.load();
         let known = configuration.as_ref().is_some_and(|numbered| {
             let mut teams = numbered.document.teams.values();
@@ -119,14 +132,14 @@
             return Ok(());
         }
         let reason = RefusalReason::UnknownKey;
-        Err(bad(
+        Err(boxed_refusal(
             StatusCode::UNAUTHORIZED,
             reason.code(),
             &reason.to_string(),
         ))
     }
 
-    fn models(&self) -> Answered {
+    fn list_models(&self) -> HttpAnswer {
         let configuration = self.configuration.load();
         let mut models = Vec::new();
         if let Some(numbered) = configuration.as_ref() {
@@ -147,11 +160,11 @@
     }
 }
 
-fn bad(status: StatusCode, code: &str, message: &str) -> Box<Answered> {
+fn boxed_refusal(status: StatusCode, code: &str, message: &str) -> Box<HttpAnswer> {
     Box::new(error_answer(status, code, message, Verdict::NotRun))
 }
 
-fn host_busy() -> Answered {
+fn host_busy() -> HttpAnswer {
     let message = "the host has more requests than it can take in";
     let mut answer = error_answer(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -169,12 +182,12 @@
     request.headers().get(name)?.to_str().ok()
 }
 
-fn bearer_key(request: &Request<Incoming>) -> Result<KeyHash, Box<Answered>> {
+fn bearer_key(request: &Request<Incoming>) -> Result<KeyHash, Box<HttpAnswer>> {
     let key = header_text(request, AUTHORIZATION.as_str())
         .and_then(|value| value.strip_prefix("Bearer "));
     match key {
         Some(key) => Ok(KeyHash::of_key(key)),
-        None => Err(bad(
+        None => Err(boxed_refusal(
             StatusCode::UNAUTHORIZED,
             "missing_key",
             "expected the header `Authorization: Bearer KEY`",
@@ -182,7 +195,7 @@
     }
 }
 
-fn parsed_header<T>(request: &Request<Incoming>, name: &str) -> Result<Option<T>, Box<Answered>>
+fn parsed_header<T>(request: &Request<Incoming>, name: &str) -> Result<Option<T>, Box<HttpAnswer>>
 where
     T: std::str::FromStr,
     T::Err: std::fmt::Display,
@@ -198,15 +211,19 @@
         Ok(value) => Ok(Some(value)),
         Err(error) => {
             let message = format!("header {name}: {error}");
-            Err(bad(StatusCode::BAD_REQUEST, "bad_header", &message))
+            Err(boxed_refusal(
+                StatusCode::BAD_REQUEST,
+                "bad_header",
+                &message,
+            ))
         }
     }
 }
 
-fn ask_engine(path: String, body: &[u8]) -> Result<Asked, Box<Answered>> {
+fn parse_engine_request(path: String, body: &[u8]) -> Result<Asked, Box<HttpAnswer>> {
     let parsed: EngineBody<'_> = serde_json::from_slice(body).map_err(|error| {
         let message = format!("the body is not a completion request: {error}");
-        bad(StatusCode::BAD_REQUEST, "bad_body", &message)
+        boxed_refusal(StatusCode::BAD_REQUEST, "bad_body", &message)
     })?;
     Ok(Asked {
         max_output: parsed.max_output(),
@@ -217,11 +234,11 @@
     })
 }
 
-fn ask_service(path: &str) -> Result<Asked, Box<Answered>> {
+fn parse_service_request(path: &str) -> Result<Asked, Box<HttpAnswer>> {
     let rest = path.trim_start_matches("/services/");
     let (service, path) = rest.split_once('/').unwrap_or((rest, ""));
     let service = service.parse().map_err(|error: types::ParseIdError| {
-        bad(StatusCode::BAD_REQUEST, "bad_path", &error.to_string())
+        boxed_refusal(StatusCode::BAD_REQUEST, "bad_path", &error.to_string())
     })?;
     Ok(Asked {
         max_output: None,
--- a/crates/router/src/caller_thread.rs
+++ b/crates/router/src/caller_thread.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// Pause after an accept failed, for want of file descriptors say.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// What a caller thread is given.
 pub(crate) struct CallerThread {
@@ -42,19 +42,19 @@
                 () = self.shutdown.started() => break,
             };
             match accepted {
-                Ok((stream, _)) => self.take(stream, &graceful, &mut connections),
+                Ok((stream, _)) => self.serve_connection(stream, &graceful, &mut connections),
                 Err(error) => {
                     warn!(self.logger, "callers: accept failed"; "error" => %error);
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
         drop(listener);
-        self.finish(graceful, connections).await;
+        self.drain(graceful, connections).await;
         Ok(())
     }
 
-    fn take(
+    fn serve_connection(
         &self,
         stream: tokio::net::TcpStream,
         graceful: &GracefulShutdown,
@@ -69,8 +69,8 @@
         let _ = stream.set_nodelay(true);
         let service = self.service.clone();
         let limits = service.limits();
-        let reader = self.unread.open();
-        let reads = Arc::clone(&reader);
+        let reader = self.unread.add_reader();
+        let service_reader = Arc::clone(&reader);
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(limits.head_timeout())
@@ -79,7 +79,7 @@
                 TokioIo::new(stream),
                 service_fn(move |request| {
                     let service = service.clone();
-                    let reader = Arc::clone(&reads);
+                    let reader = Arc::clone(&service_reader);
                     async move { Ok::<_, Infallible>(service.answer(request, reader).await) }
                 }),
             );
@@ -89,24 +89,24 @@
             let _guard = guard;
             tokio::select! {
                 _ = connection => {}
-                () = reader.cut() => log_cut(&logger, &reader),
+                () = reader.close_requested() => log_slow_reader(&logger, &reader),
             }
         });
     }
 
     /// Lets every request in flight end, then joins the tasks.
-    async fn finish(&self, graceful: GracefulShutdown, mut connections: JoinSet<()>) {
+    async fn drain(&self, graceful: GracefulShutdown, mut connections: JoinSet<()>) {
         info!(self.logger, "callers: no new connections"; "open" => connections.len());
-        let ends = async {
+        let all_ended = async {
             graceful.shutdown().await;
             while connections.join_next().await.is_some() {}
-            let mut pumps = self.service.take_pumps();
-            while pumps.join_next().await.is_some() {}
+            let mut tasks = self.service.take_tasks();
+            while tasks.join_next().await.is_some() {}
         };
         let ended = match self.drain_limit {
-            Some(limit) => timeout(limit, ends).await.is_ok(),
+            Some(limit) => timeout(limit, all_ended).await.is_ok(),
             None => {
-                ends.await;
+                all_ended.await;
                 true
             }
         };
@@ -114,8 +114,8 @@
     }
 }
 
-fn log_cut(logger: &Logger, reader: &AnswerReader) {
-    let (unread_bytes, idle) = reader.unread();
+fn log_slow_reader(logger: &Logger, reader: &AnswerReader) {
+    let (unread_bytes, idle) = reader.unread_and_idle();
     warn!(logger, "callers: slow reader cut off";
         "idle_ms" => idle.as_millis() as u64, "unread_bytes" => unread_bytes);
 }
--- a/crates/router/src/event_splitter.rs
+++ b/crates/router/src/event_splitter.rs
@@ -27,19 +27,19 @@
     }
 
     /// Whether part of an event is left.
-    pub(crate) fn has_rest(&self) -> bool {
+    pub(crate) fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Bytes of an event whose end has not come.
-    pub(crate) const fn rest_bytes(&self) -> u64 {
+    pub(crate) const fn partial_event_bytes(&self) -> u64 {
         self.buffer.len() as u64
     }
 
     /// The next whole event.
-    pub(crate) fn next(&mut self) -> Option<WholeEvent> {
-        let Some(end) = self.find_end() else {
-            self.searched = self.buffer.len().saturating_sub(LONGEST_END - 1);
+    pub(crate) fn next_event(&mut self) -> Option<WholeEvent> {
+        let Some(end) = self.find_event_end() else {
+            self.searched = self.buffer.len().saturating_sub(MAX_TERMINATOR_BYTES - 1);
             return None;
         };
         let rest = self.buffer.split_off(end);
@@ -53,18 +53,20 @@
     }
 
     /// Where the first event ends: behind an empty line.
-    fn find_end(&self) -> Option<usize> {
-        let ends = [&b"\n\n"[..], b"\r\n\r\n", b"\r\r"];
+    fn find_event_end(&self) -> Option<usize> {
+        let terminators = [&b"\n\n"[..], b"\r\n\r\n", b"\r\r"];
         (self.searched..self.buffer.len()).find_map(|at| {
             let rest = &self.buffer[at..];
-            let end = ends.iter().find(|end| rest.starts_with(end))?;
-            Some(at + end.len())
+            let terminator = terminators
+                .iter()
+                .find(|terminator| rest.starts_with(terminator))?;
+            Some(at + terminator.len())
         })
     }
 }
 
 /// Bytes of the longest line ends that make an empty line.
-const LONGEST_END: usize = 4;
+const MAX_TERMINATOR_BYTES: usize = 4;
 
 fn event_id(event: &[u8]) -> Option<String> {
     let lines = event.split(|byte| matches!(byte, b'\n' | b'\r'));
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -131,8 +131,6 @@
 mod platform_thread;
 mod probe_job;
 mod promise;
-mod pump;
-mod pumps;
 mod reader_signals;
 mod received_tables;
 mod relay;
@@ -140,6 +138,7 @@
 mod relay_service;
 mod relayed_request;
 mod report;
+mod request_handler;
 mod request_metrics;
 mod request_task;
 mod ring_event;
@@ -149,9 +148,10 @@
 mod shutdown;
 mod table_claims;
 mod table_copy;
+mod task_set;
 mod transit_service;
 mod unread_answers;
-mod unread_ledger;
+mod unread_budget;
 mod unread_part;
 mod upstream_thread;
 mod whole_answer;
@@ -175,7 +175,7 @@
     answer_sender::AnswerSender,
     answers::{AnswerBody, error_answer, text_answer},
     asked::Asked,
-    body_budget::{BodyBudget, HeldBytes},
+    body_budget::{BodyBudget, BodyReservation},
     body_error::BodyError,
     broken_answer::BrokenAnswer,
     burn_window::BurnWindow,
@@ -207,14 +207,13 @@
     platform_job::PlatformJob,
     platform_thread::PlatformThread,
     probe_job::{ProbeJob, ProbeQuestion},
-    pump::Pump,
-    pumps::Pumps,
     reader_signals::ReaderSignals,
     received_tables::{ReceivedTables, TablesAdvertised},
     relay::Relay,
     relay_service::RelayService,
     relayed_request::RelayedRequest,
-    request_task::{Next, RequestTask},
+    request_handler::RequestHandler,
+    request_task::{NextStep, RequestTask},
     ring_event::RingEvent,
     rings::Rings,
     runtime::single_thread_runtime,
@@ -222,9 +221,10 @@
     shutdown::Shutdown,
     table_claims::TableClaims,
     table_copy::TableCopy,
+    task_set::TaskSet,
     transit_service::TransitService,
     unread_answers::UnreadAnswers,
-    unread_ledger::{Holding, ReaderId, Room, STALL, UnreadLedger},
+    unread_budget::{Delivery, ReaderId, Reservation, STALL_TIMEOUT, UnreadBudget},
     unread_part::UnreadPart,
     upstream_thread::UpstreamThread,
     whole_answer::WholeAnswer,
--- a/crates/router/src/reader_signals.rs
+++ b/crates/router/src/reader_signals.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ReaderSignals {
     /// The connection is to be closed.
-    pub(crate) cut: Notify,
+    pub(crate) close: Notify,
     /// There may be room for more.
     pub(crate) room: Notify,
 }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -2,23 +2,23 @@
 
 /// Time beyond the end of an answer's use in which the upstream's own word on
 /// it is still waited for: it stops by itself then and says so.
-const LAST_WORD: Duration = Duration::from_millis(100);
+const LATE_ANSWER_GRACE: Duration = Duration::from_millis(100);
 
 /// Time that an upstream may take for the connection's handshake and for the
 /// head of its answer; the request's own time limit ends it sooner.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Time to read the short body of a refusal, so that its connection can be kept.
-const REFUSAL_TIMEOUT: Duration = Duration::from_millis(100);
+const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Largest body of such a refusal.
-const MAX_REFUSAL: usize = 64 * 1024;
+const MAX_REFUSAL_BYTES: usize = 64 * 1024;
 
 /// Content type of a stream of events.
 const EVENT_STREAM: &str = "text/event-stream";
 
 /// Why an attempt ended without an answer.
-enum Stopped {
+enum AttemptError {
     CallerGone,
     Failed(CallFailure),
 }
@@ -30,9 +30,9 @@
     connections: Connections,
     /// The last failure that an upstream answered with; it is passed on if
     /// nothing better comes.
-    held: Option<Response<WholeAnswer>>,
+    failed_answer: Option<Response<WholeAnswer>>,
     /// Id of the last event that was passed on.
-    last_event: Option<String>,
+    last_event_id: Option<String>,
     limits: Arc<Limits>,
     protocol: Arc<dyn Protocol>,
     request: RelayedRequest,
@@ -44,8 +44,8 @@
         Self {
             clock: service.clock,
             connections: service.connections.clone(),
-            held: None,
-            last_event: None,
+            failed_answer: None,
+            last_event_id: None,
             limits: service.limits.own(),
             protocol: Arc::clone(&service.protocol),
             request,
@@ -59,74 +59,76 @@
                 Instruction::Send(order) => self.attempt(&order).await,
                 Instruction::Refuse(refusal) => self.refuse(&refusal),
                 // That attempt has ended meanwhile.
-                Instruction::Abandon(_) => Next::Wait,
+                Instruction::Abandon(_) => NextStep::Wait,
                 // The caller's connection breaks with the answer's sender.
-                Instruction::Break(_) | Instruction::Replay(_) => Next::End,
+                Instruction::Break(_) | Instruction::Replay(_) => NextStep::End,
             };
-            if matches!(next, Next::End) {
+            if matches!(next, NextStep::End) {
                 return;
             }
         }
     }
 
-    fn refuse(&mut self, refusal: &Refusal) -> Next {
-        let held = self.held.take();
+    fn refuse(&mut self, refusal: &Refusal) -> NextStep {
+        let failed_answer = self.failed_answer.take();
         let failed = refusal.reason == RefusalReason::UpstreamFailed;
-        let answer = held.filter(|_| failed || refusal.verdict != Verdict::NotRun);
+        let answer = failed_answer.filter(|_| failed || refusal.verdict != Verdict::NotRun);
         self.task.answer.send_whole(match answer {
-            Some(answer) => answer.map(WholeAnswer::offered),
-            None => answers::relayed_refusal(refusal),
+            Some(answer) => answer.map(WholeAnswer::into_answer_body),
+            None => answers::relayed_refusal_answer(refusal),
         });
-        Next::End
+        NextStep::End
     }
 
-    async fn attempt(&mut self, order: &SendOrder) -> Next {
+    async fn attempt(&mut self, order: &SendOrder) -> NextStep {
         let sent = self.clock.now();
-        let stopped = match self.exchange(order).await {
+        let error = match self.exchange(order).await {
             Ok((response, sender)) => {
                 let head = &self.request.head;
                 let status = response.status();
                 let judgement = self.protocol.judge(head, status, response.headers());
                 if judgement.is_of_upstream() {
                     let notice = self.protocol.notice(status, response.headers());
-                    self.task.tell_notice(order, notice, sent).await;
+                    self.task.report_notice(order, notice, sent).await;
                 }
                 match judgement {
                     Judgement::NotRun(cause) => {
-                        self.keep_refused(order, response, sender).await;
-                        Stopped::Failed(CallFailure::not_run(cause))
+                        self.drain_refusal(order, response, sender).await;
+                        AttemptError::Failed(CallFailure::not_run(cause))
                     }
                     Judgement::Foreign => {
-                        Stopped::Failed(CallFailure::may_have_run(FailureCause::Truncated))
+                        AttemptError::Failed(CallFailure::may_have_run(FailureCause::Truncated))
                     }
                     Judgement::Unproven => {
-                        self.keep_refused(order, response, sender).await;
-                        Stopped::Failed(CallFailure::may_have_run(FailureCause::ErrorStatus))
+                        self.drain_refusal(order, response, sender).await;
+                        AttemptError::Failed(CallFailure::may_have_run(FailureCause::ErrorStatus))
                     }
                     Judgement::Success if is_event_stream(&response) => {
-                        match self.stream(order, response, sender).await {
-                            Ok(()) => return Next::End,
-                            Err(stopped) => stopped,
+                        match self.forward_stream(order, response, sender).await {
+                            Ok(()) => return NextStep::End,
+                            Err(error) => error,
                         }
                     }
                     // Half of an answer went out: another whole one can't follow.
-                    _ if self.task.delivered() => {
-                        Stopped::Failed(CallFailure::may_have_run(FailureCause::ErrorStatus))
+                    _ if self.task.has_delivered() => {
+                        AttemptError::Failed(CallFailure::may_have_run(FailureCause::ErrorStatus))
                     }
-                    judgement => match self.whole(order, response, sender).await {
-                        Ok(response) => return self.pass_whole(order, judgement, response).await,
-                        Err(stopped) => stopped,
+                    judgement => match self.read_whole(order, response, sender).await {
+                        Ok(response) => {
+                            return self.forward_whole(order, judgement, response).await;
+                        }
+                        Err(error) => error,
                     },
                 }
             }
-            Err(stopped) => stopped,
+            Err(error) => error,
         };
-        match stopped {
-            Stopped::CallerGone => {
-                self.task.tell_caller_gone().await;
-                Next::End
+        match error {
+            AttemptError::CallerGone => {
+                self.task.report_caller_gone().await;
+                NextStep::End
             }
-            Stopped::Failed(failure) => self.task.tell_failure(order, failure).await,
+            AttemptError::Failed(failure) => self.task.report_failure(order, failure).await,
         }
     }
 
@@ -134,119 +136,128 @@
     async fn exchange(
         &mut self,
         order: &SendOrder,
-    ) -> Result<(Response<Incoming>, UpstreamSender), Stopped> {
+    ) -> Result<(Response<Incoming>, UpstreamSender), AttemptError> {
         let time_left = order.due.since(self.clock.now());
         if time_left.is_zero() {
-            return Err(Stopped::Failed(CallFailure::not_run(
+            return Err(AttemptError::Failed(CallFailure::not_run(
                 FailureCause::TimedOut,
             )));
         }
         let passing = Passing {
             fetch_from: order.fetch_from,
             instance: &order.upstream,
-            last_event: order.resume.and(self.last_event.as_deref()),
+            last_event: order.resume.and(self.last_event_id.as_deref()),
             priority: order.priority,
             team: order.team.as_ref(),
             time_left,
         };
         let request = self.request.for_upstream(&*self.protocol, &passing);
         let Ok(request) = request else {
-            return Err(Stopped::Failed(CallFailure::not_run(FailureCause::Connect)));
+            return Err(AttemptError::Failed(CallFailure::not_run(
+                FailureCause::Connect,
+            )));
         };
         let connections = self.connections.clone();
-        let to = Destination {
+        let destination = Destination {
             address: order.address,
             paths: order.paths.clone(),
             upstream: Some(order.upstream.clone()),
         };
-        let kept = connections.send_kept(&to, request, HEAD_TIMEOUT);
-        let request = match self.in_time(order, kept).await? {
-            Kept::Sent(sent) => return sent.map_err(Stopped::Failed),
+        let sending = connections.send_kept(&destination, request, HEAD_TIMEOUT);
+        let request = match self.within_deadline(order, sending).await? {
+            Kept::Sent(sent) => return sent.map_err(AttemptError::Failed),
             Kept::Unsent(request) => request,
         };
-        let opening = connections.open(&to);
-        let opening = self.in_time(order, opening).await?;
-        self.task.tell_paths(order, opening.tries).await;
-        let sender = opening.sender.ok_or(Stopped::Failed(NO_CONNECTION))?;
+        let opening = connections.open(&destination);
+        let opening = self.within_deadline(order, opening).await?;
+        self.task.report_paths(order, opening.tries).await;
+        let sender = opening.sender.ok_or(AttemptError::Failed(NO_CONNECTION))?;
         let sent = connections.send_on(sender, request, HEAD_TIMEOUT);
-        self.in_time(order, sent).await?.map_err(Stopped::Failed)
+        self.within_deadline(order, sent)
+            .await?
+            .map_err(AttemptError::Failed)
     }
 
     /// Waits for something of an upstream, unless the caller leaves or the
     /// answer is of no use any more.
-    async fn in_time<T>(
+    async fn within_deadline<T>(
         &mut self,
         order: &SendOrder,
-        wanted: impl Future<Output = T>,
-    ) -> Result<T, Stopped> {
-        let time_left = order.due.since(self.clock.now()) + LAST_WORD;
+        operation: impl Future<Output = T>,
+    ) -> Result<T, AttemptError> {
+        let time_left = order.due.since(self.clock.now()) + LATE_ANSWER_GRACE;
         tokio::select! {
-            wanted = wanted => Ok(wanted),
-            () = self.task.answer.gone() => Err(Stopped::CallerGone),
+            output = operation => Ok(output),
+            () = self.task.answer.caller_gone() => Err(AttemptError::CallerGone),
             () = self.task.instructions.abandoned(order.attempt) => {
-                Err(Stopped::Failed(CallFailure::may_have_run(FailureCause::Silent)))
+                Err(AttemptError::Failed(CallFailure::may_have_run(FailureCause::Silent)))
             }
             () = sleep(time_left) => {
-                Err(Stopped::Failed(CallFailure::may_have_run(FailureCause::TimedOut)))
+                Err(AttemptError::Failed(CallFailure::may_have_run(FailureCause::TimedOut)))
             }
         }
     }
 
     /// Reads the rest of a refusal, so that its connection can be kept.
-    async fn keep_refused(
+    async fn drain_refusal(
         &self,
         order: &SendOrder,
         response: Response<Incoming>,
         sender: UpstreamSender,
     ) {
         let keep_for = connection_reuse::keep_time(&response);
-        let body = Limited::new(response.into_body(), MAX_REFUSAL);
-        if let Ok(Ok(_)) = timeout(REFUSAL_TIMEOUT, body.collect()).await {
-            self.keep(order, sender, keep_for);
+        let body = Limited::new(response.into_body(), MAX_REFUSAL_BYTES);
+        if let Ok(Ok(_)) = timeout(REFUSAL_BODY_TIMEOUT, body.collect()).await {
+            self.keep_connection(order, sender, keep_for);
         }
     }
 
-    fn keep(&self, order: &SendOrder, sender: UpstreamSender, keep_for: Option<Duration>) {
+    fn keep_connection(
+        &self,
+        order: &SendOrder,
+        sender: UpstreamSender,
+        keep_for: Option<Duration>,
+    ) {
         if let Some(keep_for) = keep_for {
             self.connections.keep(order.address, sender, keep_for);
         }
     }
 
     /// Reads an answer whole: the caller gets it only when all of it is here.
-    async fn whole(
+    async fn read_whole(
         &mut self,
         order: &SendOrder,
         response: Response<Incoming>,
         sender: UpstreamSender,
-    ) -> Result<Response<WholeAnswer>, Stopped> {
+    ) -> Result<Response<WholeAnswer>, AttemptError> {
         let keep_for = connection_reuse::keep_time(&response);
         let (parts, body) = response.into_parts();
         let max = self.limits.max_whole_answer_bytes;
         let max = max.min(self.limits.max_unread_bytes);
         let reading = WholeAnswer::read(body, max, self.task.answer.reader());
-        let Some(body) = self.in_time(order, reading).await? else {
+        let Some(body) = self.within_deadline(order, reading).await? else {
             let failure = CallFailure::may_have_run(FailureCause::Truncated);
-            return Err(Stopped::Failed(failure));
+            return Err(AttemptError::Failed(failure));
         };
-        self.keep(order, sender, keep_for);
+        self.keep_connection(order, sender, keep_for);
         let mut answer = Response::new(body);
         *answer.status_mut() = parts.status;
         *answer.headers_mut() = self.protocol.answer_headers(&parts.headers);
         Ok(answer)
     }
 
-    async fn pass_whole(
+    async fn forward_whole(
         &mut self,
         order: &SendOrder,
         judgement: Judgement,
         answer: Response<WholeAnswer>,
-    ) -> Next {
+    ) -> NextStep {
         if judgement == Judgement::Failed && answer.status().is_server_error() {
             // The upstream ran it and failed. Where it may be repeated, another
             // one may do better; else the failure is passed on.
-            self.held = Some(answer);
+            self.failed_answer = Some(answer);
             let failure = CallFailure::may_have_run(FailureCause::ErrorStatus);
-            return self.task.tell_failure(order, failure).await;
+            return self.task.report_failure(order, failure).await;
         }
         let end = AttemptEnd::Completed {
             response: None,
@@ -255,19 +266,19 @@
         };
         self.task
             .answer
-            .send_whole(answer.map(WholeAnswer::offered));
-        self.task.tell_end(order, end).await;
-        Next::End
+            .send_whole(answer.map(WholeAnswer::into_answer_body));
+        self.task.report_attempt_end(order, end).await;
+        NextStep::End
     }
 
-    async fn stream(
+    async fn forward_stream(
         &mut self,
         order: &SendOrder,
         response: Response<Incoming>,
         sender: UpstreamSender,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), AttemptError> {
         // It is of no use any more, and would count as unread.
-        self.held = None;
+        self.failed_answer = None;
         let keep_for = connection_reuse::keep_time(&response);
         let (parts, mut body) = response.into_parts();
         let mut head = Response::new(());
@@ -276,48 +287,50 @@
         let mut head = Some(head);
         let mut splitter = EventSplitter::default();
         loop {
-            let frame = self.in_time(order, body.frame()).await?;
+            let frame = self.within_deadline(order, body.frame()).await?;
             let bytes = match frame {
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
-                Some(Err(_)) => return Err(broken(FailureCause::Reset)),
-                None if splitter.has_rest() => return Err(broken(FailureCause::Truncated)),
+                Some(Err(_)) => return Err(stream_failure(FailureCause::Reset)),
+                None if splitter.has_partial_event() => {
+                    return Err(stream_failure(FailureCause::Truncated));
+                }
                 None => break,
             };
             splitter.push(&bytes);
-            self.pass_events(order, &mut head, &mut splitter).await?;
-            if splitter.rest_bytes() > self.limits.max_unread_stream_bytes.get() {
-                return Err(broken(FailureCause::Truncated));
+            self.forward_events(order, &mut head, &mut splitter).await?;
+            if splitter.partial_event_bytes() > self.limits.max_unread_stream_bytes.get() {
+                return Err(stream_failure(FailureCause::Truncated));
             }
         }
         if let Some(head) = head.take() {
             self.task.answer.start_stream(head);
         }
         self.task.answer.finish(self.slow_reader()).await;
-        let tokens = self.task.take_unreported();
+        let tokens = self.task.take_unreported_events();
         let end = AttemptEnd::Completed {
             response: None,
             longest_pause: self.task.longest_pause(),
             tokens,
         };
-        self.task.tell_end(order, end).await;
-        self.keep(order, sender, keep_for);
+        self.task.report_attempt_end(order, end).await;
+        self.keep_connection(order, sender, keep_for);
         Ok(())
     }
 
     /// Passes the whole events on that are there, in one piece.
-    async fn pass_events(
+    async fn forward_events(
         &mut self,
         order: &SendOrder,
         head: &mut Option<Response<()>>,
         splitter: &mut EventSplitter,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), AttemptError> {
         let mut part: Vec<u8> = Vec::new();
-        while let Some(event) = splitter.next() {
+        while let Some(event) = splitter.next_event() {
             if let Some(id) = event.id {
-                if !self.is_next(&id) {
+                if !self.follows_last_event(&id) {
                     continue;
                 }
-                self.last_event = Some(id);
+                self.last_event_id = Some(id);
             }
             part.extend_from_slice(&event.bytes);
             self.task.count_event();
@@ -334,17 +347,17 @@
             .send_part(part.into(), self.slow_reader())
             .await
         {
-            return Err(Stopped::CallerGone);
+            return Err(AttemptError::CallerGone);
         }
-        self.task.tell_progress(order).await;
+        self.task.report_progress(order).await;
         Ok(())
     }
 
     /// Whether an event comes after the last one that was passed on. One that
     /// does not has been passed on before a stream moved.
-    fn is_next(&self, id: &str) -> bool {
+    fn follows_last_event(&self, id: &str) -> bool {
         let number = |id: &str| id.parse::<u64>().ok();
-        match (self.last_event.as_deref().and_then(number), number(id)) {
+        match (self.last_event_id.as_deref().and_then(number), number(id)) {
             (Some(last), Some(next)) => next > last,
             _ => true,
         }
@@ -355,8 +368,8 @@
     }
 }
 
-fn broken(cause: FailureCause) -> Stopped {
-    Stopped::Failed(CallFailure::may_have_run(cause))
+fn stream_failure(cause: FailureCause) -> AttemptError {
+    AttemptError::Failed(CallFailure::may_have_run(cause))
 }
 
 fn is_event_stream(response: &Response<Incoming>) -> bool {
--- a/crates/router/src/relay_rules.rs
+++ b/crates/router/src/relay_rules.rs
@@ -10,7 +10,7 @@
 /// Part of the time for a change in which a host may go on with the version before, counted
 /// from when it learned of the change: it may have received late, and a request that it takes is
 /// sent some time later.
-const APPLY_PART: f64 = 0.75;
+const APPLY_LIMIT_SHARE: f64 = 0.75;
 
 /// Time that the end of a stop takes after the last request: settling, joining
 /// threads, leaving the process.
@@ -20,7 +20,7 @@
 pub(crate) fn relay_rules(relay: &RelaySettings) -> RelayRules {
     let limit = Duration::from_millis(relay.key_knowledge_limit_ms);
     RelayRules {
-        apply_limit: Duration::from_millis(relay.apply_limit_ms).mul_f64(APPLY_PART),
+        apply_limit: Duration::from_millis(relay.apply_limit_ms).mul_f64(APPLY_LIMIT_SHARE),
         first_start: relay.first_start,
         key_knowledge: limit.saturating_sub(KEY_KNOWLEDGE_MARGIN),
         retry_extra: relay.retry_extra,
--- a/crates/router/src/relay_service.rs
+++ b/crates/router/src/relay_service.rs
@@ -5,20 +5,20 @@
 pub(crate) struct RelayService {
     pub(crate) clock: Clock,
     pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
-    pub(crate) bodies: BodyBudget,
+    pub(crate) body_budget: BodyBudget,
     pub(crate) connections: Connections,
     pub(crate) events: flume::Sender<RingEvent>,
     pub(crate) limits: LimitsInForce,
     pub(crate) next_request: Arc<AtomicU64>,
     pub(crate) protocol: Arc<dyn Protocol>,
-    pub(crate) pumps: Pumps,
+    pub(crate) tasks: TaskSet,
     pub(crate) status: Arc<ArcSwap<HostStatus>>,
 }
 
-type Answered = Response<AnswerBody>;
+type HttpAnswer = Response<AnswerBody>;
 
 /// A request whose route has been found.
-struct Found {
+struct AcceptedRequest {
     arrival: Arrival,
     request: RelayedRequest,
 }
@@ -28,49 +28,51 @@
         &self,
         request: Request<Incoming>,
         reader: Arc<AnswerReader>,
-    ) -> Answered {
+    ) -> HttpAnswer {
         let (parts, body) = request.into_parts();
         let head = match self.protocol.read_head(&parts) {
             Ok(head) => head,
-            Err(error) => return self.turn_away("", TurnedAway::bad_head(&error)),
+            Err(error) => return self.refuse_early("", HttpRefusal::from_head_error(&error)),
         };
         let id = head.attempt.clone();
-        match self.read(parts, head, body).await {
-            Ok(found) => self.serve(found, reader).await,
-            Err(turned_away) => self.turn_away(&id, turned_away),
+        match self.read_request(parts, head, body).await {
+            Ok(accepted) => self.serve(accepted, reader).await,
+            Err(refusal) => self.refuse_early(&id, refusal),
         }
     }
 
     /// Logs a request that is refused before the controller has seen it.
-    fn turn_away(&self, id: &str, turned_away: TurnedAway) -> Answered {
+    fn refuse_early(&self, id: &str, refusal: HttpRefusal) -> HttpAnswer {
         let event = RingEvent::TurnedAway {
             id: id.to_string(),
-            reason: turned_away.code.to_string(),
+            reason: refusal.code.to_string(),
         };
         // A full ring drops the line: the log never holds a request up.
         let _ = self.events.try_send(event);
-        *turned_away.answer
+        *refusal.answer
     }
 
-    async fn read(
+    async fn read_request(
         &self,
         parts: Parts,
         head: RequestHead,
         body: Incoming,
-    ) -> Result<Found, TurnedAway> {
+    ) -> Result<AcceptedRequest, HttpRefusal> {
         let configuration = self.configuration.load_full();
-        let numbered = configuration.ok_or_else(|| TurnedAway::refused(RefusalReason::NotReady))?;
+        let numbered =
+            configuration.ok_or_else(|| HttpRefusal::from_reason(RefusalReason::NotReady))?;
         let document = &numbered.document;
         let path = parts.uri.path_and_query();
         let path = path.map_or("/", |path| path.as_str()).to_string();
         let hostname = without_port(&head.hostname);
         let route = document.routes.find(hostname, parts.uri.path());
-        let route = route.ok_or_else(|| self.no_route())?;
-        let body = WholeBody::read(body, &self.limits, &self.bodies).await;
-        let body = body.map_err(|error| TurnedAway::bad_body(&error))?;
+        let route = route.ok_or_else(|| self.no_route_refusal())?;
+        let body = WholeBody::read(body, &self.limits, &self.body_budget).await;
+        let body = body.map_err(|error| HttpRefusal::from_body_error(&error))?;
         let id = RequestId::new(self.next_request.fetch_add(1, Ordering::Relaxed));
-        let place = format!("{hostname}{path}");
-        let fingerprint = Fingerprint::of_request(parts.method.as_str(), &place, &body.bytes);
+        let host_and_path = format!("{hostname}{path}");
+        let fingerprint =
+            Fingerprint::of_request(parts.method.as_str(), &host_and_path, &body.bytes);
         let arrival = arrival(id, fingerprint, document, route, &head)?;
         let request = RelayedRequest {
             body,
@@ -79,50 +81,52 @@
             method: parts.method,
             path,
         };
-        Ok(Found { arrival, request })
+        Ok(AcceptedRequest { arrival, request })
     }
 
     /// A host whose configuration may be outdated must not deny a route: it may
     /// have been added since.
-    fn no_route(&self) -> TurnedAway {
+    fn no_route_refusal(&self) -> HttpRefusal {
         let status = self.status.load();
         if status.current && !status.behind {
-            TurnedAway::refused(RefusalReason::UnknownRoute)
+            HttpRefusal::from_reason(RefusalReason::UnknownRoute)
         } else {
-            TurnedAway::refused(RefusalReason::ConfigurationStale)
+            HttpRefusal::from_reason(RefusalReason::ConfigurationStale)
         }
     }
 
     /// Hands the request to the controller and waits for the head of the
     /// answer; a task of its own does the rest.
-    async fn serve(&self, found: Found, reader: Arc<AnswerReader>) -> Answered {
-        let Found { arrival, request } = found;
+    async fn serve(&self, accepted: AcceptedRequest, reader: Arc<AnswerReader>) -> HttpAnswer {
+        let AcceptedRequest { arrival, request } = accepted;
         let id = arrival.request;
-        let (instructor, instructions) = mpsc::channel(Instruction::RING);
-        let event = RingEvent::Arrived(arrival, request.head.attempt.clone(), instructor);
+        let (instruction_sender, instructions) = mpsc::channel(Instruction::RING);
+        let event = RingEvent::Arrived(arrival, request.head.attempt.clone(), instruction_sender);
         // A full ring is reported to the caller at once and truthfully.
         if self.events.try_send(event).is_err() {
-            return *TurnedAway::refused(RefusalReason::QueueFull).answer;
+            return *HttpRefusal::from_reason(RefusalReason::QueueFull).answer;
         }
-        let (head, answer) = oneshot::channel();
-        let answer_sender = AnswerSender::new(head, reader);
+        let (answer_head, answer) = oneshot::channel();
+        let answer_sender = AnswerSender::new(answer_head, reader);
         let task = RequestTask::new(id, self.events.clone(), instructions, answer_sender);
-        self.pumps.spawn(Relay::new(self, request, task).run());
-        answer.await.unwrap_or_else(|_| answers::lost_track())
+        self.tasks.spawn(Relay::new(self, request, task).run());
+        answer
+            .await
+            .unwrap_or_else(|_| answers::lost_request_answer())
     }
 }
 
 /// Advice to return for a refusal that says nothing of its own.
-const RETURN: Duration = Duration::from_millis(300);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// The answer to a request that is refused before the controller has seen it.
-struct TurnedAway {
-    answer: Box<Answered>,
+struct HttpRefusal {
+    answer: Box<HttpAnswer>,
     code: &'static str,
 }
 
-impl TurnedAway {
-    fn bad_head(error: &HeadError) -> Self {
+impl HttpRefusal {
+    fn from_head_error(error: &HeadError) -> Self {
         let code = "bad_header";
         let message = error.to_string();
         let answer = error_answer(StatusCode::BAD_REQUEST, code, &message, Verdict::NotRun);
@@ -132,20 +136,20 @@
         }
     }
 
-    fn bad_body(error: &BodyError) -> Self {
+    fn from_body_error(error: &BodyError) -> Self {
         Self {
-            answer: Box::new(answers::body_refused(error)),
+            answer: Box::new(answers::body_error_answer(error)),
             code: error.code(),
         }
     }
 
-    fn refused(reason: RefusalReason) -> Self {
+    fn from_reason(reason: RefusalReason) -> Self {
         let refusal = Refusal {
-            retry_after: Some(RETURN),
+            retry_after: Some(DEFAULT_RETRY_AFTER),
             ..Refusal::not_run(reason)
         };
         Self {
-            answer: Box::new(answers::relayed_refusal(&refusal)),
+            answer: Box::new(answers::relayed_refusal_answer(&refusal)),
             code: reason.code(),
         }
     }
@@ -161,14 +165,14 @@
     document: &Document,
     route: &Route,
     head: &RequestHead,
-) -> Result<Arrival, TurnedAway> {
+) -> Result<Arrival, HttpRefusal> {
     let service = route.service(rand::rng().random());
-    let service = service.ok_or_else(|| TurnedAway::refused(RefusalReason::NoUpstream))?;
+    let service = service.ok_or_else(|| HttpRefusal::from_reason(RefusalReason::NoUpstream))?;
     let is_engine = document.services.get(service);
     let is_engine = is_engine.is_some_and(|service| service.engine);
     let target = if is_engine {
         let model = service.as_str().parse();
-        Target::Model(model.map_err(|_| TurnedAway::refused(RefusalReason::UnknownModel))?)
+        Target::Model(model.map_err(|_| HttpRefusal::from_reason(RefusalReason::UnknownModel))?)
     } else {
         Target::Service(service.clone())
     };
--- a/crates/router/src/pump.rs
+++ b/crates/router/src/request_handler.rs
@@ -5,13 +5,13 @@
 const HEAD_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Events of a stream that are passed on together when they came together.
-const MAX_TOGETHER: usize = 64;
+const MAX_EVENTS_PER_PART: usize = 64;
 
 /// Event that ends a whole stream.
 const END_EVENT: &str = "data: [DONE]\n\n";
 
 /// How the stream of one attempt went.
-enum Streamed {
+enum StreamEnd {
     CallerGone,
     Failed(CallFailure),
     Whole,
@@ -19,22 +19,22 @@
 
 /// The task that serves one request: it does what the controller says, and
 /// passes the answer from the upstream to the caller on one thread.
-pub(crate) struct Pump {
+pub(crate) struct RequestHandler {
     connections: Connections,
     /// Stream so far, where it is to be kept for a repeated key.
-    kept: Option<String>,
-    last_event: String,
+    stored_stream: Option<String>,
+    last_event_id: String,
     limits: Arc<Limits>,
     request: CallerRequest,
     task: RequestTask,
 }
 
-impl Pump {
+impl RequestHandler {
     pub(crate) fn new(service: &CallerService, request: CallerRequest, task: RequestTask) -> Self {
         Self {
             connections: service.connections.clone(),
-            kept: request.is_keyed().then(String::new),
-            last_event: String::new(),
+            stored_stream: request.has_idempotency_key().then(String::new),
+            last_event_id: String::new(),
             limits: service.limits.own(),
             request,
             task,
@@ -45,26 +45,26 @@
         while let Some(instruction) = self.task.next_instruction().await {
             let next = match instruction {
                 // No attempt of the own interface is given up.
-                Instruction::Abandon(_) => Next::Wait,
+                Instruction::Abandon(_) => NextStep::Wait,
                 Instruction::Send(order) => self.attempt(*order).await,
                 Instruction::Refuse(refusal) => self.refuse(&refusal),
                 Instruction::Replay(answer) => self.replay(answer),
-                Instruction::Break(refusal) => self.break_off(&refusal).await,
+                Instruction::Break(refusal) => self.end_with_error_event(&refusal).await,
             };
-            if matches!(next, Next::End) {
+            if matches!(next, NextStep::End) {
                 return;
             }
         }
     }
 
-    fn refuse(&mut self, refusal: &Refusal) -> Next {
+    fn refuse(&mut self, refusal: &Refusal) -> NextStep {
         self.task
             .answer
             .send_whole(answers::refusal_answer(refusal));
-        Next::End
+        NextStep::End
     }
 
-    fn replay(&mut self, stored: StoredResponse) -> Next {
+    fn replay(&mut self, stored: StoredResponse) -> NextStep {
         let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
         let mut response = text_answer(status, &stored.content_type, stored.body);
         answers::set_verdict(&mut response, Verdict::Ran);
@@ -73,17 +73,17 @@
             HeaderValue::from_static("true"),
         );
         self.task.answer.send_whole(response);
-        Next::End
+        NextStep::End
     }
 
     /// Ends a cut stream with an error event and without an end mark.
-    async fn break_off(&mut self, refusal: &Refusal) -> Next {
+    async fn end_with_error_event(&mut self, refusal: &Refusal) -> NextStep {
         let reason = refusal.reason;
         let error = answers::error_json(reason.code(), &reason.to_string(), refusal.verdict);
         let event = format!("event: error\ndata: {error}\n\n");
         self.send_part(event).await;
         self.finish().await;
-        Next::End
+        NextStep::End
     }
 
     async fn send_part(&mut self, part: String) -> bool {
@@ -96,14 +96,19 @@
         self.task.answer.finish(slow_reader).await;
     }
 
-    async fn attempt(&mut self, order: SendOrder) -> Next {
+    async fn attempt(&mut self, order: SendOrder) -> NextStep {
         let started = {
-            let start = start(&self.connections, &self.request, &self.last_event, &order);
-            if self.request.is_keyed() {
+            let start = start_attempt(
+                &self.connections,
+                &self.request,
+                &self.last_event_id,
+                &order,
+            );
+            if self.request.has_idempotency_key() {
                 Some(start.await)
             } else {
                 let start = pin!(start);
-                let gone = pin!(self.task.answer.gone());
+                let gone = pin!(self.task.answer.caller_gone());
                 match select(start, gone).await {
                     Either::Left((started, _)) => Some(started),
                     Either::Right(_) => None,
@@ -111,30 +116,32 @@
             }
         };
         match started {
-            None => self.on_caller_gone(&order).await,
-            Some(Err(failure)) => self.task.tell_failure(&order, failure).await,
-            Some(Ok(answer)) if self.task.delivered() && !answer.is_token_stream() => {
+            None => self.cancel_for_gone_caller(&order).await,
+            Some(Err(failure)) => self.task.report_failure(&order, failure).await,
+            Some(Ok(answer)) if self.task.has_delivered() && !answer.is_token_stream() => {
                 // The engine does not know the stream that was to be resumed.
                 let failure = CallFailure::may_have_run(FailureCause::ErrorStatus);
-                self.task.tell_failure(&order, failure).await
+                self.task.report_failure(&order, failure).await
             }
-            Some(Ok(answer)) if answer.is_token_stream() => self.stream(&order, answer).await,
-            Some(Ok(answer)) => self.pass_whole(&order, answer).await,
+            Some(Ok(answer)) if answer.is_token_stream() => {
+                self.forward_stream(&order, answer).await
+            }
+            Some(Ok(answer)) => self.forward_whole(&order, answer).await,
         }
     }
 
-    async fn on_caller_gone(&mut self, order: &SendOrder) -> Next {
-        self.task.tell_caller_gone().await;
+    async fn cancel_for_gone_caller(&mut self, order: &SendOrder) -> NextStep {
+        self.task.report_caller_gone().await;
         if self.request.is_for_engine() {
             let engine = EngineAdapter::new(self.connections.clone());
             engine.cancel(order.address, order.attempt).await;
         }
-        Next::End
+        NextStep::End
     }
 
     /// Passes an answer on that comes as a whole. The caller gets it only when
     /// all of it is here, so that half an answer is never taken for a whole.
-    async fn pass_whole(&mut self, order: &SendOrder, answer: Answer) -> Next {
+    async fn forward_whole(&mut self, order: &SendOrder, answer: Answer) -> NextStep {
         let status = answer.status();
         let content_type = answer.content_type().to_string();
         let idle = Duration::from_millis(self.limits.upstream_idle_timeout_ms);
@@ -143,28 +150,28 @@
             .await;
         let body = match collected {
             Ok(body) => body,
-            Err(failure) => return self.task.tell_failure(order, failure).await,
+            Err(failure) => return self.task.report_failure(order, failure).await,
         };
         let end = AttemptEnd::Completed {
-            response: self.answer_to_keep(status, &content_type, &body),
+            response: self.answer_to_store(status, &content_type, &body),
             longest_pause: Duration::ZERO,
             tokens: completion_tokens(&body),
         };
-        self.task.tell_end(order, end).await;
+        self.task.report_attempt_end(order, end).await;
         let mut response = text_answer(status, &content_type, body);
         answers::set_verdict(&mut response, Verdict::Ran);
         self.task.answer.send_whole(response);
-        Next::End
+        NextStep::End
     }
 
-    fn answer_to_keep(
+    fn answer_to_store(
         &self,
         status: StatusCode,
         content_type: &str,
         body: &[u8],
     ) -> Option<StoredResponse> {
         let fits = body.len() as u64 <= self.limits.max_answer_bytes.get();
-        if !self.request.is_keyed() || !fits {
+        if !self.request.has_idempotency_key() || !fits {
             return None;
         }
         Some(StoredResponse {
@@ -174,45 +181,49 @@
         })
     }
 
-    async fn stream(&mut self, order: &SendOrder, answer: Answer) -> Next {
+    async fn forward_stream(&mut self, order: &SendOrder, answer: Answer) -> NextStep {
         let content_type = answer.content_type().to_string();
-        match self.pass_events(order, answer).await {
-            Streamed::CallerGone => self.on_caller_gone(order).await,
-            Streamed::Failed(failure) => self.task.tell_failure(order, failure).await,
-            Streamed::Whole => {
+        match self.forward_events(order, answer).await {
+            StreamEnd::CallerGone => self.cancel_for_gone_caller(order).await,
+            StreamEnd::Failed(failure) => self.task.report_failure(order, failure).await,
+            StreamEnd::Whole => {
                 // A replay without the end mark would be taken for a cut answer.
-                let kept = self.kept.take().unwrap_or_default() + END_EVENT;
+                let stored = self.stored_stream.take().unwrap_or_default() + END_EVENT;
                 let end = AttemptEnd::Completed {
-                    response: self.answer_to_keep(StatusCode::OK, &content_type, kept.as_bytes()),
+                    response: self.answer_to_store(
+                        StatusCode::OK,
+                        &content_type,
+                        stored.as_bytes(),
+                    ),
                     longest_pause: self.task.longest_pause(),
-                    tokens: self.task.take_unreported(),
+                    tokens: self.task.take_unreported_events(),
                 };
-                self.task.tell_end(order, end).await;
+                self.task.report_attempt_end(order, end).await;
                 self.send_part(END_EVENT.to_string()).await;
                 self.finish().await;
-                Next::End
+                NextStep::End
             }
         }
     }
 
-    async fn pass_events(&mut self, order: &SendOrder, answer: Answer) -> Streamed {
+    async fn forward_events(&mut self, order: &SendOrder, answer: Answer) -> StreamEnd {
         let content_type = answer.content_type().to_string();
         let mut tokens = answer.into_tokens();
         loop {
             let Some(first) = self.next_item(&mut tokens).await else {
-                return Streamed::CallerGone;
+                return StreamEnd::CallerGone;
             };
-            let (part, ended) = self.gather(first, &mut tokens);
-            if !part.is_empty() && !self.pass_part(order, &content_type, part).await {
-                return Streamed::CallerGone;
+            let (part, ended) = self.batch_events(first, &mut tokens);
+            if !part.is_empty() && !self.forward_part(order, &content_type, part).await {
+                return StreamEnd::CallerGone;
             }
             match ended {
                 None => {}
                 Some(Ok(())) => {
                     tokens.finish().await;
-                    return Streamed::Whole;
+                    return StreamEnd::Whole;
                 }
-                Some(Err(failure)) => return Streamed::Failed(failure),
+                Some(Err(failure)) => return StreamEnd::Failed(failure),
             }
         }
     }
@@ -227,11 +238,11 @@
             return Some(item);
         }
         let idle = Duration::from_millis(self.limits.upstream_idle_timeout_ms);
-        if self.request.is_keyed() {
+        if self.request.has_idempotency_key() {
             return Some(tokens.next(idle).await);
         }
         let next = pin!(tokens.next(idle));
-        let gone = pin!(self.task.answer.gone());
+        let gone = pin!(self.task.answer.caller_gone());
         match select(next, gone).await {
             Either::Left((item, _)) => Some(item),
             Either::Right(_) => None,
@@ -240,54 +251,56 @@
 
     /// Gathers an item and those that are there already into one piece for the
     /// caller; says whether the stream ended with them.
-    fn gather(
+    fn batch_events(
         &mut self,
         first: Result<StreamItem, CallFailure>,
         tokens: &mut TokenStream,
     ) -> (String, Option<Result<(), CallFailure>>) {
         let mut part = String::new();
         let mut item = Some(first);
-        for place in 1..=MAX_TOGETHER {
+        for count in 1..=MAX_EVENTS_PER_PART {
             match item {
-                Some(Ok(StreamItem::Event { data, id })) => self.take_event(&mut part, &data, id),
+                Some(Ok(StreamItem::Event { data, id })) => self.append_event(&mut part, &data, id),
                 Some(Ok(StreamItem::End)) => return (part, Some(Ok(()))),
                 Some(Err(failure)) => return (part, Some(Err(failure))),
                 None => break,
             }
             // An item taken here must not be left behind by the end of the loop.
-            item = (place < MAX_TOGETHER).then(|| tokens.try_next()).flatten();
+            item = (count < MAX_EVENTS_PER_PART)
+                .then(|| tokens.try_next())
+                .flatten();
         }
         (part, None)
     }
 
-    fn take_event(&mut self, part: &mut String, data: &str, id: String) {
+    fn append_event(&mut self, part: &mut String, data: &str, id: String) {
         use std::fmt::Write;
         let _ = write!(part, "data: {data}\n\n");
         if !id.is_empty() {
-            self.last_event = id;
+            self.last_event_id = id;
         }
         self.task.count_event();
     }
 
     /// Sends events to the caller; false if it is gone and nothing obliges the
     /// host to go on.
-    async fn pass_part(&mut self, order: &SendOrder, content_type: &str, part: String) -> bool {
+    async fn forward_part(&mut self, order: &SendOrder, content_type: &str, part: String) -> bool {
         self.task.answer.start_events(content_type);
-        if let Some(kept) = &mut self.kept
-            && kept.len() as u64 <= self.limits.max_answer_bytes.get()
+        if let Some(stored) = &mut self.stored_stream
+            && stored.len() as u64 <= self.limits.max_answer_bytes.get()
         {
-            kept.push_str(&part);
+            stored.push_str(&part);
         }
         let sent = self.send_part(part).await;
-        self.task.tell_progress(order).await;
-        sent || self.request.is_keyed()
+        self.task.report_progress(order).await;
+        sent || self.request.has_idempotency_key()
     }
 }
 
-async fn start(
+async fn start_attempt(
     connections: &Connections,
     request: &CallerRequest,
-    last_event: &str,
+    last_event_id: &str,
     order: &SendOrder,
 ) -> Result<Answer, CallFailure> {
     let call = request.call(order);
@@ -302,7 +315,7 @@
         }
         (true, Some(attempt)) => {
             let engine = EngineAdapter::new(connections.clone());
-            let resumed = engine.resume(order.address, attempt, last_event, HEAD_TIMEOUT);
+            let resumed = engine.resume(order.address, attempt, last_event_id, HEAD_TIMEOUT);
             resumed.await
         }
     }
@@ -315,10 +328,10 @@
         completion_tokens: u32,
     }
     #[derive(Deserialize)]
-    struct Counted {
+    struct EngineAnswer {
         usage: Usage,
     }
     serde_json::from_slice(body)
-        .map(|counted: Counted| Tokens::new(counted.usage.completion_tokens))
+        .map(|answer: EngineAnswer| Tokens::new(answer.usage.completion_tokens))
         .unwrap_or_default()
 }
--- a/crates/router/src/request_task.rs
+++ b/crates/router/src/request_task.rs
@@ -7,7 +7,7 @@
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What a request's task does after an instruction.
-pub(crate) enum Next {
+pub(crate) enum NextStep {
     /// The request has ended.
     End,
     /// The controller decides what follows.
@@ -24,11 +24,11 @@
     id: RequestId,
     pub(crate) instructions: Instructions,
     /// When a part of the answer was passed on last.
-    last_part: Option<Instant>,
-    last_progress: Instant,
+    last_part_at: Option<Instant>,
+    last_progress_at: Instant,
     longest_pause: Duration,
     /// Events of the stream since the last progress event.
-    unreported: u32,
+    unreported_events: u32,
 }
 
 impl RequestTask {
@@ -44,10 +44,10 @@
             events,
             id,
             instructions: Instructions::new(instructions),
-            last_part: None,
-            last_progress: Instant::now(),
+            last_part_at: None,
+            last_progress_at: Instant::now(),
             longest_pause: Duration::ZERO,
-            unreported: 0,
+            unreported_events: 0,
         }
     }
 
@@ -57,22 +57,23 @@
         tokio::select! {
             biased;
             instruction = self.instructions.next() => return instruction,
-            () = self.answer.gone() => {}
+            () = self.answer.caller_gone() => {}
         }
-        self.tell_caller_gone().await;
+        self.report_caller_gone().await;
         None
     }
 
-    pub(crate) const fn delivered(&self) -> bool {
+    pub(crate) const fn has_delivered(&self) -> bool {
         self.delivered
     }
 
-    pub(crate) async fn tell_caller_gone(&self) {
-        self.tell(Event::CallerGone { request: self.id }).await;
+    pub(crate) async fn report_caller_gone(&self) {
+        self.send_event(Event::CallerGone { request: self.id })
+            .await;
     }
 
-    pub(crate) async fn tell_end(&self, order: &SendOrder, end: AttemptEnd) {
-        self.tell(Event::AttemptEnded {
+    pub(crate) async fn report_attempt_end(&self, order: &SendOrder, end: AttemptEnd) {
+        self.send_event(Event::AttemptEnded {
             attempt: order.attempt,
             end,
             request: self.id,
@@ -80,24 +81,33 @@
         .await;
     }
 
-    pub(crate) async fn tell_failure(&mut self, order: &SendOrder, failure: CallFailure) -> Next {
+    pub(crate) async fn report_failure(
+        &mut self,
+        order: &SendOrder,
+        failure: CallFailure,
+    ) -> NextStep {
         let end = AttemptEnd::Failed {
             cause: failure.cause,
             delivered: self.delivered,
-            tokens: self.take_unreported(),
+            tokens: self.take_unreported_events(),
             verdict: failure.verdict,
         };
-        self.tell_end(order, end).await;
-        Next::Wait
+        self.report_attempt_end(order, end).await;
+        NextStep::Wait
     }
 
     /// Tells what an upstream says of itself in an answer, if that may be news.
-    pub(crate) async fn tell_notice(&self, order: &SendOrder, notice: UpstreamNotice, sent: Time) {
+    pub(crate) async fn report_notice(
+        &self,
+        order: &SendOrder,
+        notice: UpstreamNotice,
+        sent: Time,
+    ) {
         let inputs = &order.inputs;
         if notice.is_empty() && inputs.rate_limit.is_none() && inputs.rejection_limit.is_none() {
             return;
         }
-        self.tell(Event::NoticeAnswered {
+        self.send_event(Event::NoticeAnswered {
             notice,
             sent,
             upstream: order.upstream.clone(),
@@ -106,8 +116,8 @@
     }
 
     /// Tells by which paths it was tried to reach an upstream.
-    pub(crate) async fn tell_paths(&self, order: &SendOrder, tries: Vec<PathTry>) {
-        self.tell(Event::PathsTried {
+    pub(crate) async fn report_paths(&self, order: &SendOrder, tries: Vec<PathTry>) {
+        self.send_event(Event::PathsTried {
             request: Some(self.id),
             tries,
             upstream: order.upstream.clone(),
@@ -117,28 +127,28 @@
 
     /// Counts an event of the stream that is passed on.
     pub(crate) const fn count_event(&mut self) {
-        self.unreported += 1;
+        self.unreported_events += 1;
     }
 
     /// Events that the controller has not been notified of.
-    pub(crate) fn take_unreported(&mut self) -> Tokens {
-        Tokens::new(std::mem::take(&mut self.unreported))
+    pub(crate) fn take_unreported_events(&mut self) -> Tokens {
+        Tokens::new(std::mem::take(&mut self.unreported_events))
     }
 
     /// Notes that events were passed on, and tells the controller of the first ones
     /// at once and of later ones now and then.
-    pub(crate) async fn tell_progress(&mut self, order: &SendOrder) {
+    pub(crate) async fn report_progress(&mut self, order: &SendOrder) {
         let now = Instant::now();
-        self.note_part(now);
+        self.record_part(now);
         let first = !std::mem::replace(&mut self.delivered, true);
-        let since_last = now.duration_since(self.last_progress);
-        let due = self.unreported >= PROGRESS_EVENTS || since_last >= PROGRESS_INTERVAL;
+        let since_last = now.duration_since(self.last_progress_at);
+        let due = self.unreported_events >= PROGRESS_EVENTS || since_last >= PROGRESS_INTERVAL;
         if !first && !due {
             return;
         }
-        self.last_progress = now;
-        let tokens = self.take_unreported();
-        self.tell(Event::Progressed {
+        self.last_progress_at = now;
+        let tokens = self.take_unreported_events();
+        self.send_event(Event::Progressed {
             attempt: order.attempt,
             longest_pause: self.longest_pause,
             request: self.id,
@@ -152,13 +162,13 @@
         self.longest_pause
     }
 
-    fn note_part(&mut self, now: Instant) {
-        if let Some(last) = self.last_part.replace(now) {
+    fn record_part(&mut self, now: Instant) {
+        if let Some(last) = self.last_part_at.replace(now) {
             self.longest_pause = self.longest_pause.max(now.duration_since(last));
         }
     }
 
-    async fn tell(&self, event: Event) {
+    async fn send_event(&self, event: Event) {
         // Waits while the ring is full: an end of an attempt is never lost. The
         // controller outlives every task.
         let _ = self.events.send_async(RingEvent::Happened(event)).await;
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -17,7 +17,7 @@
     /// When bytes were passed on last for other hosts.
     pub(crate) activity: Activity,
     /// Connections that are passed on for other hosts.
-    pub(crate) passing: Pumps,
+    pub(crate) passing: TaskSet,
     pub(crate) read_configuration: Arc<Notify>,
     pub(crate) status: Arc<ArcSwap<HostStatus>>,
     pub(crate) unread: UnreadAnswers,
@@ -54,7 +54,7 @@
             ledger: Arc::default(),
             limits: Arc::clone(&limits),
             activity: Activity::new(clock),
-            passing: Pumps::default(),
+            passing: TaskSet::default(),
             read_configuration: Arc::default(),
             status: Arc::new(ArcSwap::from_pointee(status)),
             unread: UnreadAnswers::new(clock, limits),
--- a/crates/router/src/pumps.rs
+++ b/crates/router/src/task_set.rs
@@ -2,11 +2,11 @@
 
 /// Tasks of one kind: spawned here, and joined or ended when the host stops.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Pumps {
+pub(crate) struct TaskSet {
     tasks: Arc<Mutex<JoinSet<()>>>,
 }
 
-impl Pumps {
+impl TaskSet {
     /// Spawns a task, and forgets those that have ended.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         self.running().spawn(task);
--- a/crates/router/src/transit_service.rs
+++ b/crates/router/src/transit_service.rs
@@ -22,7 +22,7 @@
     pub(crate) activity: Activity,
     pub(crate) events: flume::Sender<RingEvent>,
     pub(crate) logger: Logger,
-    pub(crate) passing: Pumps,
+    pub(crate) passing: TaskSet,
 }
 
 impl TransitService {
--- a/crates/router/src/unread_answers.rs
+++ b/crates/router/src/unread_answers.rs
@@ -10,7 +10,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    ledger: UnreadLedger,
+    budget: UnreadBudget,
     signals: HashMap<ReaderId, Arc<ReaderSignals>>,
 }
 
@@ -24,56 +24,56 @@
     }
 
     /// Counts for one more connection of a caller.
-    pub(crate) fn open(&self) -> Arc<AnswerReader> {
+    pub(crate) fn add_reader(&self) -> Arc<AnswerReader> {
         let signals = Arc::new(ReaderSignals::default());
         let mut inner = self.lock();
-        let id = inner.ledger.open();
+        let id = inner.budget.add_reader();
         inner.signals.insert(id, Arc::clone(&signals));
         drop(inner);
         Arc::new(AnswerReader::new(self.clone(), id, signals))
     }
 
-    pub(crate) fn close(&self, id: ReaderId) {
+    pub(crate) fn remove_reader(&self, id: ReaderId) {
         let mut inner = self.lock();
-        inner.ledger.close(id);
+        inner.budget.remove_reader(id);
         inner.signals.remove(&id);
     }
 
     pub(crate) fn held_bytes(&self) -> u64 {
-        self.lock().ledger.held_bytes()
+        self.lock().budget.held_bytes()
     }
 
     /// Bytes that a caller has not read, and how long it has taken nothing.
-    pub(crate) fn unread(&self, id: ReaderId) -> (u64, Duration) {
+    pub(crate) fn unread_and_idle(&self, id: ReaderId) -> (u64, Duration) {
         let now = self.clock.now();
-        let ledger = &self.lock().ledger;
-        (ledger.unread_bytes(id), ledger.idle_for(id, now))
+        let budget = &self.lock().budget;
+        (budget.unread_bytes(id), budget.idle_time(id, now))
     }
 
     /// Counts bytes for a caller if there is room; where one is too slow for that, its
     /// connection is closed.
-    pub(crate) fn take(&self, id: ReaderId, bytes: u64, holding: Holding) -> bool {
+    pub(crate) fn try_reserve(&self, id: ReaderId, bytes: u64, delivery: Delivery) -> bool {
         let now = self.clock.now();
         let limits = self.limits.load();
         let mut inner = self.lock();
-        let room = inner.ledger.take(now, id, bytes, holding, &limits);
-        if let Room::Without(slowest) = room
+        let reservation = inner.budget.reserve(now, id, bytes, delivery, &limits);
+        if let Reservation::AfterClosing(slowest) = reservation
             && let Some(signals) = inner.signals.get(&slowest)
         {
-            signals.cut.notify_one();
+            signals.close.notify_one();
         }
-        room == Room::Granted
+        reservation == Reservation::Granted
     }
 
-    pub(crate) fn offer(&self, id: ReaderId) {
+    pub(crate) fn mark_readable(&self, id: ReaderId) {
         let now = self.clock.now();
-        self.lock().ledger.offer(now, id);
+        self.lock().budget.mark_readable(now, id);
     }
 
-    pub(crate) fn give_back(&self, id: ReaderId, bytes: u64) {
+    pub(crate) fn release(&self, id: ReaderId, bytes: u64) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        for id in inner.ledger.give_back(now, id, bytes) {
+        for id in inner.budget.release(now, id, bytes) {
             if let Some(signals) = inner.signals.get(&id) {
                 signals.room.notify_one();
             }
--- a/crates/router/src/unread_part.rs
+++ b/crates/router/src/unread_part.rs
@@ -31,6 +31,6 @@
 
 impl Drop for UnreadPart {
     fn drop(&mut self) {
-        self.reader.give_back(self.bytes.len() as u64);
+        self.reader.release(self.bytes.len() as u64);
     }
 }
--- a/crates/router/src/whole_answer.rs
+++ b/crates/router/src/whole_answer.rs
@@ -21,15 +21,15 @@
             let mut bytes = frame.ok()?.into_data().unwrap_or_default();
             while !bytes.is_empty() {
                 let part = AnswerReader::split_part(&mut bytes);
-                parts.push_back(reader.hold_collected(part).await);
+                parts.push_back(reader.reserve_whole(part).await);
             }
         }
         Some(Self { parts, reader })
     }
 
     /// The body as its caller gets it.
-    pub(crate) fn offered(self) -> AnswerBody {
-        self.reader.offer();
+    pub(crate) fn into_answer_body(self) -> AnswerBody {
+        self.reader.mark_readable();
         self.boxed_unsync()
     }
 }
--- a/crates/router/src/whole_body.rs
+++ b/crates/router/src/whole_body.rs
@@ -5,7 +5,7 @@
 pub(crate) struct WholeBody {
     pub(crate) bytes: Bytes,
     /// Given back when the request has ended.
-    pub(crate) _held: HeldBytes,
+    pub(crate) _reservation: BodyReservation,
 }
 
 impl WholeBody {
@@ -34,7 +34,7 @@
         budget: &BodyBudget,
     ) -> Result<Self, BodyError> {
         let mut body = Limited::new(body, max.get() as usize);
-        let mut held = budget.open();
+        let mut reservation = budget.start_reservation();
         let mut bytes = BytesMut::new();
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|error| {
@@ -45,14 +45,14 @@
                 }
             })?;
             let data = frame.into_data().unwrap_or_default();
-            if !held.grow(data.len() as u64, max_buffered) {
+            if !reservation.add(data.len() as u64, max_buffered) {
                 return Err(BodyError::NoMemory);
             }
             bytes.extend_from_slice(&data);
         }
         Ok(Self {
             bytes: bytes.freeze(),
-            _held: held,
+            _reservation: reservation,
         })
     }
 }
--- a/crates/router/src/wiring.rs
+++ b/crates/router/src/wiring.rs
@@ -288,7 +288,7 @@
         let next_request = Arc::clone(next_request);
         match protocol {
             Some(protocol) => CallerInterface::Relay(RelayService {
-                bodies: self.shared.bodies.clone(),
+                body_budget: self.shared.bodies.clone(),
                 clock: self.shared.clock,
                 configuration,
                 connections: Connections::with_token(&self.settings.peer_token),
@@ -296,17 +296,17 @@
                 limits,
                 next_request,
                 protocol: Arc::clone(protocol),
-                pumps: Pumps::default(),
+                tasks: TaskSet::default(),
                 status: Arc::clone(&self.shared.status),
             }),
-            None => CallerInterface::Own(CallerService {
-                bodies: self.shared.bodies.clone(),
+            None => CallerInterface::OpenAi(CallerService {
+                body_budget: self.shared.bodies.clone(),
                 configuration,
                 connections: Connections::default(),
                 events: self.events(),
                 limits,
                 next_request,
-                pumps: Pumps::default(),
+                tasks: TaskSet::default(),
             }),
         }
     }
--- a/crates/router/tests/unit/answers.rs
+++ b/crates/router/tests/unit/answers.rs
@@ -29,7 +29,7 @@
 
 /// Guards against a status that promises what the verdict does not say.
 #[test]
-fn no_status_promises_more_than_the_verdict() {
+fn a_request_that_may_have_run_never_gets_a_not_run_status() {
     for reason in REASONS {
         for verdict in [Verdict::MayHaveRun, Verdict::Ran] {
             let refusal = Refusal {
@@ -37,7 +37,7 @@
                 reason,
                 verdict,
             };
-            let status = relayed_refusal(&refusal).status();
+            let status = relayed_refusal_answer(&refusal).status();
             assert!(
                 ![408, 421, 429, 503].contains(&status.as_u16()),
                 "{reason:?} {status}"
@@ -48,8 +48,8 @@
 
 /// Guards against a host that lost track of a request and says that it did not run.
 #[test]
-fn what_a_host_lost_track_of_may_have_run() {
-    let answer = lost_track();
+fn a_lost_request_may_have_run() {
+    let answer = lost_request_answer();
     assert_eq!(answer.status(), StatusCode::BAD_GATEWAY);
     assert_eq!(answer.headers()[VERDICT_HEADER], "may-have-run");
 }
