--- a/crates/router/src/answer_reader.rs
+++ b/crates/router/src/answer_reader.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// Largest part in which bytes are counted: a caller that reads on is seen to do so from one
-/// part to the next.
+/// Maximum size of one part that is accounted for. Bytes are released part by part, which tells a
+/// caller that reads a large answer slowly from a caller that reads nothing.
 const MAX_PART_BYTES: usize = 16 * 1024;
 
-/// The caller at the end of one connection, as the reader of its unread_answers.
+/// The caller of one connection in its role as the reader of answers.
 #[derive(Debug)]
 pub(crate) struct AnswerReader {
     unread_answers: UnreadAnswers,
@@ -25,13 +25,13 @@
         }
     }
 
-    /// Takes a part from the start of `bytes`.
+    /// Splits a part of at most `MAX_PART_BYTES` off the start of `bytes`.
     pub(crate) fn split_part(bytes: &mut Bytes) -> Bytes {
         bytes.split_to(bytes.len().min(MAX_PART_BYTES))
     }
 
-    /// Counts a part of a stream once there is room for it; `None` if the caller takes
-    /// nothing for `slow_reader`.
+    /// Reserves budget for a part of a stream, waiting until there is enough. Returns `None` if the
+    /// caller reads nothing for `slow_reader`.
     pub(crate) async fn reserve_streamed(
         self: &Arc<Self>,
         bytes: Bytes,
@@ -50,7 +50,8 @@
         None
     }
 
-    /// Counts a part of an answer that is passed on as a whole, once there is room for it.
+    /// Reserves budget for a part of an answer that is sent only once it is complete, waiting until
+    /// there is enough.
     pub(crate) async fn reserve_whole(self: &Arc<Self>, bytes: Bytes) -> UnreadPart {
         while !self.try_reserve(&bytes, Delivery::Whole) {
             self.wait_for_room().await;
@@ -58,7 +59,7 @@
         self.unread_part(bytes)
     }
 
-    /// Notes that the caller can read what was collected.
+    /// Marks the collected answer as readable, so that the caller's idle time starts to count.
     pub(crate) fn mark_readable(&self) {
         self.unread_answers.mark_readable(self.id);
     }
@@ -67,13 +68,14 @@
         self.unread_answers.release(self.id, bytes);
     }
 
-    /// Returns once the connection is to be closed, for others to have room.
+    /// Waits until the connection must be closed to free budget for other callers.
     pub(crate) async fn close_requested(&self) {
         self.signals.close.notified().await;
         count_slow_reader("cut");
     }
 
-    /// Bytes that the caller has not read, and how long it has taken nothing.
+    /// Returns the number of bytes that the caller has not read, and how long the caller has read
+    /// nothing.
     pub(crate) fn unread_and_idle(&self) -> (u64, Duration) {
         self.unread_answers.unread_and_idle(self.id)
     }
@@ -87,7 +89,8 @@
         UnreadPart::new(bytes, Arc::clone(self))
     }
 
-    /// Looks again after a while by itself: others become slow by doing nothing.
+    /// Waits for a signal, but at most `STALL_TIMEOUT`: another reader that becomes slow sends no
+    /// signal.
     async fn wait_for_room(&self) {
         let _ = timeout(STALL_TIMEOUT, self.signals.room.notified()).await;
     }
@@ -99,7 +102,7 @@
     }
 }
 
-/// Counts what is done about callers that read slowly.
+/// Counts an action that is taken because a caller reads slowly.
 pub(crate) fn count_slow_reader(what: &'static str) {
     counter!("rhubarbcove_slow_readers_total", "what" => what).increment(1);
 }
--- a/crates/router/src/answer_sender.rs
+++ b/crates/router/src/answer_sender.rs
@@ -1,24 +1,24 @@
 use super::*;
 
-/// Frames of a stream that wait for a slow reader.
+/// Maximum number of parts of a stream that are queued for a slow reader.
 const MAX_WAITING_PARTS: usize = 16;
 
 enum BodyPart {
     Bytes(UnreadPart),
-    /// The body is complete.
+    /// Marks the body as complete.
     End,
 }
 
 enum SendState {
-    /// The head has not been sent.
+    /// The response head has not been sent.
     Head(oneshot::Sender<Response<AnswerBody>>),
     /// The body is being streamed.
     Stream(mpsc::Sender<BodyPart>),
-    /// All has been sent, or the caller is gone.
+    /// The response is complete, or the caller is gone.
     Closed,
 }
 
-/// The way back to the caller of one request.
+/// Sends the response of one request to its caller.
 pub(crate) struct AnswerSender {
     reader: Arc<AnswerReader>,
     state: SendState,
@@ -35,12 +35,12 @@
         }
     }
 
-    /// The caller as the reader of the answer.
+    /// Returns the reader that the parts of the answer are accounted to.
     pub(crate) fn reader(&self) -> Arc<AnswerReader> {
         Arc::clone(&self.reader)
     }
 
-    /// Returns once the caller is gone.
+    /// Waits until the caller disconnects.
     pub(crate) async fn caller_gone(&mut self) {
         match &mut self.state {
             SendState::Head(head) => head.closed().await,
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Sends a whole answer, if nothing has been sent yet.
+    /// Sends a complete response, unless one has been started.
     pub(crate) fn send_whole(&mut self, response: Response<AnswerBody>) {
         if let SendState::Head(head) = std::mem::replace(&mut self.state, SendState::Closed) {
             let _ = head.send(response);
         }
     }
 
-    /// Starts a stream of events, if it has not been started.
+    /// Starts a stream of events, unless a response has been started.
     pub(crate) fn start_events(&mut self, content_type: &str) {
         let mut head = Response::new(());
         if let Ok(value) = HeaderValue::from_str(content_type) {
@@ -65,11 +65,11 @@
         self.start_stream(head);
     }
 
-    /// Starts an answer whose body comes in parts, if none has been started.
+    /// Starts a response whose body is sent in parts, unless one has been started.
     ///
-    /// The body breaks off unless its end is sent. What goes wrong otherwise: a
-    /// task that ends early, for whatever reason, leaves an answer that looks
-    /// complete to the caller and is not.
+    /// The body ends with an error unless `finish` marks it as complete. Otherwise, if the task
+    /// that serves the request ended early for any reason, the caller would take a truncated answer
+    /// for a complete one.
     pub(crate) fn start_stream(&mut self, head: Response<()>) {
         if !matches!(self.state, SendState::Head(_)) {
             return;
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Sends part of a stream as soon as there is room for it; false if the caller is gone
-    /// or reads too slowly.
+    /// Sends a part of a stream as soon as there is room for it. Returns false if the caller is
+    /// gone or reads too slowly.
     pub(crate) async fn send_part(&mut self, part: Bytes, slow_reader: Duration) -> bool {
         let SendState::Stream(parts) = &self.state else {
             return false;
@@ -125,8 +125,7 @@
         true
     }
 
-    /// Marks the body as complete; false if the caller is gone or reads too
-    /// slowly.
+    /// Marks the body as complete. Returns false if the caller is gone or reads too slowly.
     pub(crate) async fn finish(&mut self, slow_reader: Duration) -> bool {
         match std::mem::replace(&mut self.state, SendState::Closed) {
             SendState::Stream(parts) => {
@@ -140,7 +139,7 @@
     }
 }
 
-/// Why a part was not sent.
+/// Why a part could not be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum SendFailure {
     Gone,
--- a/crates/router/src/answers.rs
+++ b/crates/router/src/answers.rs
@@ -1,18 +1,18 @@
-//! Answers that a host gives by itself.
+//! Responses that the host generates itself.
 
 use super::*;
 
-/// Body of an answer to a caller.
+/// Body of a response to a caller.
 pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, BrokenAnswer>;
 
-/// Most spread that is written into `Retry-After`, in seconds.
+/// Upper limit of a `Retry-After` header, in seconds.
 const MAX_RETRY_AFTER_S: u64 = 3_600;
 
-/// Advice to return for a body that found no memory, in seconds: about the time in
-/// which requests with large bodies end.
+/// `Retry-After` for a request body that exceeds the memory limit, in seconds: about the time in
+/// which requests with large bodies finish.
 const BODY_RETRY_AFTER_S: &str = "1";
 
-/// A whole answer.
+/// Builds a response with a complete body.
 pub(crate) fn text_answer(
     status: StatusCode,
     content_type: &str,
@@ -26,13 +26,13 @@
     response
 }
 
-/// A body that is all here.
+/// Builds a body that is completely in memory.
 pub(crate) fn whole_body(body: impl Into<Bytes>) -> AnswerBody {
     let body = Full::new(body.into());
     body.map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An error answer in the shape that OpenAI-style clients expect.
+/// Builds an error response in the format that OpenAI-style clients expect.
 pub(crate) fn error_answer(
     status: StatusCode,
     code: &str,
@@ -45,7 +45,7 @@
     response
 }
 
-/// The JSON of an error.
+/// Formats the JSON body of an error.
 pub(crate) fn error_json(code: &str, message: &str, verdict: Verdict) -> String {
     let error = json!({
         "code": code,
@@ -56,7 +56,7 @@
     json!({ "error": error }).to_string()
 }
 
-/// The answer to a request whose body cannot be used.
+/// Builds the response to a request whose body cannot be used.
 pub(crate) fn body_error_answer(error: &BodyError) -> Response<AnswerBody> {
     let status = error.status();
     let mut response = error_answer(status, error.code(), &error.to_string(), Verdict::NotRun);
@@ -67,7 +67,7 @@
     response
 }
 
-/// The answer to a refused request.
+/// Builds the response to a refused request.
 pub(crate) fn refusal_answer(refusal: &Refusal) -> Response<AnswerBody> {
     let reason = refusal.reason;
     let mut response = error_answer(
@@ -84,7 +84,7 @@
     response
 }
 
-/// Marks an answer with its verdict.
+/// Adds the header that says whether the request ran.
 pub(crate) fn set_verdict<B>(response: &mut Response<B>, verdict: Verdict) {
     response.headers_mut().insert(
         HeaderName::from_static(VERDICT_HEADER),
@@ -92,7 +92,8 @@
     );
 }
 
-/// The answer to a request whose task ended without a word: nothing is known of it.
+/// Builds the response to a request whose task ended without an answer. Whether the request ran is
+/// unknown.
 pub(crate) fn lost_request_answer() -> Response<AnswerBody> {
     let message = "the host lost track of the request";
     let verdict = Verdict::MayHaveRun;
@@ -128,8 +129,8 @@
     }
 }
 
-/// The answer to a relayed request that is refused. Only a request that has not
-/// run and never will gets a status that says so.
+/// Builds the response to a refused relayed request. The status says that the request did not run
+/// only if the request has not run and never will.
 pub(crate) fn relayed_refusal_answer(refusal: &Refusal) -> Response<AnswerBody> {
     let reason = refusal.reason;
     let status = match (refusal_status(reason), refusal.verdict) {
--- a/crates/router/src/body_budget.rs
+++ b/crates/router/src/body_budget.rs
@@ -1,17 +1,16 @@
 use super::*;
 
-/// Bytes of bodies that this host holds for requests that have not ended.
+/// Memory that the request bodies of all unfinished requests on this host take.
 ///
-/// What goes wrong without a bound: bodies are read whole, and a burst of large
-/// ones takes more memory than the process may have; it is killed, and every
-/// request on the host breaks off. One would notice restarts of hosts in a burst.
+/// Bodies are read whole. Without a limit, a burst of large bodies exceeds the memory of the
+/// process, the operating system kills the process, and all requests on the host fail.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BodyBudget {
     reserved_bytes: Arc<AtomicU64>,
 }
 
 impl BodyBudget {
-    /// Nothing reserved_bytes yet, for one more request.
+    /// Starts an empty reservation for a request.
     pub(crate) fn start_reservation(&self) -> BodyReservation {
         BodyReservation {
             bytes: 0,
@@ -20,7 +19,7 @@
     }
 }
 
-/// The bytes of one request's body. They are given back when it is dropped.
+/// The memory reserved for the body of one request, released on drop.
 #[derive(Debug)]
 pub(crate) struct BodyReservation {
     bytes: u64,
@@ -28,7 +27,8 @@
 }
 
 impl BodyReservation {
-    /// Takes more; false if all requests together would hold more than `max`.
+    /// Adds `bytes` to the reservation. Returns false if all requests together then exceed `max`;
+    /// the bytes stay counted until the reservation is dropped.
     pub(crate) fn add(&mut self, bytes: u64, max: ByteSize) -> bool {
         let before = self.reserved_bytes.fetch_add(bytes, Ordering::Relaxed);
         self.bytes += bytes;
--- a/crates/router/src/body_error.rs
+++ b/crates/router/src/body_error.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Why a caller's body cannot be used.
+/// Why the body of a caller's request cannot be used.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum BodyError {
     Broken,
@@ -10,7 +10,7 @@
 }
 
 impl BodyError {
-    /// Machine-readable code, as it stands in error answers.
+    /// Machine-readable code for error responses.
     pub(crate) const fn code(&self) -> &'static str {
         match self {
             Self::Broken => "body_broken",
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Status of the answer that tells it.
+    /// Status of the error response.
     pub(crate) const fn status(&self) -> StatusCode {
         match self {
             Self::Broken => StatusCode::BAD_REQUEST,
--- a/crates/router/src/broken_answer.rs
+++ b/crates/router/src/broken_answer.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// The body of an answer broke off; the caller's connection is closed without
-/// the body's end.
+/// The body of a response ended early. The HTTP library closes the caller's connection without
+/// marking the body as complete.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct BrokenAnswer;
 
 impl Display for BrokenAnswer {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("the response ended before its body was complete")
     }
 }
 
--- a/crates/router/src/caller_interface.rs
+++ b/crates/router/src/caller_interface.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// What callers speak to: the product's own interface, or that of an
+/// The interface that callers use: the OpenAI-style interface, or the relaying interface of an
 /// installation.
 #[derive(Clone)]
 pub(crate) enum CallerInterface {
-    /// OpenAI-style requests and calls to plain services.
+    /// OpenAI-style requests, and requests to services that are not engines.
     OpenAi(CallerService),
-    /// Requests that are relayed unchanged by route.
+    /// Requests that are routed by host name and path, and relayed unchanged.
     Relay(RelayService),
 }
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The tasks that serve requests, to be joined at the end.
+    /// Removes and returns the running request tasks, to be joined on shutdown.
     pub(crate) fn take_tasks(&self) -> JoinSet<()> {
         match self {
             Self::OpenAi(service) => service.tasks.take(),
--- a/crates/router/src/caller_request.rs
+++ b/crates/router/src/caller_request.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// Bytes of text that count as one token.
+/// Estimated bytes of text per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Bytes of a prompt that are hashed as its prefix.
+/// Number of bytes at the start of a prompt that are hashed to identify the prefix.
 const PREFIX_BYTES: usize = 256;
 
-/// Seeds of the hash of a prefix, fixed so that it is the same on each host.
+/// Seeds of the prefix hash. They are fixed so that all hosts compute the same hash.
 const PREFIX_SEEDS: [u64; 4] = [1, 2, 3, 4];
 
-/// A request of a caller, read whole.
+/// A caller's request with its complete body.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
-    pub(crate) parsed: Asked,
+    pub(crate) requested: Asked,
     pub(crate) body: WholeBody,
     pub(crate) class: Option<ClassId>,
     pub(crate) content_type: String,
@@ -22,7 +22,7 @@
     pub(crate) repeatability: Repeatability,
 }
 
-/// The fields of an OpenAI-style body that a router needs.
+/// The fields of an OpenAI-style request body that the router reads.
 #[derive(Debug, Deserialize)]
 pub(crate) struct EngineBody<'a> {
     max_completion_tokens: Option<u32>,
@@ -57,9 +57,9 @@
 }
 
 impl CallerRequest {
-    /// Whether it is for an engine, which can resume and cancel.
+    /// Whether the request is for an engine. Engines can resume streams and cancel attempts.
     pub(crate) const fn is_for_engine(&self) -> bool {
-        matches!(self.parsed.target, Target::Model(_))
+        matches!(self.requested.target, Target::Model(_))
     }
 
     pub(crate) fn arrival(&self, request: RequestId) -> Arrival {
@@ -67,18 +67,18 @@
             class: self.class.clone(),
             fingerprint: self.fingerprint,
             key_hash: Some(self.key_hash),
-            max_output: self.parsed.max_output,
-            prefix: self.parsed.prefix,
-            prompt_tokens: self.parsed.prompt,
+            max_output: self.requested.max_output,
+            prefix: self.requested.prefix,
+            prompt_tokens: self.requested.prompt,
             repeatability: self.repeatability.clone(),
             request,
             routed: None,
-            target: self.parsed.target.clone(),
+            target: self.requested.target.clone(),
         }
     }
 
-    /// Whether the request must be carried to its end though the caller is
-    /// gone, because a retry with the same key will ask for its answer.
+    /// Whether the request has an idempotency key. Such a request runs to its end even if the
+    /// caller disconnects, because a retry with the same key will ask for the answer.
     pub(crate) const fn has_idempotency_key(&self) -> bool {
         matches!(self.repeatability, Repeatability::AtMostOncePerKey { .. })
     }
@@ -89,7 +89,7 @@
             body: self.body.bytes.clone(),
             content_type: self.content_type.clone(),
             method: self.method.clone(),
-            path: self.parsed.path.clone(),
+            path: self.requested.path.clone(),
             priority: order.priority,
         }
     }
--- a/crates/router/src/caller_service.rs
+++ b/crates/router/src/caller_service.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Requests of one caller thread, from HTTP to the controller and back.
+/// Serves the OpenAI-style requests of one caller thread.
 #[derive(Clone)]
 pub(crate) struct CallerService {
     pub(crate) body_budget: BodyBudget,
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Reads a request whole and checks its form; `None` asks for the models.
+    /// Reads and validates a request with its body. Returns `None` for a request that lists the
+    /// models.
     async fn read_request(
         &self,
         request: Request<Incoming>,
@@ -75,13 +76,13 @@
             None if must_not_repeat => Repeatability::AtMostOnce,
             None => Repeatability::AsConfigured,
         };
-        let parsed = if is_engine {
+        let requested = if is_engine {
             parse_engine_request(path_and_query, &body.bytes)
         } else {
             parse_service_request(&path_and_query)
         };
         Ok(Some(CallerRequest {
-            parsed: parsed?,
+            requested: requested?,
             body,
             class,
             content_type,
@@ -92,15 +93,15 @@
         }))
     }
 
-    /// Hands the request to the controller and waits for the head of the
-    /// answer. The rest is done by a task of its own, which outlives the
-    /// caller where a claimed key must be carried to its end.
+    /// Passes the request to the controller and waits for the response head. A separate task does
+    /// the rest: a request with an idempotency key must run to its end even if the caller
+    /// disconnects.
     async fn serve(&self, request: CallerRequest, reader: Arc<AnswerReader>) -> HttpAnswer {
         let id = RequestId::new(self.next_request.fetch_add(1, Ordering::Relaxed));
         let (instruction_sender, instructions) = mpsc::channel(Instruction::RING);
         let arrival = request.arrival(id);
-        // A full ring is reported to the caller at once and truthfully; waiting
-        // here would hide an overload from every limit that is meant for it.
+        // Rejects the request at once if the queue is full. Waiting here would hide the overload
+        // from the limits that handle it.
         if self
             .events
             .try_send(RingEvent::Arrived(
--- a/crates/router/src/caller_thread.rs
+++ b/crates/router/src/caller_thread.rs
@@ -1,19 +1,19 @@
-//! The thread that serves callers: it accepts connections, passes requests to
-//! the controller and streams answers back.
+//! Thread that serves callers: it accepts connections, passes requests to the controller and
+//! streams answers back.
 
 use super::*;
 
-/// Pause after an accept failed, for want of file descriptors say.
+/// Delay after a failed accept, for example if the process has no file descriptors left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What a caller thread is given.
+/// Input of a caller thread.
 pub(crate) struct CallerThread {
     pub(crate) connections: Arc<AtomicUsize>,
     pub(crate) listener: std::net::TcpListener,
     pub(crate) logger: Logger,
     pub(crate) metrics: HostMetrics,
     pub(crate) service: CallerInterface,
-    /// Longest time from the stop of new connections to the end of all.
+    /// Maximum time from closing the listener until all requests have ended; no limit if `None`.
     pub(crate) drain_limit: Option<Duration>,
     pub(crate) shutdown: Shutdown,
     pub(crate) unread: UnreadAnswers,
@@ -63,7 +63,7 @@
         let open = self.connections.fetch_add(1, Ordering::Relaxed);
         let guard = ConnectionGuard(Arc::clone(&self.connections));
         if open >= self.service.limits().own().max_connections {
-            // Closing is the only answer that costs nothing.
+            // Closes the connection without a response, because any response would cost resources.
             return;
         }
         let _ = stream.set_nodelay(true);
@@ -94,7 +94,8 @@
         });
     }
 
-    /// Lets every request in flight end, then joins the tasks.
+    /// Closes idle connections and waits until all requests in flight have ended or `drain_limit`
+    /// has passed.
     async fn drain(&self, graceful: GracefulShutdown, mut connections: JoinSet<()>) {
         info!(self.logger, "callers: no new connections"; "open" => connections.len());
         let all_ended = async {
@@ -120,7 +121,7 @@
         "idle_ms" => idle.as_millis() as u64, "unread_bytes" => unread_bytes);
 }
 
-/// Counts a connection while it lives.
+/// Counts a connection while it is open.
 struct ConnectionGuard(Arc<AtomicUsize>);
 
 impl Drop for ConnectionGuard {
--- a/crates/router/src/event_splitter.rs
+++ b/crates/router/src/event_splitter.rs
@@ -2,22 +2,22 @@
 
 /// Splits the bytes of an event stream into whole events.
 ///
-/// What goes wrong with bytes passed on as they come: an upstream breaks off in
-/// the middle of an event, the stream goes on at another one after the last
-/// whole event, and the caller gets half an event joined to the next. So a part
-/// of an event is held back until the rest is here.
+/// An incomplete event is held back until its end arrives. If the bytes were forwarded as they
+/// arrived and an upstream failed in the middle of an event, the stream would resume at another
+/// upstream after the last whole event, and the caller would get half an event joined to the next
+/// one.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
     buffer: Vec<u8>,
-    /// Bytes at the start of the buffer in which no event ends.
+    /// Number of bytes at the start of the buffer that contain no end of an event.
     searched: usize,
 }
 
-/// One whole event, with the empty line that ends it.
+/// A whole event, including the empty line that ends the event.
 #[derive(Debug, Eq, PartialEq)]
 pub(crate) struct WholeEvent {
     pub(crate) bytes: Bytes,
-    /// Its id, if it has one.
+    /// The event's id, if the event has one.
     pub(crate) id: Option<String>,
 }
 
@@ -26,17 +26,17 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether part of an event is left.
+    /// Whether an incomplete event is left once `next_event` has returned `None`.
     pub(crate) fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Bytes of an event whose end has not come.
+    /// Number of bytes of the incomplete event once `next_event` has returned `None`.
     pub(crate) const fn partial_event_bytes(&self) -> u64 {
         self.buffer.len() as u64
     }
 
-    /// The next whole event.
+    /// Removes and returns the next whole event.
     pub(crate) fn next_event(&mut self) -> Option<WholeEvent> {
         let Some(end) = self.find_event_end() else {
             self.searched = self.buffer.len().saturating_sub(MAX_TERMINATOR_BYTES - 1);
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Where the first event ends: behind an empty line.
+    /// Finds the position after the empty line that ends the first event.
     fn find_event_end(&self) -> Option<usize> {
         let terminators = [&b"\n\n"[..], b"\r\n\r\n", b"\r\r"];
         (self.searched..self.buffer.len()).find_map(|at| {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Bytes of the longest line ends that make an empty line.
+/// Length of the longest byte sequence that ends an event.
 const MAX_TERMINATOR_BYTES: usize = 4;
 
 fn event_id(event: &[u8]) -> Option<String> {
--- a/crates/router/src/reader_signals.rs
+++ b/crates/router/src/reader_signals.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// What those who serve one caller's connection wait for.
+/// Signals to the tasks that serve the connection of one caller.
 #[derive(Debug, Default)]
 pub(crate) struct ReaderSignals {
-    /// The connection is to be closed.
+    /// The connection must be closed.
     pub(crate) close: Notify,
-    /// There may be room for more.
+    /// Budget for more bytes may be available.
     pub(crate) room: Notify,
 }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,20 +1,21 @@
 use super::*;
 
-/// Time beyond the end of an answer's use in which the upstream's own word on
-/// it is still waited for: it stops by itself then and says so.
+/// How long to wait for an upstream after the deadline of an answer. The upstream stops by itself
+/// at the deadline and says so in its response.
 const LATE_ANSWER_GRACE: Duration = Duration::from_millis(100);
 
-/// Time that an upstream may take for the connection's handshake and for the
-/// head of its answer; the request's own time limit ends it sooner.
+/// Maximum time for the handshake of a connection and for a response head. The time limit of a
+/// request usually ends the wait sooner.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Time to read the short body of a refusal, so that its connection can be kept.
+/// Maximum time to read the short body of a refusal. A connection can be reused only after the body
+/// has been read.
 const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Largest body of such a refusal.
+/// Maximum size of the body of a refusal; the connection is not reused after a larger one.
 const MAX_REFUSAL_BYTES: usize = 64 * 1024;
 
-/// Content type of a stream of events.
+/// Content type of an event stream.
 const EVENT_STREAM: &str = "text/event-stream";
 
 /// Why an attempt ended without an answer.
@@ -23,15 +24,14 @@
     Failed(CallFailure),
 }
 
-/// The task that relays one request: it does what the controller says, and
-/// passes the answer on unchanged.
+/// Task that relays one request: it follows the controller's instructions and forwards the answer
+/// unchanged.
 pub(crate) struct Relay {
     clock: Clock,
     connections: Connections,
-    /// The last failure that an upstream answered with; it is passed on if
-    /// nothing better comes.
+    /// The last failure response of an upstream. It is forwarded if no other attempt succeeds.
     failed_answer: Option<Response<WholeAnswer>>,
-    /// Id of the last event that was passed on.
+    /// Id of the last event that was forwarded.
     last_event_id: Option<String>,
     limits: Arc<Limits>,
     protocol: Arc<dyn Protocol>,
@@ -58,9 +58,9 @@
             let next = match instruction {
                 Instruction::Send(order) => self.attempt(&order).await,
                 Instruction::Refuse(refusal) => self.refuse(&refusal),
-                // That attempt has ended meanwhile.
+                // The attempt has already ended.
                 Instruction::Abandon(_) => NextStep::Wait,
-                // The caller's connection breaks with the answer's sender.
+                // Dropping the sender of the answer ends the body with an error.
                 Instruction::Break(_) | Instruction::Replay(_) => NextStep::End,
             };
             if matches!(next, NextStep::End) {
@@ -109,7 +109,7 @@
                             Err(error) => error,
                         }
                     }
-                    // Half of an answer went out: another whole one can't follow.
+                    // Part of a stream has been delivered, so a whole answer cannot follow.
                     _ if self.task.has_delivered() => {
                         AttemptError::Failed(CallFailure::may_have_run(FailureCause::ErrorStatus))
                     }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Sends the request and waits for the head of the answer.
+    /// Sends the request and waits for the response head.
     async fn exchange(
         &mut self,
         order: &SendOrder,
@@ -178,8 +178,8 @@
             .map_err(AttemptError::Failed)
     }
 
-    /// Waits for something of an upstream, unless the caller leaves or the
-    /// answer is of no use any more.
+    /// Waits for an operation on an upstream. Stops early if the caller disconnects, the controller
+    /// abandons the attempt, or the deadline and `LATE_ANSWER_GRACE` have passed.
     async fn within_deadline<T>(
         &mut self,
         order: &SendOrder,
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Reads the rest of a refusal, so that its connection can be kept.
+    /// Reads the rest of a refusal, so that the connection can be reused.
     async fn drain_refusal(
         &self,
         order: &SendOrder,
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Reads an answer whole: the caller gets it only when all of it is here.
+    /// Reads a whole answer. The caller gets the answer only once it is complete.
     async fn read_whole(
         &mut self,
         order: &SendOrder,
@@ -253,8 +253,8 @@
         answer: Response<WholeAnswer>,
     ) -> NextStep {
         if judgement == Judgement::Failed && answer.status().is_server_error() {
-            // The upstream ran it and failed. Where it may be repeated, another
-            // one may do better; else the failure is passed on.
+            // The upstream ran the request and failed. If the request may be repeated, another
+            // upstream may succeed; otherwise this failure is forwarded.
             self.failed_answer = Some(answer);
             let failure = CallFailure::may_have_run(FailureCause::ErrorStatus);
             return self.task.report_failure(order, failure).await;
@@ -277,7 +277,7 @@
         response: Response<Incoming>,
         sender: UpstreamSender,
     ) -> Result<(), AttemptError> {
-        // It is of no use any more, and would count as unread.
+        // The failed answer is not needed once a stream has begun, and would count as unread.
         self.failed_answer = None;
         let keep_for = connection_reuse::keep_time(&response);
         let (parts, mut body) = response.into_parts();
@@ -317,7 +317,7 @@
         Ok(())
     }
 
-    /// Passes the whole events on that are there, in one piece.
+    /// Forwards the whole events in the buffer as one part.
     async fn forward_events(
         &mut self,
         order: &SendOrder,
@@ -353,8 +353,8 @@
         Ok(())
     }
 
-    /// Whether an event comes after the last one that was passed on. One that
-    /// does not has been passed on before a stream moved.
+    /// Whether an event comes after the last one that was forwarded. After a stream has moved to
+    /// another upstream, events that were already forwarded may come again.
     fn follows_last_event(&self, id: &str) -> bool {
         let number = |id: &str| id.parse::<u64>().ok();
         match (self.last_event_id.as_deref().and_then(number), number(id)) {
--- a/crates/router/src/relay_rules.rs
+++ b/crates/router/src/relay_rules.rs
@@ -1,22 +1,22 @@
-//! What follows from the settings of an installation.
+//! Rules and time limits that follow from the settings of an installation.
 
 use super::*;
 
-/// What a host stays below the bound for a removed key. Its knowledge counts
-/// from before the store answered, and a request was sent before it is checked,
-/// so only the steps of the clocks are left.
+/// How far a host stays below the limit for accepting a removed key. The age of its key list counts
+/// from before the store responded, and a caller sends a request before the host checks the key, so
+/// the margin has to cover only clock steps.
 const KEY_KNOWLEDGE_MARGIN: Duration = Duration::from_millis(100);
 
-/// Part of the time for a change in which a host may go on with the version before, counted
-/// from when it learned of the change: it may have received late, and a request that it takes is
-/// sent some time later.
+/// Share of the time limit for applying a change during which a host may use the previous version,
+/// counted from when it learned of the change. The rest allows for a notification that arrives
+/// late, and for the time between accepting a request and sending it.
 const APPLY_LIMIT_SHARE: f64 = 0.75;
 
-/// Time that the end of a stop takes after the last request: settling, joining
-/// threads, leaving the process.
+/// Time reserved at the end of a shutdown, after the last request, to settle, join the threads and
+/// exit.
 pub(crate) const STOP_RESERVE: Duration = Duration::from_millis(600);
 
-/// The figures that the controller keeps to.
+/// Returns the rules that the controller follows.
 pub(crate) fn relay_rules(relay: &RelaySettings) -> RelayRules {
     let limit = Duration::from_millis(relay.key_knowledge_limit_ms);
     RelayRules {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Time for requests to end once no new connections are taken.
+/// Returns the time that requests have to end after the listener is closed.
 pub(crate) fn drain_limit(settings: &Settings) -> Option<Duration> {
     let relay = settings.relay.as_ref()?;
     let pause = Duration::from_millis(settings.balancer_pause_ms);
--- a/crates/router/src/relay_service.rs
+++ b/crates/router/src/relay_service.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Requests of an installation's callers, relayed by route.
+/// Serves an installation's callers by relaying their requests to the upstreams of a route.
 #[derive(Clone)]
 pub(crate) struct RelayService {
     pub(crate) clock: Clock,
@@ -17,7 +17,7 @@
 
 type HttpAnswer = Response<AnswerBody>;
 
-/// A request whose route has been found.
+/// A request whose route is known.
 struct AcceptedRequest {
     arrival: Arrival,
     request: RelayedRequest,
@@ -37,19 +37,19 @@
         let id = head.attempt.clone();
         match self.read_request(parts, head, body).await {
             Ok(accepted) => self.serve(accepted, reader).await,
-            Err(refusal) => self.refuse_early(&id, refusal),
+            Err(http_refusal) => self.refuse_early(&id, http_refusal),
         }
     }
 
-    /// Logs a request that is refused before the controller has seen it.
-    fn refuse_early(&self, id: &str, refusal: HttpRefusal) -> HttpAnswer {
+    /// Logs a request that is refused before it reaches the controller, and returns the response.
+    fn refuse_early(&self, id: &str, http_refusal: HttpRefusal) -> HttpAnswer {
         let event = RingEvent::TurnedAway {
             id: id.to_string(),
-            reason: refusal.code.to_string(),
+            reason: http_refusal.code.to_string(),
         };
-        // A full ring drops the line: the log never holds a request up.
+        // If the queue is full, the log line is dropped, because logging must not delay a request.
         let _ = self.events.try_send(event);
-        *refusal.answer
+        *http_refusal.answer
     }
 
     async fn read_request(
@@ -84,8 +84,8 @@
         Ok(AcceptedRequest { arrival, request })
     }
 
-    /// A host whose configuration may be outdated must not deny a route: it may
-    /// have been added since.
+    /// Returns the refusal of a request without a route. The route is reported as unknown only if
+    /// the host's configuration is current, because a newer configuration may have added the route.
     fn no_route_refusal(&self) -> HttpRefusal {
         let status = self.status.load();
         if status.current && !status.behind {
@@ -95,14 +95,14 @@
         }
     }
 
-    /// Hands the request to the controller and waits for the head of the
-    /// answer; a task of its own does the rest.
+    /// Passes the request to the controller and waits for the response head. A separate task does
+    /// the rest.
     async fn serve(&self, accepted: AcceptedRequest, reader: Arc<AnswerReader>) -> HttpAnswer {
         let AcceptedRequest { arrival, request } = accepted;
         let id = arrival.request;
         let (instruction_sender, instructions) = mpsc::channel(Instruction::RING);
         let event = RingEvent::Arrived(arrival, request.head.attempt.clone(), instruction_sender);
-        // A full ring is reported to the caller at once and truthfully.
+        // Rejects the request at once if the queue is full. Waiting here would hide the overload.
         if self.events.try_send(event).is_err() {
             return *HttpRefusal::from_reason(RefusalReason::QueueFull).answer;
         }
@@ -116,10 +116,10 @@
     }
 }
 
-/// Advice to return for a refusal that says nothing of its own.
+/// `Retry-After` for refusals that bring no delay of their own.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// The answer to a request that is refused before the controller has seen it.
+/// The response to a request that is refused before it reaches the controller.
 struct HttpRefusal {
     answer: Box<HttpAnswer>,
     code: &'static str,
--- a/crates/router/src/relayed_request.rs
+++ b/crates/router/src/relayed_request.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// A caller's request that is relayed unchanged, read whole.
+/// A caller's request with its complete body, to be relayed unchanged.
 #[derive(Debug)]
 pub(crate) struct RelayedRequest {
     pub(crate) body: WholeBody,
     pub(crate) head: RequestHead,
     pub(crate) headers: hyper::HeaderMap,
     pub(crate) method: Method,
-    /// Path and query, as the caller wrote them.
+    /// Path and query as the caller sent them.
     pub(crate) path: String,
 }
 
 impl RelayedRequest {
-    /// The request as it goes to an upstream.
+    /// Builds the request for an upstream.
     pub(crate) fn for_upstream(
         &self,
         protocol: &dyn Protocol,
--- a/crates/router/src/request_handler.rs
+++ b/crates/router/src/request_handler.rs
@@ -1,27 +1,27 @@
 use super::*;
 
-/// Time to wait for the head of an answer. A queued request waits at the
-/// engine too, so this is generous; the idle limit holds from then on.
+/// Maximum time to wait for a response head. The limit is high because a request may also wait in
+/// the queue of the engine. After the head, the idle timeout applies.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Events of a stream that are passed on together when they came together.
+/// Maximum number of available events that are sent to the caller together.
 const MAX_EVENTS_PER_PART: usize = 64;
 
-/// Event that ends a whole stream.
+/// Event that ends a complete stream.
 const END_EVENT: &str = "data: [DONE]\n\n";
 
-/// How the stream of one attempt went.
+/// How the stream of one attempt ended.
 enum StreamEnd {
     CallerGone,
     Failed(CallFailure),
     Whole,
 }
 
-/// The task that serves one request: it does what the controller says, and
-/// passes the answer from the upstream to the caller on one thread.
+/// Task that serves one request: it follows the controller's instructions and forwards the answer
+/// from the upstream to the caller, all on one thread.
 pub(crate) struct RequestHandler {
     connections: Connections,
-    /// Stream so far, where it is to be kept for a repeated key.
+    /// The stream so far, if the answer must be stored for retries with the same idempotency key.
     stored_stream: Option<String>,
     last_event_id: String,
     limits: Arc<Limits>,
@@ -44,7 +44,7 @@
     pub(crate) async fn run(mut self) {
         while let Some(instruction) = self.task.next_instruction().await {
             let next = match instruction {
-                // No attempt of the own interface is given up.
+                // The controller abandons no attempts of the OpenAI-style interface.
                 Instruction::Abandon(_) => NextStep::Wait,
                 Instruction::Send(order) => self.attempt(*order).await,
                 Instruction::Refuse(refusal) => self.refuse(&refusal),
@@ -76,7 +76,7 @@
         NextStep::End
     }
 
-    /// Ends a cut stream with an error event and without an end mark.
+    /// Ends an interrupted stream with an error event and without `END_EVENT`.
     async fn end_with_error_event(&mut self, refusal: &Refusal) -> NextStep {
         let reason = refusal.reason;
         let error = answers::error_json(reason.code(), &reason.to_string(), refusal.verdict);
@@ -119,7 +119,8 @@
             None => self.cancel_for_gone_caller(&order).await,
             Some(Err(failure)) => self.task.report_failure(&order, failure).await,
             Some(Ok(answer)) if self.task.has_delivered() && !answer.is_token_stream() => {
-                // The engine does not know the stream that was to be resumed.
+                // The engine cannot resume the stream, because it does not know the earlier
+                // attempt.
                 let failure = CallFailure::may_have_run(FailureCause::ErrorStatus);
                 self.task.report_failure(&order, failure).await
             }
@@ -139,8 +140,8 @@
         NextStep::End
     }
 
-    /// Passes an answer on that comes as a whole. The caller gets it only when
-    /// all of it is here, so that half an answer is never taken for a whole.
+    /// Forwards an answer that is not a stream. The caller gets the answer only once it is
+    /// complete, so that a truncated answer is never taken for a complete one.
     async fn forward_whole(&mut self, order: &SendOrder, answer: Answer) -> NextStep {
         let status = answer.status();
         let content_type = answer.content_type().to_string();
@@ -187,7 +188,7 @@
             StreamEnd::CallerGone => self.cancel_for_gone_caller(order).await,
             StreamEnd::Failed(failure) => self.task.report_failure(order, failure).await,
             StreamEnd::Whole => {
-                // A replay without the end mark would be taken for a cut answer.
+                // Without the end event, a replayed stream would look interrupted.
                 let stored = self.stored_stream.take().unwrap_or_default() + END_EVENT;
                 let end = AttemptEnd::Completed {
                     response: self.answer_to_store(
@@ -228,8 +229,8 @@
         }
     }
 
-    /// The next item of a stream; `None` if the caller is gone before and
-    /// nothing obliges the host to go on.
+    /// Waits for the next item of a stream. Returns `None` if the caller disconnects first and the
+    /// request has no idempotency key.
     async fn next_item(
         &mut self,
         tokens: &mut TokenStream,
@@ -249,8 +250,8 @@
         }
     }
 
-    /// Gathers an item and those that are there already into one piece for the
-    /// caller; says whether the stream ended with them.
+    /// Batches an item and the items that are already available into one part for the caller. Also
+    /// returns how the stream ended, if it ended with one of these items.
     fn batch_events(
         &mut self,
         first: Result<StreamItem, CallFailure>,
@@ -265,7 +266,7 @@
                 Some(Err(failure)) => return (part, Some(Err(failure))),
                 None => break,
             }
-            // An item taken here must not be left behind by the end of the loop.
+            // The last iteration takes no further item, because the item would be lost.
             item = (count < MAX_EVENTS_PER_PART)
                 .then(|| tokens.try_next())
                 .flatten();
@@ -282,8 +283,8 @@
         self.task.count_event();
     }
 
-    /// Sends events to the caller; false if it is gone and nothing obliges the
-    /// host to go on.
+    /// Sends events to the caller. Returns false if the caller is gone and the request has no
+    /// idempotency key.
     async fn forward_part(&mut self, order: &SendOrder, content_type: &str, part: String) -> bool {
         self.task.answer.start_events(content_type);
         if let Some(stored) = &mut self.stored_stream
@@ -321,7 +322,7 @@
     }
 }
 
-/// Output tokens of a whole answer, by the engine's own count.
+/// Reads the number of output tokens that the engine reports in a whole answer.
 fn completion_tokens(body: &[u8]) -> Tokens {
     #[derive(Deserialize)]
     struct Usage {
@@ -332,6 +333,6 @@
         usage: Usage,
     }
     serde_json::from_slice(body)
-        .map(|answer: EngineAnswer| Tokens::new(answer.usage.completion_tokens))
+        .map(|engine_answer: EngineAnswer| Tokens::new(engine_answer.usage.completion_tokens))
         .unwrap_or_default()
 }
--- a/crates/router/src/request_task.rs
+++ b/crates/router/src/request_task.rs
@@ -1,33 +1,33 @@
 use super::*;
 
-/// Events of a stream after which the controller is notified of progress …
+/// Number of streamed events after which progress is reported to the controller.
 const PROGRESS_EVENTS: u32 = 32;
 
-/// … or after this time.
+/// Time after which progress is reported to the controller, if fewer events have come.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a request's task does after an instruction.
+/// What the task of a request does after it has carried out an instruction.
 pub(crate) enum NextStep {
-    /// The request has ended.
+    /// End, because the request has ended.
     End,
-    /// The controller decides what follows.
+    /// Wait for the controller's next instruction.
     Wait,
 }
 
-/// What every task that serves one request has: the way back to the caller, and
-/// the controller's instructions and what is reported to it in turn.
+/// State that every task serving a request has: the sender of the answer, the controller's
+/// instructions, and the queue for reports to the controller.
 pub(crate) struct RequestTask {
     pub(crate) answer: AnswerSender,
-    /// Whether part of the answer has been passed on.
+    /// Whether part of the answer has been sent to the caller.
     delivered: bool,
     events: flume::Sender<RingEvent>,
     id: RequestId,
     pub(crate) instructions: Instructions,
-    /// When a part of the answer was passed on last.
+    /// When the last part of the answer was sent to the caller.
     last_part_at: Option<Instant>,
     last_progress_at: Instant,
     longest_pause: Duration,
-    /// Events of the stream since the last progress event.
+    /// Streamed events since the last progress report.
     unreported_events: u32,
 }
 
@@ -51,8 +51,9 @@
         }
     }
 
-    /// The next instruction; `None` once the request has ended: the controller
-    /// said so, or the caller has left, of which the controller is notified.
+    /// Waits for the next instruction. Returns `None` once the request has ended: either the
+    /// controller has ended it, or the caller has disconnected, which is reported to the
+    /// controller.
     pub(crate) async fn next_instruction(&mut self) -> Option<Instruction> {
         tokio::select! {
             biased;
@@ -96,7 +97,8 @@
         NextStep::Wait
     }
 
-    /// Tells what an upstream says of itself in an answer, if that may be news.
+    /// Reports the notice in an upstream's response. An empty notice is skipped, unless the order
+    /// was made under a rate limit or a rejection limit, which an empty notice may lift.
     pub(crate) async fn report_notice(
         &self,
         order: &SendOrder,
@@ -115,7 +117,7 @@
         .await;
     }
 
-    /// Tells by which paths it was tried to reach an upstream.
+    /// Reports which paths to an upstream were tried.
     pub(crate) async fn report_paths(&self, order: &SendOrder, tries: Vec<PathTry>) {
         self.send_event(Event::PathsTried {
             request: Some(self.id),
@@ -125,18 +127,17 @@
         .await;
     }
 
-    /// Counts an event of the stream that is passed on.
     pub(crate) const fn count_event(&mut self) {
         self.unreported_events += 1;
     }
 
-    /// Events that the controller has not been notified of.
+    /// Returns the number of events that have not been reported yet, and resets the count.
     pub(crate) fn take_unreported_events(&mut self) -> Tokens {
         Tokens::new(std::mem::take(&mut self.unreported_events))
     }
 
-    /// Notes that events were passed on, and tells the controller of the first ones
-    /// at once and of later ones now and then.
+    /// Records that events were sent to the caller. Reports the first ones to the controller at
+    /// once, and later ones every `PROGRESS_EVENTS` or `PROGRESS_INTERVAL`.
     pub(crate) async fn report_progress(&mut self, order: &SendOrder) {
         let now = Instant::now();
         self.record_part(now);
@@ -157,7 +158,7 @@
         .await;
     }
 
-    /// Longest time between two parts that the caller was sent, over all attempts.
+    /// Returns the longest time between two parts sent to the caller, over all attempts.
     pub(crate) const fn longest_pause(&self) -> Duration {
         self.longest_pause
     }
@@ -169,8 +170,8 @@
     }
 
     async fn send_event(&self, event: Event) {
-        // Waits while the ring is full: an end of an attempt is never lost. The
-        // controller outlives every task.
+        // Waits while the queue is full, so that the end of an attempt is never lost. The
+        // controller outlives all request tasks.
         let _ = self.events.send_async(RingEvent::Happened(event)).await;
     }
 }
--- a/crates/router/src/task_set.rs
+++ b/crates/router/src/task_set.rs
@@ -1,23 +1,22 @@
 use super::*;
 
-/// Tasks of one kind: spawned here, and joined or ended when the host stops.
+/// Tasks of one kind, which are joined or aborted when the host stops.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TaskSet {
     tasks: Arc<Mutex<JoinSet<()>>>,
 }
 
 impl TaskSet {
-    /// Spawns a task, and forgets those that have ended.
+    /// Spawns a task, and removes finished tasks from the set.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         self.running().spawn(task);
     }
 
-    /// Tasks that have not ended.
     pub(crate) fn count(&self) -> usize {
         self.running().len()
     }
 
-    /// The tasks that have not ended, to be joined.
+    /// Removes and returns the running tasks, to be joined.
     pub(crate) fn take(&self) -> JoinSet<()> {
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut *tasks)
--- a/crates/router/src/unread_answers.rs
+++ b/crates/router/src/unread_answers.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Answers that callers of this host have not read, of all its threads.
+/// Answers that the callers of this host have not read, shared by all threads.
 #[derive(Clone, Debug)]
 pub(crate) struct UnreadAnswers {
     clock: Clock,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Counts for one more connection of a caller.
+    /// Adds a reader for a new connection.
     pub(crate) fn add_reader(&self) -> Arc<AnswerReader> {
         let signals = Arc::new(ReaderSignals::default());
         let mut inner = self.lock();
@@ -43,15 +43,15 @@
         self.lock().budget.held_bytes()
     }
 
-    /// Bytes that a caller has not read, and how long it has taken nothing.
+    /// Returns the number of bytes that a reader has not read, and how long it has read nothing.
     pub(crate) fn unread_and_idle(&self, id: ReaderId) -> (u64, Duration) {
         let now = self.clock.now();
         let budget = &self.lock().budget;
         (budget.unread_bytes(id), budget.idle_time(id, now))
     }
 
-    /// Counts bytes for a caller if there is room; where one is too slow for that, its
-    /// connection is closed.
+    /// Reserves bytes for a reader if there is enough budget. If a slow reader holds the budget,
+    /// its connection is closed.
     pub(crate) fn try_reserve(&self, id: ReaderId, bytes: u64, delivery: Delivery) -> bool {
         let now = self.clock.now();
         let limits = self.limits.load();
--- a/crates/router/src/unread_budget.rs
+++ b/crates/router/src/unread_budget.rs
@@ -1,55 +1,56 @@
 use super::*;
 
-/// Part of a host's budget from which callers that have something to read get no more; the
-/// rest is kept for those that keep up.
+/// Share of the host's budget above which readers that have unread bytes get no more. The rest is
+/// reserved for readers that keep up.
 const LAGGING_READER_SHARE: f64 = 0.75;
 
-/// Time after which a caller that has taken nothing counts as slow: a lost packet has
-/// come again by then.
+/// Idle time after which a reader counts as slow. A lost packet has been sent again by then.
 pub(crate) const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A caller's connection, as a host numbers it.
+/// Number of a caller's connection on this host.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub(crate) struct ReaderId(u64);
 
-/// What bytes are held for.
+/// How an answer is delivered to its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Delivery {
-    /// An answer that its caller gets only when all of it is here.
+    /// The caller gets the answer once it is complete.
     Whole,
-    /// Part of a stream, which its caller can read at once.
+    /// The caller can read each part at once.
     Streamed,
 }
 
-/// Whether bytes found room.
+/// Result of a request for budget.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Reservation {
     Granted,
     Wait,
-    /// There is room once this caller's connection is closed.
+    /// The budget is available once the connection of this reader is closed.
     AfterClosing(ReaderId),
 }
 
-/// The bytes that one caller has not read.
+/// The unread bytes of one reader.
 #[derive(Clone, Copy, Debug)]
 struct ReaderState {
     bytes: u64,
-    /// Since when it could read and has taken nothing; `None` while there is nothing to read.
+    /// Since when the reader has had bytes to read but has read none; `None` if it has nothing to
+    /// read.
     idle_since: Option<Time>,
     is_close_requested: bool,
-    /// Whether more is to come once some of it is read.
+    /// Whether the reader's next part waits until the reader has read some of its bytes.
     waits_for_stream_limit: bool,
 }
 
-/// Counts the bytes of answers that callers have not read, and decides who gets more.
+/// Counts the bytes of answers that callers have not read, and decides who may get more.
 #[derive(Debug, Default)]
 pub(crate) struct UnreadBudget {
     held_bytes: u64,
     next_id: u64,
     readers: HashMap<ReaderId, ReaderState>,
-    /// Callers for which more is to come once any caller has read.
+    /// Readers whose next part waits until any reader releases bytes.
     waiting_for_budget: HashSet<ReaderId>,
-    /// Who waits_for_stream_limit for the room that a slow caller makes, and for how many bytes.
+    /// The reader that waits for another one to be closed, and how many bytes it needs. Readers
+    /// that have unread bytes cannot take this share of the budget.
     pending_reservation: Option<(ReaderId, u64)>,
 }
 
@@ -84,13 +85,13 @@
         self.readers.get(&id).map_or(0, |reader| reader.bytes)
     }
 
-    /// Time for which a caller has taken nothing of what it could read.
+    /// Returns how long a reader has had bytes to read but has read none.
     pub(crate) fn idle_time(&self, id: ReaderId, now: Time) -> Duration {
         let reader = self.readers.get(&id);
         reader.map_or(Duration::ZERO, |reader| reader.idle_time(now))
     }
 
-    /// Counts bytes for a caller if there is room for them.
+    /// Reserves bytes for a reader if there is enough budget.
     pub(crate) fn reserve(
         &mut self,
         now: Time,
@@ -135,15 +136,15 @@
         Reservation::Granted
     }
 
-    /// Notes that a caller can read what was collected for it.
+    /// Marks the collected bytes of a reader as readable, so that its idle time starts to count.
     pub(crate) fn mark_readable(&mut self, now: Time, id: ReaderId) {
         if let Some(reader) = self.readers.get_mut(&id) {
             reader.idle_since.get_or_insert(now);
         }
     }
 
-    /// Gives bytes back that a caller has read or will never get; the callers that may find
-    /// room now.
+    /// Releases bytes that a reader has read or will never get. Returns the readers that should try
+    /// again to reserve budget.
     pub(crate) fn release(&mut self, now: Time, id: ReaderId, bytes: u64) -> Vec<ReaderId> {
         let mut to_wake: Vec<ReaderId> = self.waiting_for_budget.drain().collect();
         if let Some(reader) = self.readers.get_mut(&id) {
@@ -159,7 +160,8 @@
         to_wake
     }
 
-    /// The slowest caller's connection makes room, one at a time.
+    /// Chooses the reader that has been idle longest to be closed. Only one reader is closed at a
+    /// time: none is chosen until the bytes of the last one are released.
     fn choose_reader_to_close(&mut self, now: Time, requester: ReaderId) -> Reservation {
         if self
             .readers
--- a/crates/router/src/unread_part.rs
+++ b/crates/router/src/unread_part.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Bytes of an answer that its caller has not read. They are given back when they are dropped,
-/// wherever that is.
+/// Bytes of an answer that the caller has not read. They are released on drop, whichever task or
+/// library drops them.
 #[derive(Debug)]
 pub(crate) struct UnreadPart {
     bytes: Bytes,
@@ -17,7 +17,7 @@
         self.bytes.len() as u64
     }
 
-    /// The bytes for the HTTP library, which drops them once they are written.
+    /// Converts the part for the HTTP library, which drops the bytes once they are written.
     pub(crate) fn into_bytes(self) -> Bytes {
         Bytes::from_owner(self)
     }
--- a/crates/router/src/whole_answer.rs
+++ b/crates/router/src/whole_answer.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The body of an answer that is passed on as a whole.
+/// The body of an answer that is sent only once it is complete.
 #[derive(Debug)]
 pub(crate) struct WholeAnswer {
     parts: VecDeque<UnreadPart>,
@@ -8,8 +8,8 @@
 }
 
 impl WholeAnswer {
-    /// Reads a body to its end, as fast as there is room for it; `None` if it breaks off or is
-    /// larger than `max`.
+    /// Reads a body to its end, as fast as the budget allows. Returns `None` if the body ends early
+    /// or is larger than `max`.
     pub(crate) async fn read(
         body: Incoming,
         max: ByteSize,
@@ -27,7 +27,7 @@
         Some(Self { parts, reader })
     }
 
-    /// The body as its caller gets it.
+    /// Marks the body as readable and converts it for the response.
     pub(crate) fn into_answer_body(self) -> AnswerBody {
         self.reader.mark_readable();
         self.boxed_unsync()
--- a/crates/router/src/whole_body.rs
+++ b/crates/router/src/whole_body.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// A body that was read whole, and its part of the memory for bodies.
+/// A complete request body, and the memory reserved for it.
 #[derive(Debug)]
 pub(crate) struct WholeBody {
     pub(crate) bytes: Bytes,
-    /// Given back when the request has ended.
+    /// Released when the request has ended.
     pub(crate) _reservation: BodyReservation,
 }
 
 impl WholeBody {
-    /// Reads a caller's body whole: a request is sent again only if all of it is
-    /// here.
+    /// Reads the complete body of a caller's request. A request can be sent again only if its whole
+    /// body is in memory.
     pub(crate) async fn read(
         body: Incoming,
         limits: &LimitsInForce,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Reads a body whole, as far as it and all others stay within the limits.
+    /// Collects a body within the limits for one body and for all bodies together.
     async fn collect(
         body: Incoming,
         max: ByteSize,
--- a/crates/router/tests/unit/answers.rs
+++ b/crates/router/tests/unit/answers.rs
@@ -27,7 +27,7 @@
     RefusalReason::UpstreamsFull,
 ];
 
-/// Guards against a status that promises what the verdict does not say.
+/// Guards against a status that says the request did not run although it may have run.
 #[test]
 fn a_request_that_may_have_run_never_gets_a_not_run_status() {
     for reason in REASONS {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Guards against a host that lost track of a request and says that it did not run.
+/// Guards against reporting a request as not run when its task ended without an answer.
 #[test]
 fn a_lost_request_may_have_run() {
     let answer = lost_request_answer();
--- a/crates/router/tests/unit/unread_budget.rs
+++ b/crates/router/tests/unit/unread_budget.rs
@@ -18,7 +18,7 @@
     budget.reserve(at(ms), id, kib * KIB, Delivery::Streamed, &limits())
 }
 
-/// Fills streams of slow callers up to where callers that are lagging get no more.
+/// Adds slow readers whose unread bytes use up the budget for readers that do not keep up.
 fn add_slow_readers(budget: &mut UnreadBudget) -> Vec<ReaderId> {
     (0..3)
         .map(|number| {
@@ -32,7 +32,7 @@
         .collect()
 }
 
-/// Guards against a host that goes on reading for a caller that does not.
+/// Guards against a host that reads on from an upstream while the caller reads nothing.
 #[test]
 fn a_stream_at_its_unread_limit_waits() {
     let mut budget = UnreadBudget::default();
@@ -50,7 +50,7 @@
     );
 }
 
-/// Guards against an event larger than the bound that is never passed on.
+/// Guards against an event that is never sent because it is larger than the limit.
 #[test]
 fn a_reader_with_nothing_unread_gets_a_part_of_any_size() {
     let mut budget = UnreadBudget::default();
@@ -61,7 +61,7 @@
     );
 }
 
-/// Guards against callers that are behind and take the room of those that keep up.
+/// Guards against readers that do not keep up taking the budget of those that do.
 #[test]
 fn the_last_quarter_is_reserved_for_readers_that_keep_up() {
     let mut budget = UnreadBudget::default();
@@ -79,7 +79,7 @@
     assert_eq!(woken, vec![slow[0]]);
 }
 
-/// Guards against memory over the bound, and against closing any caller but the slowest.
+/// Guards against exceeding the memory limit, and against closing any reader but the slowest.
 #[test]
 fn a_full_budget_closes_the_reader_that_is_idle_for_longest() {
     let mut budget = UnreadBudget::default();
@@ -104,7 +104,7 @@
     );
 }
 
-/// Guards against a caller that is closed because a packet to it was lost.
+/// Guards against closing a reader that is idle only because a packet to it was lost.
 #[test]
 fn no_reader_is_closed_before_the_stall_timeout() {
     let mut budget = UnreadBudget::default();
@@ -116,7 +116,7 @@
     );
 }
 
-/// Guards against an answer that is closed although its caller was offered nothing yet.
+/// Guards against closing a reader as slow before it could read any of its answer.
 #[test]
 fn a_whole_answer_is_not_idle_before_it_is_readable() {
     let mut budget = UnreadBudget::default();
@@ -133,7 +133,7 @@
     );
 }
 
-/// Guards against bytes that stay counted after their caller has left.
+/// Guards against bytes that stay counted after their caller has disconnected.
 #[test]
 fn bytes_of_a_closed_connection_are_released_once() {
     let mut budget = UnreadBudget::default();
@@ -143,7 +143,8 @@
     assert_eq!(budget.held_bytes(), 50 * KIB);
 }
 
-/// Guards against callers that are behind and take the room that another one was cut off for.
+/// Guards against slow readers taking the budget that closing another reader frees for a new
+/// request.
 #[test]
 fn space_freed_by_closing_a_reader_goes_to_the_requester() {
     let mut budget = UnreadBudget::default();
