--- a/crates/router/src/answer_reader.rs
+++ b/crates/router/src/answer_reader.rs
@@ -31,18 +31,18 @@
     }
 
     /// Reserves budget for a part of a stream, waiting until there is enough. Returns `None` if the
-    /// caller reads nothing for `slow_reader`.
+    /// caller reads nothing for `slow_reader_timeout`.
     pub(crate) async fn reserve_streamed(
         self: &Arc<Self>,
         bytes: Bytes,
-        slow_reader: Duration,
+        slow_reader_timeout: Duration,
     ) -> Option<UnreadPart> {
         if self.try_reserve(&bytes, Delivery::Streamed) {
             return Some(self.unread_part(bytes));
         }
         count_slow_reader("held");
-        while self.unread_and_idle().1 < slow_reader {
-            self.wait_for_room().await;
+        while self.unread_and_idle().1 < slow_reader_timeout {
+            self.wait_for_budget().await;
             if self.try_reserve(&bytes, Delivery::Streamed) {
                 return Some(self.unread_part(bytes));
             }
@@ -54,7 +54,7 @@
     /// there is enough.
     pub(crate) async fn reserve_whole(self: &Arc<Self>, bytes: Bytes) -> UnreadPart {
         while !self.try_reserve(&bytes, Delivery::Whole) {
-            self.wait_for_room().await;
+            self.wait_for_budget().await;
         }
         self.unread_part(bytes)
     }
@@ -91,8 +91,8 @@
 
     /// Waits for a signal, but at most `STALL_TIMEOUT`: another reader that becomes slow sends no
     /// signal.
-    async fn wait_for_room(&self) {
-        let _ = timeout(STALL_TIMEOUT, self.signals.room.notified()).await;
+    async fn wait_for_budget(&self) {
+        let _ = timeout(STALL_TIMEOUT, self.signals.budget_freed.notified()).await;
     }
 }
 
--- a/crates/router/src/answer_sender.rs
+++ b/crates/router/src/answer_sender.rs
@@ -99,9 +99,9 @@
         }
     }
 
-    /// Sends a part of a stream as soon as there is room for it. Returns false if the caller is
+    /// Sends a part of a stream as soon as the budget allows. Returns false if the caller is
     /// gone or reads too slowly.
-    pub(crate) async fn send_part(&mut self, part: Bytes, slow_reader: Duration) -> bool {
+    pub(crate) async fn send_part(&mut self, part: Bytes, slow_reader_timeout: Duration) -> bool {
         let SendState::Stream(parts) = &self.state else {
             return false;
         };
@@ -110,11 +110,11 @@
             let part = AnswerReader::split_part(&mut rest);
             let reserved = tokio::select! {
                 biased;
-                reserved = self.reader.reserve_streamed(part, slow_reader) => reserved,
+                reserved = self.reader.reserve_streamed(part, slow_reader_timeout) => reserved,
                 () = parts.closed() => return false,
             };
             let sent = match reserved {
-                Some(part) => send_reserved(parts, part, slow_reader).await,
+                Some(part) => send_reserved(parts, part, slow_reader_timeout).await,
                 None => Err(SendFailure::TooSlow),
             };
             if let Err(failure) = sent {
@@ -126,11 +126,11 @@
     }
 
     /// Marks the body as complete. Returns false if the caller is gone or reads too slowly.
-    pub(crate) async fn finish(&mut self, slow_reader: Duration) -> bool {
+    pub(crate) async fn finish(&mut self, slow_reader_timeout: Duration) -> bool {
         match std::mem::replace(&mut self.state, SendState::Closed) {
             SendState::Stream(parts) => {
                 matches!(
-                    timeout(slow_reader, parts.send(BodyPart::End)).await,
+                    timeout(slow_reader_timeout, parts.send(BodyPart::End)).await,
                     Ok(Ok(()))
                 )
             }
@@ -157,13 +157,13 @@
 async fn send_reserved(
     parts: &mpsc::Sender<BodyPart>,
     part: UnreadPart,
-    slow_reader: Duration,
+    slow_reader_timeout: Duration,
 ) -> Result<(), SendFailure> {
     match parts.try_send(BodyPart::Bytes(part)) {
         Ok(()) => Ok(()),
         Err(mpsc::error::TrySendError::Closed(_)) => Err(SendFailure::Gone),
         Err(mpsc::error::TrySendError::Full(part)) => {
-            match timeout(slow_reader, parts.send(part)).await {
+            match timeout(slow_reader_timeout, parts.send(part)).await {
                 Ok(sent) => sent.map_err(|_| SendFailure::Gone),
                 Err(_) => Err(SendFailure::TooSlow),
             }
--- a/crates/router/src/reader_signals.rs
+++ b/crates/router/src/reader_signals.rs
@@ -6,5 +6,5 @@
     /// The connection must be closed.
     pub(crate) close: Notify,
     /// Budget for more bytes may be available.
-    pub(crate) room: Notify,
+    pub(crate) budget_freed: Notify,
 }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -305,7 +305,7 @@
         if let Some(head) = head.take() {
             self.task.answer.start_stream(head);
         }
-        self.task.answer.finish(self.slow_reader()).await;
+        self.task.answer.finish(self.slow_reader_timeout()).await;
         let tokens = self.task.take_unreported_events();
         let end = AttemptEnd::Completed {
             response: None,
@@ -344,7 +344,7 @@
         if !self
             .task
             .answer
-            .send_part(part.into(), self.slow_reader())
+            .send_part(part.into(), self.slow_reader_timeout())
             .await
         {
             return Err(AttemptError::CallerGone);
@@ -363,7 +363,7 @@
         }
     }
 
-    fn slow_reader(&self) -> Duration {
+    fn slow_reader_timeout(&self) -> Duration {
         Duration::from_millis(self.limits.slow_reader_timeout_ms)
     }
 }
--- a/crates/router/src/relay_service.rs
+++ b/crates/router/src/relay_service.rs
@@ -116,7 +116,7 @@
     }
 }
 
-/// `Retry-After` for refusals that bring no delay of their own.
+/// `Retry-After` for refusals without a delay of their own.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// The response to a request that is refused before it reaches the controller.
--- a/crates/router/src/request_handler.rs
+++ b/crates/router/src/request_handler.rs
@@ -87,13 +87,16 @@
     }
 
     async fn send_part(&mut self, part: String) -> bool {
-        let slow_reader = Duration::from_millis(self.limits.slow_reader_timeout_ms);
-        self.task.answer.send_part(part.into(), slow_reader).await
+        let slow_reader_timeout = Duration::from_millis(self.limits.slow_reader_timeout_ms);
+        self.task
+            .answer
+            .send_part(part.into(), slow_reader_timeout)
+            .await
     }
 
     async fn finish(&mut self) {
-        let slow_reader = Duration::from_millis(self.limits.slow_reader_timeout_ms);
-        self.task.answer.finish(slow_reader).await;
+        let slow_reader_timeout = Duration::from_millis(self.limits.slow_reader_timeout_ms);
+        self.task.answer.finish(slow_reader_timeout).await;
     }
 
     async fn attempt(&mut self, order: SendOrder) -> NextStep {
--- a/crates/router/src/unread_answers.rs
+++ b/crates/router/src/unread_answers.rs
@@ -75,7 +75,7 @@
         let mut inner = self.lock();
         for id in inner.budget.release(now, id, bytes) {
             if let Some(signals) = inner.signals.get(&id) {
-                signals.room.notify_one();
+                signals.budget_freed.notify_one();
             }
         }
     }
