--- a/crates/router/src/answer_sender.rs
+++ b/crates/router/src/answer_sender.rs
@@ -1,27 +1,27 @@
 use super::*;
 
-/// Frames of a stream that wait for a slow reader.
-const FRAME_RING: usize = 16;
+/// Maximum number of parts of a stream that are queued for a slow reader.
+const MAX_WAITING_PARTS: usize = 16;
 
-enum Part {
+enum BodyPart {
     Bytes(UnreadPart),
-    /// The body is complete.
+    /// Marks the body as complete.
     End,
 }
 
-enum Way {
-    /// The head has not been sent.
+enum SendState {
+    /// The response head has not been sent.
     Head(oneshot::Sender<Response<AnswerBody>>),
     /// The body is being streamed.
-    Stream(mpsc::Sender<Part>),
-    /// All has been sent, or the caller is gone.
+    Stream(mpsc::Sender<BodyPart>),
+    /// The response is complete, or the caller is gone.
     Closed,
 }
 
-/// The way back to the caller of one request.
+/// Sends the response of one request to its caller.
 pub(crate) struct AnswerSender {
     reader: Arc<AnswerReader>,
-    way: Way,
+    state: SendState,
 }
 
 impl AnswerSender {
@@ -31,32 +31,32 @@
     ) -> Self {
         Self {
             reader,
-            way: Way::Head(head),
+            state: SendState::Head(head),
         }
     }
 
-    /// The caller as the reader of the answer.
+    /// Returns the reader that the parts of the answer are accounted to.
     pub(crate) fn reader(&self) -> Arc<AnswerReader> {
         Arc::clone(&self.reader)
     }
 
-    /// Returns once the caller is gone.
-    pub(crate) async fn gone(&mut self) {
-        match &mut self.way {
-            Way::Head(head) => head.closed().await,
-            Way::Stream(frames) => frames.closed().await,
-            Way::Closed => std::future::pending().await,
+    /// Waits until the caller disconnects.
+    pub(crate) async fn caller_gone(&mut self) {
+        match &mut self.state {
+            SendState::Head(head) => head.closed().await,
+            SendState::Stream(parts) => parts.closed().await,
+            SendState::Closed => std::future::pending().await,
         }
     }
 
-    /// Sends a whole answer, if nothing has been sent yet.
+    /// Sends a complete response, unless one has been started.
     pub(crate) fn send_whole(&mut self, response: Response<AnswerBody>) {
-        if let Way::Head(head) = std::mem::replace(&mut self.way, Way::Closed) {
+        if let SendState::Head(head) = std::mem::replace(&mut self.state, SendState::Closed) {
             let _ = head.send(response);
         }
     }
 
-    /// Starts a stream of events, if it has not been started.
+    /// Starts a stream of events, unless a response has been started.
     pub(crate) fn start_events(&mut self, content_type: &str) {
         let mut head = Response::new(());
         if let Ok(value) = HeaderValue::from_str(content_type) {
@@ -65,24 +65,24 @@
         self.start_stream(head);
     }
 
-    /// Starts an answer whose body comes in parts, if none has been started.
+    /// Starts a response whose body is sent in parts, unless one has been started.
     ///
-    /// The body breaks off unless its end is sent. What goes wrong otherwise: a
-    /// task that ends early, for whatever reason, leaves an answer that looks
-    /// complete to the caller and is not.
+    /// The body ends with an error unless `finish` marks it as complete. Otherwise, if the task
+    /// that serves the request ended early for any reason, the caller would take a truncated answer
+    /// for a complete one.
     pub(crate) fn start_stream(&mut self, head: Response<()>) {
-        if !matches!(self.way, Way::Head(_)) {
+        if !matches!(self.state, SendState::Head(_)) {
             return;
         }
-        let (frames, mut receiver) = mpsc::channel::<Part>(FRAME_RING);
+        let (parts, mut receiver) = mpsc::channel::<BodyPart>(MAX_WAITING_PARTS);
         let mut ended = false;
         let body = StreamBody::new(futures::stream::poll_fn(move |context| {
             if ended {
                 return Poll::Ready(None);
             }
             receiver.poll_recv(context).map(|part| match part {
-                Some(Part::Bytes(bytes)) => Some(Ok(Frame::data(bytes.into_bytes()))),
-                Some(Part::End) => {
+                Some(BodyPart::Bytes(bytes)) => Some(Ok(Frame::data(bytes.into_bytes()))),
+                Some(BodyPart::End) => {
                     ended = true;
                     None
                 }
@@ -93,79 +93,79 @@
             })
         }));
         let response = head.map(|()| body.boxed_unsync());
-        if let Way::Head(head) = std::mem::replace(&mut self.way, Way::Stream(frames)) {
+        if let SendState::Head(head) = std::mem::replace(&mut self.state, SendState::Stream(parts))
+        {
             let _ = head.send(response);
         }
     }
 
-    /// Sends part of a stream as soon as there is room for it; false if the caller is gone
-    /// or reads too slowly.
-    pub(crate) async fn send_part(&mut self, part: Bytes, slow_reader: Duration) -> bool {
-        let Way::Stream(frames) = &self.way else {
+    /// Sends a part of a stream as soon as the budget allows. Returns false if the caller is
+    /// gone or reads too slowly.
+    pub(crate) async fn send_part(&mut self, part: Bytes, slow_reader_timeout: Duration) -> bool {
+        let SendState::Stream(parts) = &self.state else {
             return false;
         };
         let mut rest = part;
         while !rest.is_empty() {
             let part = AnswerReader::split_part(&mut rest);
-            let held = tokio::select! {
+            let reserved = tokio::select! {
                 biased;
-                held = self.reader.hold_offered(part, slow_reader) => held,
-                () = frames.closed() => return false,
+                reserved = self.reader.reserve_streamed(part, slow_reader_timeout) => reserved,
+                () = parts.closed() => return false,
             };
-            let sent = match held {
-                Some(part) => send_held(frames, part, slow_reader).await,
-                None => Err(Unsent::TooSlow),
+            let sent = match reserved {
+                Some(part) => send_reserved(parts, part, slow_reader_timeout).await,
+                None => Err(SendFailure::TooSlow),
             };
-            if let Err(unsent) = sent {
-                unsent.count();
+            if let Err(failure) = sent {
+                failure.count();
                 return false;
             }
         }
         true
     }
 
-    /// Marks the body as complete; false if the caller is gone or reads too
-    /// slowly.
-    pub(crate) async fn finish(&mut self, slow_reader: Duration) -> bool {
-        match std::mem::replace(&mut self.way, Way::Closed) {
-            Way::Stream(frames) => {
+    /// Marks the body as complete. Returns false if the caller is gone or reads too slowly.
+    pub(crate) async fn finish(&mut self, slow_reader_timeout: Duration) -> bool {
+        match std::mem::replace(&mut self.state, SendState::Closed) {
+            SendState::Stream(parts) => {
                 matches!(
-                    timeout(slow_reader, frames.send(Part::End)).await,
+                    timeout(slow_reader_timeout, parts.send(BodyPart::End)).await,
                     Ok(Ok(()))
                 )
             }
-            Way::Head(_) | Way::Closed => false,
+            SendState::Head(_) | SendState::Closed => false,
         }
     }
 }
 
-/// Why a part was not sent.
+/// Why a part could not be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Unsent {
+enum SendFailure {
     Gone,
     TooSlow,
 }
 
-impl Unsent {
+impl SendFailure {
     fn count(self) {
         if self == Self::TooSlow {
-            answer_reader::count("timed-out");
+            answer_reader::count_slow_reader("timed-out");
         }
     }
 }
 
-async fn send_held(
-    frames: &mpsc::Sender<Part>,
+async fn send_reserved(
+    parts: &mpsc::Sender<BodyPart>,
     part: UnreadPart,
-    slow_reader: Duration,
-) -> Result<(), Unsent> {
-    match frames.try_send(Part::Bytes(part)) {
+    slow_reader_timeout: Duration,
+) -> Result<(), SendFailure> {
+    match parts.try_send(BodyPart::Bytes(part)) {
         Ok(()) => Ok(()),
-        Err(mpsc::error::TrySendError::Closed(_)) => Err(Unsent::Gone),
+        Err(mpsc::error::TrySendError::Closed(_)) => Err(SendFailure::Gone),
         Err(mpsc::error::TrySendError::Full(part)) => {
-            match timeout(slow_reader, frames.send(part)).await {
-                Ok(sent) => sent.map_err(|_| Unsent::Gone),
-                Err(_) => Err(Unsent::TooSlow),
+            match timeout(slow_reader_timeout, parts.send(part)).await {
+                Ok(sent) => sent.map_err(|_| SendFailure::Gone),
+                Err(_) => Err(SendFailure::TooSlow),
             }
         }
     }
--- a/crates/router/src/caller_interface.rs
+++ b/crates/router/src/caller_interface.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// What callers speak to: the product's own interface, or that of an
+/// The interface that callers use: the OpenAI-style interface, or the relaying interface of an
 /// installation.
 #[derive(Clone)]
 pub(crate) enum CallerInterface {
-    /// OpenAI-style requests and calls to plain services.
-    Own(CallerService),
-    /// Requests that are relayed unchanged by route.
+    /// OpenAI-style requests, and requests to services that are not engines.
+    OpenAi(CallerService),
+    /// Requests that are routed by host name and path, and relayed unchanged.
     Relay(RelayService),
 }
 
@@ -17,23 +17,23 @@
         reader: Arc<AnswerReader>,
     ) -> Response<AnswerBody> {
         match self {
-            Self::Own(service) => service.answer(request, reader).await,
+            Self::OpenAi(service) => service.answer(request, reader).await,
             Self::Relay(service) => service.answer(request, reader).await,
         }
     }
 
     pub(crate) const fn limits(&self) -> &EffectiveLimits {
         match self {
-            Self::Own(service) => &service.limits,
+            Self::OpenAi(service) => &service.limits,
             Self::Relay(service) => &service.limits,
         }
     }
 
-    /// The tasks that serve requests, to be joined at the end.
-    pub(crate) fn take_pumps(&self) -> JoinSet<()> {
+    /// Removes and returns the running request tasks, to be joined on shutdown.
+    pub(crate) fn take_tasks(&self) -> JoinSet<()> {
         match self {
-            Self::Own(service) => service.pumps.take(),
-            Self::Relay(service) => service.pumps.take(),
+            Self::OpenAi(service) => service.tasks.take(),
+            Self::Relay(service) => service.tasks.take(),
         }
     }
 }
--- a/crates/router/src/caller_thread.rs
+++ b/crates/router/src/caller_thread.rs
@@ -1,19 +1,19 @@
-//! The thread that serves callers: it accepts connections, passes requests to
-//! the controller and streams answers back.
+//! Thread that serves callers: it accepts connections, passes requests to the controller and
+//! streams answers back.
 
 use super::*;
 
-/// Pause after an accept failed, for want of file descriptors say.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, for example if the process has no file descriptors left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What a caller thread is given.
+/// Input of a caller thread.
 pub(crate) struct CallerThread {
     pub(crate) connections: Arc<AtomicUsize>,
     pub(crate) listener: std::net::TcpListener,
     pub(crate) logger: Logger,
     pub(crate) metrics: HostMetrics,
     pub(crate) service: CallerInterface,
-    /// Longest time from the stop of new connections to the end of all.
+    /// Maximum time from closing the listener until all requests have ended; no limit if `None`.
     pub(crate) drain_limit: Option<Duration>,
     pub(crate) shutdown: Shutdown,
     pub(crate) unread: UnreadAnswers,
@@ -42,19 +42,19 @@
                 () = self.shutdown.started() => break,
             };
             match accepted {
-                Ok((stream, _)) => self.take(stream, &graceful, &mut connections),
+                Ok((stream, _)) => self.serve_connection(stream, &graceful, &mut connections),
                 Err(error) => {
                     warn!(self.logger, "callers: accept failed"; "error" => %error);
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
         drop(listener);
-        self.finish(graceful, connections).await;
+        self.drain(graceful, connections).await;
         Ok(())
     }
 
-    fn take(
+    fn serve_connection(
         &self,
         stream: tokio::net::TcpStream,
         graceful: &GracefulShutdown,
@@ -63,14 +63,14 @@
         let open = self.connections.fetch_add(1, Ordering::Relaxed);
         let guard = ConnectionGuard(Arc::clone(&self.connections));
         if open >= self.service.limits().settings_limits().max_connections {
-            // Closing is the only answer that costs nothing.
+            // Closes the connection without a response, because any response would cost resources.
             return;
         }
         let _ = stream.set_nodelay(true);
         let service = self.service.clone();
         let limits = service.limits();
-        let reader = self.unread.open();
-        let reads = Arc::clone(&reader);
+        let reader = self.unread.add_reader();
+        let service_reader = Arc::clone(&reader);
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(limits.head_timeout())
@@ -79,7 +79,7 @@
                 TokioIo::new(stream),
                 service_fn(move |request| {
                     let service = service.clone();
-                    let reader = Arc::clone(&reads);
+                    let reader = Arc::clone(&service_reader);
                     async move { Ok::<_, Infallible>(service.answer(request, reader).await) }
                 }),
             );
@@ -89,24 +89,25 @@
             let _guard = guard;
             tokio::select! {
                 _ = connection => {}
-                () = reader.cut() => log_cut(&logger, &reader),
+                () = reader.close_requested() => log_slow_reader(&logger, &reader),
             }
         });
     }
 
-    /// Lets every request in flight end, then joins the tasks.
-    async fn finish(&self, graceful: GracefulShutdown, mut connections: JoinSet<()>) {
+    /// Closes idle connections and waits until all requests in flight have ended or `drain_limit`
+    /// has passed.
+    async fn drain(&self, graceful: GracefulShutdown, mut connections: JoinSet<()>) {
         info!(self.logger, "callers: no new connections"; "open" => connections.len());
-        let ends = async {
+        let all_ended = async {
             graceful.shutdown().await;
             while connections.join_next().await.is_some() {}
-            let mut pumps = self.service.take_pumps();
-            while pumps.join_next().await.is_some() {}
+            let mut tasks = self.service.take_tasks();
+            while tasks.join_next().await.is_some() {}
         };
         let ended = match self.drain_limit {
-            Some(limit) => timeout(limit, ends).await.is_ok(),
+            Some(limit) => timeout(limit, all_ended).await.is_ok(),
             None => {
-                ends.await;
+                all_ended.await;
                 true
             }
         };
@@ -114,13 +115,13 @@
     }
 }
 
-fn log_cut(logger: &Logger, reader: &AnswerReader) {
-    let (unread_bytes, idle) = reader.unread();
+fn log_slow_reader(logger: &Logger, reader: &AnswerReader) {
+    let (unread_bytes, idle) = reader.unread_and_idle();
     warn!(logger, "callers: slow reader cut off";
         "idle_ms" => idle.as_millis() as u64, "unread_bytes" => unread_bytes);
 }
 
-/// Counts a connection while it lives.
+/// Counts a connection while it is open.
 struct ConnectionGuard(Arc<AtomicUsize>);
 
 impl Drop for ConnectionGuard {
--- a/crates/router/src/host_threads.rs
+++ b/crates/router/src/host_threads.rs
@@ -291,7 +291,7 @@
         let next_request = Arc::clone(next_request);
         match protocol {
             Some(protocol) => CallerInterface::Relay(RelayService {
-                bodies: self.shared.bodies.clone(),
+                body_budget: self.shared.bodies.clone(),
                 clock: self.shared.clock,
                 configuration,
                 connections: ConnectionPool::with_token(&self.settings.peer_token),
@@ -299,17 +299,17 @@
                 limits,
                 next_request,
                 protocol: Arc::clone(protocol),
-                pumps: Pumps::default(),
+                tasks: TaskSet::default(),
                 status: Arc::clone(&self.shared.status),
             }),
-            None => CallerInterface::Own(CallerService {
-                bodies: self.shared.bodies.clone(),
+            None => CallerInterface::OpenAi(CallerService {
+                body_budget: self.shared.bodies.clone(),
                 configuration,
                 connections: ConnectionPool::default(),
                 events: self.events(),
                 limits,
                 next_request,
-                pumps: Pumps::default(),
+                tasks: TaskSet::default(),
             }),
         }
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -133,8 +133,6 @@
 mod platform_job;
 mod platform_thread;
 mod probe_job;
-mod pump;
-mod pumps;
 mod reader_signals;
 mod received_tables;
 mod relay;
@@ -142,6 +140,7 @@
 mod relay_service;
 mod relayed_request;
 mod report;
+mod request_handler;
 mod request_metrics;
 mod request_statistics;
 mod request_task;
@@ -151,9 +150,10 @@
 mod shutdown;
 mod table_claims;
 mod table_copy;
+mod task_set;
 mod transit_service;
 mod unread_answers;
-mod unread_ledger;
+mod unread_budget;
 mod unread_part;
 mod upstream_thread;
 mod whole_answer;
@@ -173,7 +173,7 @@
     answer_reader::AnswerReader,
     answer_sender::AnswerSender,
     answers::{AnswerBody, error_answer, text_answer},
-    body_budget::{BodyBudget, HeldBytes},
+    body_budget::{BodyBudget, BodyReservation},
     body_error::BodyError,
     broken_answer::BrokenAnswer,
     burn_window::BurnWindow,
@@ -209,24 +209,24 @@
     platform_job::PlatformJob,
     platform_thread::PlatformThread,
     probe_job::{ProbeJob, ProbeQuestion},
-    pump::Pump,
-    pumps::Pumps,
     reader_signals::ReaderSignals,
     received_tables::{ReceivedTables, TablesAdvertised},
     relay::Relay,
     relay_service::RelayService,
     relayed_request::RelayedRequest,
+    request_handler::RequestHandler,
     request_statistics::RequestStatistics,
-    request_task::{Next, RequestTask},
+    request_task::{NextStep, RequestTask},
     runtime::single_thread_runtime,
     served_configuration::ServedConfiguration,
     shared_state::SharedState,
     shutdown::Shutdown,
     table_claims::TableClaims,
     table_copy::TableCopy,
+    task_set::TaskSet,
     transit_service::TransitService,
     unread_answers::UnreadAnswers,
-    unread_ledger::{Holding, ReaderId, Room, STALL, UnreadLedger},
+    unread_budget::{Delivery, ReaderId, Reservation, STALL_TIMEOUT, UnreadBudget},
     unread_part::UnreadPart,
     upstream_thread::UpstreamThread,
     whole_answer::WholeAnswer,
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,38 +1,38 @@
 use super::*;
 
-/// Time beyond the end of an answer's use in which the upstream's own word on
-/// it is still waited for: it stops by itself then and says so.
-const LAST_WORD: Duration = Duration::from_millis(100);
+/// How long to wait for an upstream after the deadline of an answer. The upstream stops by itself
+/// at the deadline and says so in its response.
+const LATE_ANSWER_GRACE: Duration = Duration::from_millis(100);
 
-/// Time that an upstream may take for the connection's handshake and for the
-/// head of its answer; the request's own time limit ends it sooner.
+/// Maximum time for the handshake of a connection and for a response head. The time limit of a
+/// request usually ends the wait sooner.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Time to read the short body of a refusal, so that its connection can be kept.
-const REFUSAL_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum time to read the short body of a refusal. A connection can be reused only after the body
+/// has been read.
+const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Largest body of such a refusal.
-const MAX_REFUSAL: usize = 64 * 1024;
+/// Maximum size of the body of a refusal; the connection is not reused after a larger one.
+const MAX_REFUSAL_BYTES: usize = 64 * 1024;
 
-/// Content type of a stream of events.
+/// Content type of an event stream.
 const EVENT_STREAM: &str = "text/event-stream";
 
 /// Why an attempt ended without an answer.
-enum Stopped {
+enum AttemptError {
     CallerGone,
     Failed(CallFailure),
 }
 
-/// The task that relays one request: it does what the controller says, and
-/// passes the answer on unchanged.
+/// Task that relays one request: it follows the controller's instructions and forwards the answer
+/// unchanged.
 pub(crate) struct Relay {
     clock: Clock,
     connections: ConnectionPool,
-    /// The last failure that an upstream answered with; it is passed on if
-    /// nothing better comes.
-    held: Option<Response<WholeAnswer>>,
-    /// Id of the last event that was passed on.
-    last_event: Option<String>,
+    /// The last failure response of an upstream. It is forwarded if no other attempt succeeds.
+    failed_answer: Option<Response<WholeAnswer>>,
+    /// Id of the last event that was forwarded.
+    last_event_id: Option<String>,
     limits: Arc<Limits>,
     protocol: Arc<dyn Protocol>,
     request: RelayedRequest,
@@ -44,8 +44,8 @@
         Self {
             clock: service.clock,
             connections: service.connections.clone(),
-            held: None,
-            last_event: None,
+            failed_answer: None,
+            last_event_id: None,
             limits: service.limits.settings_limits(),
             protocol: Arc::clone(&service.protocol),
             request,
@@ -58,31 +58,31 @@
             let next = match instruction {
                 Instruction::Send(order) => self.attempt(&order).await,
                 Instruction::Refuse(refusal) => self.refuse(&refusal),
-                // That attempt has ended meanwhile.
-                Instruction::Abandon(_) => Next::Wait,
-                // The caller's connection breaks with the answer's sender.
-                Instruction::Break(_) | Instruction::Replay(_) => Next::End,
+                // The attempt has already ended.
+                Instruction::Abandon(_) => NextStep::Wait,
+                // Dropping the sender of the answer ends the body with an error.
+                Instruction::Break(_) | Instruction::Replay(_) => NextStep::End,
             };
-            if matches!(next, Next::End) {
+            if matches!(next, NextStep::End) {
                 return;
             }
         }
     }
 
-    fn refuse(&mut self, refusal: &Refusal) -> Next {
-        let held = self.held.take();
+    fn refuse(&mut self, refusal: &Refusal) -> NextStep {
+        let failed_answer = self.failed_answer.take();
         let failed = refusal.reason == RefusalReason::UpstreamFailed;
-        let answer = held.filter(|_| failed || refusal.verdict != Verdict::NotRun);
+        let answer = failed_answer.filter(|_| failed || refusal.verdict != Verdict::NotRun);
         self.task.answer.send_whole(match answer {
-            Some(answer) => answer.map(WholeAnswer::offered),
-            None => answers::relayed_refusal(refusal),
+            Some(answer) => answer.map(WholeAnswer::into_answer_body),
+            None => answers::relayed_refusal_answer(refusal),
         });
-        Next::End
+        NextStep::End
     }
 
-    async fn attempt(&mut self, order: &SendOrder) -> Next {
+    async fn attempt(&mut self, order: &SendOrder) -> NextStep {
         let sent = self.clock.now();
-        let stopped = match self.exchange(order).await {
+        let error = match self.exchange(order).await {
             Ok((response, sender)) => {
                 let head = &self.request.head;
                 let status = response.status();
@@ -91,164 +91,175 @@
                     .classify_response(head, status, response.headers());
                 if judgement.is_of_upstream() {
                     let notice = self.protocol.read_notice(status, response.headers());
-                    self.task.tell_notice(order, notice, sent).await;
+                    self.task.report_notice(order, notice, sent).await;
                 }
                 match judgement {
                     ResponseClass::NotRun(cause) => {
-                        self.keep_refused(order, response, sender).await;
-                        Stopped::Failed(CallFailure::not_run(cause))
+                        self.drain_refusal(order, response, sender).await;
+                        AttemptError::Failed(CallFailure::not_run(cause))
                     }
                     ResponseClass::Mismatched => {
-                        Stopped::Failed(CallFailure::may_have_run(FailureCause::Truncated))
+                        AttemptError::Failed(CallFailure::may_have_run(FailureCause::Truncated))
                     }
                     ResponseClass::UnconfirmedNotRun => {
-                        self.keep_refused(order, response, sender).await;
-                        Stopped::Failed(CallFailure::may_have_run(FailureCause::ErrorStatus))
+                        self.drain_refusal(order, response, sender).await;
+                        AttemptError::Failed(CallFailure::may_have_run(FailureCause::ErrorStatus))
                     }
                     ResponseClass::Success if is_event_stream(&response) => {
-                        match self.stream(order, response, sender).await {
-                            Ok(()) => return Next::End,
-                            Err(stopped) => stopped,
+                        match self.forward_stream(order, response, sender).await {
+                            Ok(()) => return NextStep::End,
+                            Err(error) => error,
                         }
                     }
-                    // Half of an answer went out: another whole one can't follow.
-                    _ if self.task.delivered() => {
-                        Stopped::Failed(CallFailure::may_have_run(FailureCause::ErrorStatus))
+                    // Part of a stream has been delivered, so a whole answer cannot follow.
+                    _ if self.task.has_delivered() => {
+                        AttemptError::Failed(CallFailure::may_have_run(FailureCause::ErrorStatus))
                     }
-                    judgement => match self.whole(order, response, sender).await {
-                        Ok(response) => return self.pass_whole(order, judgement, response).await,
-                        Err(stopped) => stopped,
+                    judgement => match self.read_whole(order, response, sender).await {
+                        Ok(response) => {
+                            return self.forward_whole(order, judgement, response).await;
+                        }
+                        Err(error) => error,
                     },
                 }
             }
-            Err(stopped) => stopped,
+            Err(error) => error,
         };
-        match stopped {
-            Stopped::CallerGone => {
-                self.task.tell_caller_gone().await;
-                Next::End
+        match error {
+            AttemptError::CallerGone => {
+                self.task.report_caller_gone().await;
+                NextStep::End
             }
-            Stopped::Failed(failure) => self.task.tell_failure(order, failure).await,
+            AttemptError::Failed(failure) => self.task.report_failure(order, failure).await,
         }
     }
 
-    /// Sends the request and waits for the head of the answer.
+    /// Sends the request and waits for the response head.
     async fn exchange(
         &mut self,
         order: &SendOrder,
-    ) -> Result<(Response<Incoming>, UpstreamSender), Stopped> {
+    ) -> Result<(Response<Incoming>, UpstreamSender), AttemptError> {
         let time_left = order.deadline.since(self.clock.now());
         if time_left.is_zero() {
-            return Err(Stopped::Failed(CallFailure::not_run(
+            return Err(AttemptError::Failed(CallFailure::not_run(
                 FailureCause::TimedOut,
             )));
         }
         let passing = ForwardingContext {
             fetch_from: order.fetch_from,
             instance: &order.upstream,
-            last_event: order.resume_from.and(self.last_event.as_deref()),
+            last_event: order.resume_from.and(self.last_event_id.as_deref()),
             priority: order.priority,
             team: order.team.as_ref(),
             time_left,
         };
         let request = self.request.for_upstream(&*self.protocol, &passing);
         let Ok(request) = request else {
-            return Err(Stopped::Failed(CallFailure::not_run(FailureCause::Connect)));
+            return Err(AttemptError::Failed(CallFailure::not_run(
+                FailureCause::Connect,
+            )));
         };
         let connections = self.connections.clone();
-        let to = Destination {
+        let destination = Destination {
             address: order.address,
             paths: order.paths.clone(),
             upstream: Some(order.upstream.clone()),
         };
-        let kept = connections.send_on_idle(&to, request, HEAD_TIMEOUT);
-        let request = match self.in_time(order, kept).await? {
-            ReuseResult::Sent(sent) => return sent.map_err(Stopped::Failed),
+        let sending = connections.send_on_idle(&destination, request, HEAD_TIMEOUT);
+        let request = match self.within_deadline(order, sending).await? {
+            ReuseResult::Sent(sent) => return sent.map_err(AttemptError::Failed),
             ReuseResult::Unsent(request) => request,
         };
-        let opening = connections.open(&to);
-        let opening = self.in_time(order, opening).await?;
-        self.task.tell_paths(order, opening.attempts).await;
-        let sender = opening.sender.ok_or(Stopped::Failed(NO_CONNECTION))?;
+        let opening = connections.open(&destination);
+        let opening = self.within_deadline(order, opening).await?;
+        self.task.report_paths(order, opening.attempts).await;
+        let sender = opening.sender.ok_or(AttemptError::Failed(NO_CONNECTION))?;
         let sent = connections.send_on_new(sender, request, HEAD_TIMEOUT);
-        self.in_time(order, sent).await?.map_err(Stopped::Failed)
+        self.within_deadline(order, sent)
+            .await?
+            .map_err(AttemptError::Failed)
     }
 
-    /// Waits for something of an upstream, unless the caller leaves or the
-    /// answer is of no use any more.
-    async fn in_time<T>(
+    /// Waits for an operation on an upstream. Stops early if the caller disconnects, the controller
+    /// abandons the attempt, or the deadline and `LATE_ANSWER_GRACE` have passed.
+    async fn within_deadline<T>(
         &mut self,
         order: &SendOrder,
-        wanted: impl Future<Output = T>,
-    ) -> Result<T, Stopped> {
-        let time_left = order.deadline.since(self.clock.now()) + LAST_WORD;
+        operation: impl Future<Output = T>,
+    ) -> Result<T, AttemptError> {
+        let time_left = order.deadline.since(self.clock.now()) + LATE_ANSWER_GRACE;
         tokio::select! {
-            wanted = wanted => Ok(wanted),
-            () = self.task.answer.gone() => Err(Stopped::CallerGone),
+            output = operation => Ok(output),
+            () = self.task.answer.caller_gone() => Err(AttemptError::CallerGone),
             () = self.task.instructions.wait_for_abandon(order.attempt) => {
-                Err(Stopped::Failed(CallFailure::may_have_run(FailureCause::Silent)))
+                Err(AttemptError::Failed(CallFailure::may_have_run(FailureCause::Silent)))
             }
             () = sleep(time_left) => {
-                Err(Stopped::Failed(CallFailure::may_have_run(FailureCause::TimedOut)))
+                Err(AttemptError::Failed(CallFailure::may_have_run(FailureCause::TimedOut)))
             }
         }
     }
 
-    /// Reads the rest of a refusal, so that its connection can be kept.
-    async fn keep_refused(
+    /// Reads the rest of a refusal, so that the connection can be reused.
+    async fn drain_refusal(
         &self,
         order: &SendOrder,
         response: Response<Incoming>,
         sender: UpstreamSender,
     ) {
         let keep_for = connection_reuse::keep_time(&response);
-        let body = Limited::new(response.into_body(), MAX_REFUSAL);
-        if let Ok(Ok(_)) = timeout(REFUSAL_TIMEOUT, body.collect()).await {
-            self.keep(order, sender, keep_for);
+        let body = Limited::new(response.into_body(), MAX_REFUSAL_BYTES);
+        if let Ok(Ok(_)) = timeout(REFUSAL_BODY_TIMEOUT, body.collect()).await {
+            self.keep_connection(order, sender, keep_for);
         }
     }
 
-    fn keep(&self, order: &SendOrder, sender: UpstreamSender, keep_for: Option<Duration>) {
+    fn keep_connection(
+        &self,
+        order: &SendOrder,
+        sender: UpstreamSender,
+        keep_for: Option<Duration>,
+    ) {
         if let Some(keep_for) = keep_for {
             self.connections.keep(order.address, sender, keep_for);
         }
     }
 
-    /// Reads an answer whole: the caller gets it only when all of it is here.
-    async fn whole(
+    /// Reads a whole answer. The caller gets the answer only once it is complete.
+    async fn read_whole(
         &mut self,
         order: &SendOrder,
         response: Response<Incoming>,
         sender: UpstreamSender,
-    ) -> Result<Response<WholeAnswer>, Stopped> {
+    ) -> Result<Response<WholeAnswer>, AttemptError> {
         let keep_for = connection_reuse::keep_time(&response);
         let (parts, body) = response.into_parts();
         let max = self.limits.max_whole_answer_bytes;
         let max = max.min(self.limits.max_unread_bytes);
         let reading = WholeAnswer::read(body, max, self.task.answer.reader());
-        let Some(body) = self.in_time(order, reading).await? else {
+        let Some(body) = self.within_deadline(order, reading).await? else {
             let failure = CallFailure::may_have_run(FailureCause::Truncated);
-            return Err(Stopped::Failed(failure));
+            return Err(AttemptError::Failed(failure));
         };
-        self.keep(order, sender, keep_for);
+        self.keep_connection(order, sender, keep_for);
         let mut answer = Response::new(body);
         *answer.status_mut() = parts.status;
         *answer.headers_mut() = self.protocol.answer_headers(&parts.headers);
         Ok(answer)
     }
 
-    async fn pass_whole(
+    async fn forward_whole(
         &mut self,
         order: &SendOrder,
         judgement: ResponseClass,
         answer: Response<WholeAnswer>,
-    ) -> Next {
+    ) -> NextStep {
         if judgement == ResponseClass::Failed && answer.status().is_server_error() {
-            // The upstream ran it and failed. Where it may be repeated, another
-            // one may do better; else the failure is passed on.
-            self.held = Some(answer);
+            // The upstream ran the request and failed. If the request may be repeated, another
+            // upstream may succeed; otherwise this failure is forwarded.
+            self.failed_answer = Some(answer);
             let failure = CallFailure::may_have_run(FailureCause::ErrorStatus);
-            return self.task.tell_failure(order, failure).await;
+            return self.task.report_failure(order, failure).await;
         }
         let end = AttemptEnd::Completed {
             response: None,
@@ -257,19 +268,19 @@
         };
         self.task
             .answer
-            .send_whole(answer.map(WholeAnswer::offered));
-        self.task.tell_end(order, end).await;
-        Next::End
+            .send_whole(answer.map(WholeAnswer::into_answer_body));
+        self.task.report_attempt_end(order, end).await;
+        NextStep::End
     }
 
-    async fn stream(
+    async fn forward_stream(
         &mut self,
         order: &SendOrder,
         response: Response<Incoming>,
         sender: UpstreamSender,
-    ) -> Result<(), Stopped> {
-        // It is of no use any more, and would count as unread.
-        self.held = None;
+    ) -> Result<(), AttemptError> {
+        // The failed answer is not needed once a stream has begun, and would count as unread.
+        self.failed_answer = None;
         let keep_for = connection_reuse::keep_time(&response);
         let (parts, mut body) = response.into_parts();
         let mut head = Response::new(());
@@ -278,48 +289,50 @@
         let mut head = Some(head);
         let mut splitter = EventSplitter::default();
         loop {
-            let frame = self.in_time(order, body.frame()).await?;
+            let frame = self.within_deadline(order, body.frame()).await?;
             let bytes = match frame {
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
-                Some(Err(_)) => return Err(broken(FailureCause::Reset)),
-                None if splitter.has_rest() => return Err(broken(FailureCause::Truncated)),
+                Some(Err(_)) => return Err(stream_failure(FailureCause::Reset)),
+                None if splitter.has_partial_event() => {
+                    return Err(stream_failure(FailureCause::Truncated));
+                }
                 None => break,
             };
             splitter.push(&bytes);
-            self.pass_events(order, &mut head, &mut splitter).await?;
-            if splitter.rest_bytes() > self.limits.max_unread_stream_bytes.get() {
-                return Err(broken(FailureCause::Truncated));
+            self.forward_events(order, &mut head, &mut splitter).await?;
+            if splitter.partial_event_bytes() > self.limits.max_unread_stream_bytes.get() {
+                return Err(stream_failure(FailureCause::Truncated));
             }
         }
         if let Some(head) = head.take() {
             self.task.answer.start_stream(head);
         }
-        self.task.answer.finish(self.slow_reader()).await;
-        let tokens = self.task.take_unreported();
+        self.task.answer.finish(self.slow_reader_timeout()).await;
+        let tokens = self.task.take_unreported_events();
         let end = AttemptEnd::Completed {
             response: None,
             longest_pause: self.task.longest_pause(),
             tokens,
         };
-        self.task.tell_end(order, end).await;
-        self.keep(order, sender, keep_for);
+        self.task.report_attempt_end(order, end).await;
+        self.keep_connection(order, sender, keep_for);
         Ok(())
     }
 
-    /// Passes the whole events on that are there, in one piece.
-    async fn pass_events(
+    /// Forwards the whole events in the buffer as one part.
+    async fn forward_events(
         &mut self,
         order: &SendOrder,
         head: &mut Option<Response<()>>,
         splitter: &mut EventSplitter,
-    ) -> Result<(), Stopped> {
+    ) -> Result<(), AttemptError> {
         let mut part: Vec<u8> = Vec::new();
-        while let Some(event) = splitter.next() {
+        while let Some(event) = splitter.next_event() {
             if let Some(id) = event.id {
-                if !self.is_next(&id) {
+                if !self.follows_last_event(&id) {
                     continue;
                 }
-                self.last_event = Some(id);
+                self.last_event_id = Some(id);
             }
             part.extend_from_slice(&event.bytes);
             self.task.count_event();
@@ -333,32 +346,32 @@
         if !self
             .task
             .answer
-            .send_part(part.into(), self.slow_reader())
+            .send_part(part.into(), self.slow_reader_timeout())
             .await
         {
-            return Err(Stopped::CallerGone);
+            return Err(AttemptError::CallerGone);
         }
-        self.task.tell_progress(order).await;
+        self.task.report_progress(order).await;
         Ok(())
     }
 
-    /// Whether an event comes after the last one that was passed on. One that
-    /// does not has been passed on before a stream moved.
-    fn is_next(&self, id: &str) -> bool {
+    /// Whether an event comes after the last one that was forwarded. After a stream has moved to
+    /// another upstream, events that were already forwarded may come again.
+    fn follows_last_event(&self, id: &str) -> bool {
         let number = |id: &str| id.parse::<u64>().ok();
-        match (self.last_event.as_deref().and_then(number), number(id)) {
+        match (self.last_event_id.as_deref().and_then(number), number(id)) {
             (Some(last), Some(next)) => next > last,
             _ => true,
         }
     }
 
-    fn slow_reader(&self) -> Duration {
+    fn slow_reader_timeout(&self) -> Duration {
         Duration::from_millis(self.limits.slow_reader_timeout_ms)
     }
 }
 
-fn broken(cause: FailureCause) -> Stopped {
-    Stopped::Failed(CallFailure::may_have_run(cause))
+fn stream_failure(cause: FailureCause) -> AttemptError {
+    AttemptError::Failed(CallFailure::may_have_run(cause))
 }
 
 fn is_event_stream(response: &Response<Incoming>) -> bool {
--- a/crates/router/src/request_task.rs
+++ b/crates/router/src/request_task.rs
@@ -1,34 +1,34 @@
 use super::*;
 
-/// Events of a stream after which the controller is notified of progress …
+/// Number of streamed events after which progress is reported to the controller.
 const PROGRESS_EVENTS: u32 = 32;
 
-/// … or after this time.
+/// Time after which progress is reported to the controller, if fewer events have come.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a request's task does after an instruction.
-pub(crate) enum Next {
-    /// The request has ended.
+/// What the task of a request does after it has carried out an instruction.
+pub(crate) enum NextStep {
+    /// End, because the request has ended.
     End,
-    /// The controller decides what follows.
+    /// Wait for the controller's next instruction.
     Wait,
 }
 
-/// What every task that serves one request has: the way back to the caller, and
-/// the controller's instructions and what is reported to it in turn.
+/// State that every task serving a request has: the sender of the answer, the controller's
+/// instructions, and the queue for reports to the controller.
 pub(crate) struct RequestTask {
     pub(crate) answer: AnswerSender,
-    /// Whether part of the answer has been passed on.
+    /// Whether part of the answer has been sent to the caller.
     delivered: bool,
     events: flume::Sender<ControllerMessage>,
     id: RequestId,
     pub(crate) instructions: InstructionReceiver,
-    /// When a part of the answer was passed on last.
-    last_part: Option<Instant>,
-    last_progress: Instant,
+    /// When the last part of the answer was sent to the caller.
+    last_part_at: Option<Instant>,
+    last_progress_at: Instant,
     longest_pause: Duration,
-    /// Events of the stream since the last progress event.
-    unreported: u32,
+    /// Streamed events since the last progress report.
+    unreported_events: u32,
 }
 
 impl RequestTask {
@@ -44,35 +44,37 @@
             events,
             id,
             instructions: InstructionReceiver::new(instructions),
-            last_part: None,
-            last_progress: Instant::now(),
+            last_part_at: None,
+            last_progress_at: Instant::now(),
             longest_pause: Duration::ZERO,
-            unreported: 0,
+            unreported_events: 0,
         }
     }
 
-    /// The next instruction; `None` once the request has ended: the controller
-    /// said so, or the caller has left, of which the controller is notified.
+    /// Waits for the next instruction. Returns `None` once the request has ended: either the
+    /// controller has ended it, or the caller has disconnected, which is reported to the
+    /// controller.
     pub(crate) async fn next_instruction(&mut self) -> Option<Instruction> {
         tokio::select! {
             biased;
             instruction = self.instructions.next() => return instruction,
-            () = self.answer.gone() => {}
+            () = self.answer.caller_gone() => {}
         }
-        self.tell_caller_gone().await;
+        self.report_caller_gone().await;
         None
     }
 
-    pub(crate) const fn delivered(&self) -> bool {
+    pub(crate) const fn has_delivered(&self) -> bool {
         self.delivered
     }
 
-    pub(crate) async fn tell_caller_gone(&self) {
-        self.tell(Event::CallerGone { request: self.id }).await;
+    pub(crate) async fn report_caller_gone(&self) {
+        self.send_event(Event::CallerGone { request: self.id })
+            .await;
     }
 
-    pub(crate) async fn tell_end(&self, order: &SendOrder, end: AttemptEnd) {
-        self.tell(Event::AttemptEnded {
+    pub(crate) async fn report_attempt_end(&self, order: &SendOrder, end: AttemptEnd) {
+        self.send_event(Event::AttemptEnded {
             attempt: order.attempt,
             end,
             request: self.id,
@@ -80,24 +82,34 @@
         .await;
     }
 
-    pub(crate) async fn tell_failure(&mut self, order: &SendOrder, failure: CallFailure) -> Next {
+    pub(crate) async fn report_failure(
+        &mut self,
+        order: &SendOrder,
+        failure: CallFailure,
+    ) -> NextStep {
         let end = AttemptEnd::Failed {
             cause: failure.cause,
             delivered: self.delivered,
-            tokens: self.take_unreported(),
+            tokens: self.take_unreported_events(),
             verdict: failure.verdict,
         };
-        self.tell_end(order, end).await;
-        Next::Wait
+        self.report_attempt_end(order, end).await;
+        NextStep::Wait
     }
 
-    /// Tells what an upstream says of itself in an answer, if that may be news.
-    pub(crate) async fn tell_notice(&self, order: &SendOrder, notice: UpstreamNotice, sent: Time) {
+    /// Reports the notice in an upstream's response. An empty notice is skipped, unless the order
+    /// was made under a rate limit or a rejection limit, which an empty notice may lift.
+    pub(crate) async fn report_notice(
+        &self,
+        order: &SendOrder,
+        notice: UpstreamNotice,
+        sent: Time,
+    ) {
         let inputs = &order.inputs;
         if notice.is_empty() && inputs.rate_limit.is_none() && inputs.rejection_limit.is_none() {
             return;
         }
-        self.tell(Event::NoticeAnswered {
+        self.send_event(Event::NoticeAnswered {
             notice,
             sent,
             upstream: order.upstream.clone(),
@@ -105,9 +117,9 @@
         .await;
     }
 
-    /// Tells by which paths it was tried to reach an upstream.
-    pub(crate) async fn tell_paths(&self, order: &SendOrder, tries: Vec<PathAttempt>) {
-        self.tell(Event::PathsTried {
+    /// Reports which paths to an upstream were tried.
+    pub(crate) async fn report_paths(&self, order: &SendOrder, tries: Vec<PathAttempt>) {
+        self.send_event(Event::PathsTried {
             request: Some(self.id),
             attempts: tries,
             upstream: order.upstream.clone(),
@@ -115,30 +127,29 @@
         .await;
     }
 
-    /// Counts an event of the stream that is passed on.
     pub(crate) const fn count_event(&mut self) {
-        self.unreported += 1;
+        self.unreported_events += 1;
     }
 
-    /// Events that the controller has not been notified of.
-    pub(crate) fn take_unreported(&mut self) -> Tokens {
-        Tokens::new(std::mem::take(&mut self.unreported))
+    /// Returns the number of events that have not been reported yet, and resets the count.
+    pub(crate) fn take_unreported_events(&mut self) -> Tokens {
+        Tokens::new(std::mem::take(&mut self.unreported_events))
     }
 
-    /// Notes that events were passed on, and tells the controller of the first ones
-    /// at once and of later ones now and then.
-    pub(crate) async fn tell_progress(&mut self, order: &SendOrder) {
+    /// Records that events were sent to the caller. Reports the first ones to the controller at
+    /// once, and later ones every `PROGRESS_EVENTS` or `PROGRESS_INTERVAL`.
+    pub(crate) async fn report_progress(&mut self, order: &SendOrder) {
         let now = Instant::now();
-        self.note_part(now);
+        self.record_part(now);
         let first = !std::mem::replace(&mut self.delivered, true);
-        let since_last = now.duration_since(self.last_progress);
-        let due = self.unreported >= PROGRESS_EVENTS || since_last >= PROGRESS_INTERVAL;
+        let since_last = now.duration_since(self.last_progress_at);
+        let due = self.unreported_events >= PROGRESS_EVENTS || since_last >= PROGRESS_INTERVAL;
         if !first && !due {
             return;
         }
-        self.last_progress = now;
-        let tokens = self.take_unreported();
-        self.tell(Event::Progressed {
+        self.last_progress_at = now;
+        let tokens = self.take_unreported_events();
+        self.send_event(Event::Progressed {
             attempt: order.attempt,
             longest_pause: self.longest_pause,
             request: self.id,
@@ -147,20 +158,20 @@
         .await;
     }
 
-    /// Longest time between two parts that the caller was sent, over all attempts.
+    /// Returns the longest time between two parts sent to the caller, over all attempts.
     pub(crate) const fn longest_pause(&self) -> Duration {
         self.longest_pause
     }
 
-    fn note_part(&mut self, now: Instant) {
-        if let Some(last) = self.last_part.replace(now) {
+    fn record_part(&mut self, now: Instant) {
+        if let Some(last) = self.last_part_at.replace(now) {
             self.longest_pause = self.longest_pause.max(now.duration_since(last));
         }
     }
 
-    async fn tell(&self, event: Event) {
-        // Waits while the ring is full: an end of an attempt is never lost. The
-        // controller outlives every task.
+    async fn send_event(&self, event: Event) {
+        // Waits while the queue is full, so that the end of an attempt is never lost. The
+        // controller outlives all request tasks.
         let _ = self
             .events
             .send_async(ControllerMessage::Event(event))
--- a/crates/router/src/shared_state.rs
+++ b/crates/router/src/shared_state.rs
@@ -17,7 +17,7 @@
     /// When data was last forwarded for other hosts.
     pub(crate) forwarding_activity: LastActivity,
     /// Connections that are forwarded to upstreams for other hosts.
-    pub(crate) forwarded_connections: Pumps,
+    pub(crate) forwarded_connections: TaskSet,
     /// Notified when the newest configuration is to be read now.
     pub(crate) read_configuration: Arc<Notify>,
     pub(crate) status: Arc<ArcSwap<HostStatus>>,
@@ -55,7 +55,7 @@
             statistics: Arc::default(),
             limits: Arc::clone(&limits),
             forwarding_activity: LastActivity::new(clock),
-            forwarded_connections: Pumps::default(),
+            forwarded_connections: TaskSet::default(),
             read_configuration: Arc::default(),
             status: Arc::new(ArcSwap::from_pointee(status)),
             unread: UnreadAnswers::new(clock, limits),
--- a/crates/router/src/transit_service.rs
+++ b/crates/router/src/transit_service.rs
@@ -22,7 +22,7 @@
     pub(crate) activity: LastActivity,
     pub(crate) events: flume::Sender<ControllerMessage>,
     pub(crate) logger: Logger,
-    pub(crate) passing: Pumps,
+    pub(crate) passing: TaskSet,
 }
 
 impl TransitService {
--- a/crates/router/src/whole_body.rs
+++ b/crates/router/src/whole_body.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// A body that was read whole, and its part of the memory for bodies.
+/// A complete request body, and the memory reserved for it.
 #[derive(Debug)]
 pub(crate) struct WholeBody {
     pub(crate) bytes: Bytes,
-    /// Given back when the request has ended.
-    pub(crate) _held: HeldBytes,
+    /// Released when the request has ended.
+    pub(crate) _reservation: BodyReservation,
 }
 
 impl WholeBody {
-    /// Reads a caller's body whole: a request is sent again only if all of it is
-    /// here.
+    /// Reads the complete body of a caller's request. A request can be sent again only if its whole
+    /// body is in memory.
     pub(crate) async fn read(
         body: Incoming,
         limits: &EffectiveLimits,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Reads a body whole, as far as it and all others stay within the limits.
+    /// Collects a body within the limits for one body and for all bodies together.
     async fn collect(
         body: Incoming,
         max: ByteSize,
@@ -34,7 +34,7 @@
         budget: &BodyBudget,
     ) -> Result<Self, BodyError> {
         let mut body = Limited::new(body, max.get() as usize);
-        let mut held = budget.open();
+        let mut reservation = budget.start_reservation();
         let mut bytes = BytesMut::new();
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|error| {
@@ -45,14 +45,14 @@
                 }
             })?;
             let data = frame.into_data().unwrap_or_default();
-            if !held.grow(data.len() as u64, max_buffered) {
+            if !reservation.add(data.len() as u64, max_buffered) {
                 return Err(BodyError::NoMemory);
             }
             bytes.extend_from_slice(&data);
         }
         Ok(Self {
             bytes: bytes.freeze(),
-            _held: held,
+            _reservation: reservation,
         })
     }
 }
