--- a/crates/config/src/config_error.rs
+++ b/crates/config/src/config_error.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigError {
     /// Two upstreams have one address.
-    AddressTwice {
+    DuplicateAddress {
         /// The address.
         address: SocketAddr,
         /// One upstream.
@@ -13,12 +13,12 @@
         second: UpstreamId,
     },
     /// A team's default class is not among its classes.
-    DefaultNotAllowed {
+    DefaultClassNotAllowed {
         /// The team.
         team: TeamId,
     },
     /// Two teams have one bearer key.
-    KeyTwice {
+    DuplicateKey {
         /// One team.
         first: TeamId,
         /// The other team.
@@ -47,7 +47,7 @@
         message: String,
     },
     /// A trial team may use a class that is too urgent.
-    TrialTooUrgent {
+    TrialClassTooUrgent {
         /// The class.
         class: ClassId,
         /// The team.
@@ -72,7 +72,7 @@
 impl Display for ConfigError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::AddressTwice {
+            Self::DuplicateAddress {
                 address,
                 first,
                 second,
@@ -80,10 +80,10 @@
                 f,
                 "upstreams {first} and {second} both have address {address}"
             ),
-            Self::DefaultNotAllowed { team } => {
+            Self::DefaultClassNotAllowed { team } => {
                 write!(f, "default class of team {team} is not among its classes")
             }
-            Self::KeyTwice { first, second } => {
+            Self::DuplicateKey { first, second } => {
                 write!(f, "teams {first} and {second} have the same key")
             }
             Self::NewerFormat { format } => write!(
@@ -96,7 +96,7 @@
             }
             Self::PatchFailed { message } => write!(f, "patch does not apply: {message}"),
             Self::Syntax { message } => write!(f, "document cannot be read: {message}"),
-            Self::TrialTooUrgent { class, team } => write!(
+            Self::TrialClassTooUrgent { class, team } => write!(
                 f,
                 "trial team {team} may not use class {class}, its tier is too urgent"
             ),
--- a/crates/config/src/duty_settings.rs
+++ b/crates/config/src/duty_settings.rs
@@ -28,7 +28,7 @@
                 field: "relay.duties.lease_ms".to_string(),
             });
         }
-        relay_settings::seconds_above_zero(&[
+        relay_settings::check_durations(&[
             ("relay.duties.usage_window_s", self.usage_window_s),
             ("relay.duties.usage_late_s", self.usage_late_s),
         ])
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -20,7 +20,6 @@
 mod duty_settings;
 mod engine;
 mod limits;
-mod numbered;
 mod patch;
 mod plan;
 mod relay_settings;
@@ -35,14 +34,16 @@
 mod trial_rules;
 mod upstream;
 mod validation;
+mod versioned_document;
 mod weighted_service;
 mod whole_number;
 
 pub use {
     caller_limits::CallerLimits, class::Class, config_error::ConfigError, document::Document,
-    duty_settings::DutySettings, engine::Engine, limits::Limits, numbered::Numbered, patch::Patch,
-    plan::Plan, relay_settings::RelaySettings, route::Route, routes::Routes,
-    scheduling::Scheduling, service::Service, service_replica::ServiceReplica, settings::Settings,
+    duty_settings::DutySettings, engine::Engine, limits::Limits, patch::Patch, plan::Plan,
+    relay_settings::RelaySettings, route::Route, routes::Routes, scheduling::Scheduling,
+    service::Service, service_replica::ServiceReplica, settings::Settings,
     settings_error::SettingsError, team::Team, trial_rules::TrialRules, upstream::Upstream,
-    validation::PROMPT_TOKEN_BYTES, weighted_service::WeightedService,
+    validation::PROMPT_TOKEN_BYTES_RANGE, versioned_document::VersionedDocument,
+    weighted_service::WeightedService,
 };
--- a/crates/config/src/relay_settings.rs
+++ b/crates/config/src/relay_settings.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Longest time that can be set, in seconds: a day.
-const MAX_SECONDS: f64 = 86_400.0;
+const MAX_DURATION_S: f64 = 86_400.0;
 
 /// How a host relays the requests of an installation: figures that the
 /// installation sets for all hosts.
@@ -36,19 +36,19 @@
 
 impl RelaySettings {
     pub(crate) fn check(&self) -> Result<(), SettingsError> {
-        let seconds = [
+        let durations = [
             ("relay.drain_limit_s", self.drain_limit_s),
             ("relay.retry_window_s", self.retry_window_s),
         ];
-        seconds_above_zero(&seconds)?;
+        check_durations(&durations)?;
         self.duties.as_ref().map_or(Ok(()), DutySettings::check)
     }
 }
 
 /// Checks times that a host waits or counts by.
-pub(crate) fn seconds_above_zero(fields: &[(&str, f64)]) -> Result<(), SettingsError> {
-    let is_usable = |seconds: f64| seconds > 0.0 && seconds <= MAX_SECONDS;
-    match fields.iter().find(|(_, seconds)| !is_usable(*seconds)) {
+pub(crate) fn check_durations(fields: &[(&str, f64)]) -> Result<(), SettingsError> {
+    let is_in_range = |seconds: f64| seconds > 0.0 && seconds <= MAX_DURATION_S;
+    match fields.iter().find(|(_, seconds)| !is_in_range(*seconds)) {
         Some((field, _)) => Err(SettingsError::OutOfRange {
             expected: "above 0 and at most a day".to_string(),
             field: (*field).to_string(),
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -18,15 +18,15 @@
 }
 
 impl Route {
-    /// The service for one request; `draw` is a random number.
-    pub fn service(&self, draw: u64) -> Option<&ServiceId> {
-        let total: u64 = self.services.iter().map(|part| part.weight).sum();
-        let mut left = draw.checked_rem(total)?;
-        for part in &self.services {
-            if left < part.weight {
-                return Some(&part.service);
+    /// The service for one request; `random_number` is a random number.
+    pub fn pick_service(&self, random_number: u64) -> Option<&ServiceId> {
+        let total: u64 = self.services.iter().map(|weighted| weighted.weight).sum();
+        let mut remaining = random_number.checked_rem(total)?;
+        for weighted in &self.services {
+            if remaining < weighted.weight {
+                return Some(&weighted.service);
             }
-            left -= part.weight;
+            remaining -= weighted.weight;
         }
         None
     }
--- a/crates/config/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -9,65 +9,66 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(from = "BTreeMap<RouteId, Route>", into = "BTreeMap<RouteId, Route>")]
 pub struct Routes {
-    by_hostname: HashMap<String, HostRoutes>,
+    by_hostname: HashMap<String, HostnameRoutes>,
     routes: Vec<(RouteId, Route)>,
 }
 
 /// The routes of one host name.
 #[derive(Clone, Debug, Default)]
-struct HostRoutes {
+struct HostnameRoutes {
     /// Lengths of prefixes that occur; there are few.
-    lengths: BTreeSet<usize>,
+    prefix_lengths: BTreeSet<usize>,
     /// Places among all routes, in the order of the prefixes.
-    places: Vec<usize>,
+    indexes: Vec<usize>,
 }
 
 impl Routes {
     /// The route of a request: among those of its host name the one with the
     /// longest prefix of its path.
     pub fn find(&self, hostname: &str, path: &str) -> Option<&Route> {
-        let own = match self.by_hostname.get(hostname) {
-            Some(own) => own,
+        let hostname_routes = match self.by_hostname.get(hostname) {
+            Some(hostname_routes) => hostname_routes,
             None => self.by_hostname.get(&hostname.to_ascii_lowercase())?,
         };
-        let lengths = own.lengths.range(..=path.len()).rev();
-        lengths
+        let prefix_lengths = hostname_routes.prefix_lengths.range(..=path.len()).rev();
+        prefix_lengths
             .filter_map(|length| path.get(..*length))
-            .find_map(|prefix| self.with_prefix(own, prefix))
+            .find_map(|prefix| self.find_prefix(hostname_routes, prefix))
     }
 
-    fn with_prefix(&self, own: &HostRoutes, prefix: &str) -> Option<&Route> {
-        let after = own
-            .places
-            .partition_point(|place| self.prefix(*place) <= prefix);
-        let place = own.places[..after].last()?;
-        (self.prefix(*place) == prefix).then(|| &self.routes[*place].1)
+    fn find_prefix(&self, hostname_routes: &HostnameRoutes, prefix: &str) -> Option<&Route> {
+        let end = hostname_routes
+            .indexes
+            .partition_point(|index| self.prefix_at(*index) <= prefix);
+        let index = hostname_routes.indexes[..end].last()?;
+        (self.prefix_at(*index) == prefix).then(|| &self.routes[*index].1)
     }
 
-    fn prefix(&self, place: usize) -> &str {
-        &self.routes[place].1.prefix
+    fn prefix_at(&self, index: usize) -> &str {
+        &self.routes[index].1.prefix
     }
 }
 
 impl From<BTreeMap<RouteId, Route>> for Routes {
     fn from(routes: BTreeMap<RouteId, Route>) -> Self {
-        let mut found = Self {
+        let mut built = Self {
             by_hostname: HashMap::default(),
             routes: routes.into_iter().collect(),
         };
-        for (place, (_, route)) in found.routes.iter().enumerate() {
+        for (index, (_, route)) in built.routes.iter().enumerate() {
             let hostname = route.hostname.to_ascii_lowercase();
-            let own = found.by_hostname.entry(hostname).or_default();
-            own.lengths.insert(route.prefix.len());
-            own.places.push(place);
+            let hostname_routes = built.by_hostname.entry(hostname).or_default();
+            hostname_routes.prefix_lengths.insert(route.prefix.len());
+            hostname_routes.indexes.push(index);
         }
-        let routes = &found.routes;
-        for own in found.by_hostname.values_mut() {
+        let routes = &built.routes;
+        for hostname_routes in built.by_hostname.values_mut() {
             // Stable: of two routes with one prefix the one with the later id counts.
-            own.places
-                .sort_by(|one, other| routes[*one].1.prefix.cmp(&routes[*other].1.prefix));
+            hostname_routes
+                .indexes
+                .sort_by(|first, second| routes[*first].1.prefix.cmp(&routes[*second].1.prefix));
         }
-        found
+        built
     }
 }
 
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -91,11 +91,11 @@
                 .map(|address| ("metrics_address", address)),
         );
         for (index, (first, address)) in addresses.iter().enumerate() {
-            let twin = addresses[index + 1..]
+            let duplicate = addresses[index + 1..]
                 .iter()
                 .find(|(_, other)| other == address && address.port() != 0);
-            if let Some((second, _)) = twin {
-                return Err(SettingsError::AddressTwice {
+            if let Some((second, _)) = duplicate {
+                return Err(SettingsError::DuplicateAddress {
                     address: *address,
                     first: (*first).to_string(),
                     second: (*second).to_string(),
--- a/crates/config/src/settings_error.rs
+++ b/crates/config/src/settings_error.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingsError {
     /// Two listeners or servers have one address.
-    AddressTwice {
+    DuplicateAddress {
         /// The address.
         address: SocketAddr,
         /// One field.
@@ -29,7 +29,7 @@
 impl Display for SettingsError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::AddressTwice {
+            Self::DuplicateAddress {
                 address,
                 first,
                 second,
--- a/crates/config/src/team.rs
+++ b/crates/config/src/team.rs
@@ -29,7 +29,7 @@
 
 impl Team {
     /// SHA-256 of all its bearer keys.
-    pub fn keys(&self) -> impl Iterator<Item = KeyHash> {
+    pub fn key_hashes(&self) -> impl Iterator<Item = KeyHash> {
         let others = self.other_keys_sha256.iter().copied();
         std::iter::once(self.key_sha256).chain(others)
     }
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -10,7 +10,7 @@
 const MAX_SLOTS: u32 = 100_000;
 
 /// Bytes of memory that one token of a prompt may take, up to 64 MiB.
-pub const PROMPT_TOKEN_BYTES: RangeInclusive<u64> = 1..=64 * 1_024 * 1_024;
+pub const PROMPT_TOKEN_BYTES_RANGE: RangeInclusive<u64> = 1..=64 * 1_024 * 1_024;
 
 pub(crate) fn check(document: &Document) -> Result<(), ConfigError> {
     check_trial(&document.trial)?;
@@ -31,8 +31,8 @@
     check_addresses(document)
 }
 
-fn in_range(ok: bool, field: String, expected: &str) -> Result<(), ConfigError> {
-    if ok {
+fn ensure_in_range(is_valid: bool, field: String, expected: &str) -> Result<(), ConfigError> {
+    if is_valid {
         return Ok(());
     }
     Err(ConfigError::OutOfRange {
@@ -49,14 +49,14 @@
         ("max_head_bytes", limits.max_head_bytes.get()),
     ];
     for (name, value) in fields {
-        in_range(value > 0, format!("caller_limits.{name}"), "1 or more")?;
+        ensure_in_range(value > 0, format!("caller_limits.{name}"), "1 or more")?;
     }
     Ok(())
 }
 
 fn check_trial(trial: &TrialRules) -> Result<(), ConfigError> {
     let share = trial.max_slot_share;
-    in_range(
+    ensure_in_range(
         share > 0.0 && share <= 1.0,
         "trial.max_slot_share".to_string(),
         "above 0, at most 1",
@@ -64,7 +64,7 @@
 }
 
 fn check_scheduling(scheduling: &Scheduling) -> Result<(), ConfigError> {
-    in_range(
+    ensure_in_range(
         (0.0..=0.5).contains(&scheduling.max_headroom_share),
         "scheduling.max_headroom_share".to_string(),
         "0 to 0.5",
@@ -72,17 +72,17 @@
 }
 
 fn check_class(id: &ClassId, class: &Class) -> Result<(), ConfigError> {
-    in_range(
+    ensure_in_range(
         (1..=MAX_DEADLINE_MS).contains(&class.deadline_ms),
         format!("classes.{id}.deadline_ms"),
         "1 to 86400000",
     )?;
-    in_range(
+    ensure_in_range(
         (1..=class.deadline_ms).contains(&class.first_token_target_ms),
         format!("classes.{id}.first_token_target_ms"),
         "1 to the class's deadline_ms",
     )?;
-    in_range(
+    ensure_in_range(
         class.objective > 0.0 && class.objective < 1.0,
         format!("classes.{id}.objective"),
         "above 0, below 1",
@@ -90,23 +90,23 @@
 }
 
 fn check_team(document: &Document, id: &TeamId, team: &Team) -> Result<(), ConfigError> {
-    in_range(
+    ensure_in_range(
         (1..=1_000).contains(&team.weight),
         format!("teams.{id}.weight"),
         "1 to 1000",
     )?;
-    in_range(
+    ensure_in_range(
         team.max_concurrent >= 1,
         format!("teams.{id}.max_concurrent"),
         "1 or more",
     )?;
-    in_range(
+    ensure_in_range(
         team.max_requests_per_s.get() > 0.0,
         format!("teams.{id}.max_requests_per_s"),
         "above 0",
     )?;
     if !team.classes.contains(&team.default_class) {
-        return Err(ConfigError::DefaultNotAllowed { team: id.clone() });
+        return Err(ConfigError::DefaultClassNotAllowed { team: id.clone() });
     }
     team.classes
         .iter()
@@ -125,9 +125,9 @@
             team: id.clone(),
         });
     };
-    let floor = document.trial.most_urgent_tier;
-    if team.plan == Plan::Trial && definition.tier.is_more_urgent_than(floor) {
-        return Err(ConfigError::TrialTooUrgent {
+    let most_urgent = document.trial.most_urgent_tier;
+    if team.plan == Plan::Trial && definition.tier.is_more_urgent_than(most_urgent) {
+        return Err(ConfigError::TrialClassTooUrgent {
             class: class.clone(),
             team: id.clone(),
         });
@@ -138,9 +138,9 @@
 fn check_keys(document: &Document) -> Result<(), ConfigError> {
     let mut owners: BTreeMap<KeyHash, &TeamId> = BTreeMap::new();
     for (id, team) in &document.teams {
-        for key in team.keys() {
+        for key in team.key_hashes() {
             if let Some(first) = owners.insert(key, id) {
-                return Err(ConfigError::KeyTwice {
+                return Err(ConfigError::DuplicateKey {
                     first: first.clone(),
                     second: id.clone(),
                 });
@@ -155,16 +155,16 @@
     id: &UpstreamId,
     upstream: &Upstream,
 ) -> Result<(), ConfigError> {
-    in_range(
+    ensure_in_range(
         (1..=MAX_SLOTS).contains(&upstream.slots()),
         format!("upstreams.{id}.slots"),
         "1 to 100000",
     )?;
     match upstream {
-        Upstream::Engine(engine) => in_range(
+        Upstream::Engine(engine) => ensure_in_range(
             engine
                 .prompt_token_bytes
-                .is_none_or(|bytes| PROMPT_TOKEN_BYTES.contains(&bytes.get())),
+                .is_none_or(|bytes| PROMPT_TOKEN_BYTES_RANGE.contains(&bytes.get())),
             format!("upstreams.{id}.prompt_token_bytes"),
             "1 to 67108864",
         ),
@@ -180,7 +180,7 @@
     let mut owners: BTreeMap<SocketAddr, &UpstreamId> = BTreeMap::new();
     for (id, upstream) in &document.upstreams {
         if let Some(first) = owners.insert(upstream.address(), id) {
-            return Err(ConfigError::AddressTwice {
+            return Err(ConfigError::DuplicateAddress {
                 address: upstream.address(),
                 first: first.clone(),
                 second: id.clone(),
--- a/crates/config/src/numbered.rs
+++ b/crates/config/src/versioned_document.rs
@@ -2,7 +2,7 @@
 
 /// A document together with its version.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Numbered {
+pub struct VersionedDocument {
     /// The document.
     pub document: Document,
     /// Its version.
--- a/crates/config/src/whole_number.rs
+++ b/crates/config/src/whole_number.rs
@@ -10,7 +10,7 @@
     D: Deserializer<'a>,
     T: TryFrom<u64>,
 {
-    whole(f64::deserialize(deserializer)?.floor())
+    to_integer(f64::deserialize(deserializer)?.floor())
 }
 
 /// Rounds up: what must not be fallen short of.
@@ -19,12 +19,12 @@
     D: Deserializer<'a>,
     T: TryFrom<u64>,
 {
-    whole(f64::deserialize(deserializer)?.ceil())
+    to_integer(f64::deserialize(deserializer)?.ceil())
 }
 
-fn whole<T: TryFrom<u64>, E: serde::de::Error>(value: f64) -> Result<T, E> {
-    let is_whole = value.is_finite() && (0.0..=u64::MAX as f64).contains(&value);
-    let number = is_whole.then_some(value as u64);
+fn to_integer<T: TryFrom<u64>, E: serde::de::Error>(value: f64) -> Result<T, E> {
+    let is_in_range = value.is_finite() && (0.0..=u64::MAX as f64).contains(&value);
+    let number = is_in_range.then_some(value as u64);
     let number = number.and_then(|number| T::try_from(number).ok());
     number.ok_or_else(|| E::custom(format!("{value} is out of range")))
 }
--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -8,22 +8,22 @@
     serde_json::{Value, json},
 };
 
-const EXAMPLE: &str = include_str!("../../../examples/configuration.json");
-const HOST: &str = include_str!("../../../examples/host.toml");
+const EXAMPLE_DOCUMENT: &str = include_str!("../../../examples/configuration.json");
+const HOST_SETTINGS: &str = include_str!("../../../examples/host.toml");
 
-fn example() -> Value {
-    serde_json::from_str(EXAMPLE).unwrap()
+fn example_document() -> Value {
+    serde_json::from_str(EXAMPLE_DOCUMENT).unwrap()
 }
 
 #[test]
 fn the_examples_are_valid() {
-    let document = Document::from_json(EXAMPLE).unwrap();
+    let document = Document::from_json(EXAMPLE_DOCUMENT).unwrap();
     assert_eq!(Document::from_json(&document.to_json()).unwrap(), document);
-    Settings::from_toml(HOST).unwrap();
+    Settings::from_toml(HOST_SETTINGS).unwrap();
 }
 
 #[test]
-fn each_fault_is_named() {
+fn each_error_names_the_fault() {
     let cases: [(&str, Value, &str); 12] = [
         ("/format", json!(2), "format 2"),
         ("/classes/question/tier", json!(6), "tier (0 to 5)"),
@@ -71,7 +71,7 @@
         ),
     ];
     for (path, value, expected) in cases {
-        let mut document = example();
+        let mut document = example_document();
         *document.pointer_mut(path).unwrap() = value;
         let error = Document::from_value(document).unwrap_err().to_string();
         assert!(error.contains(expected), "{path}: {error}");
@@ -80,9 +80,9 @@
 
 /// Guards against transfers that are planned by figures no engine has.
 #[test]
-fn figures_of_transfers_must_be_possible() {
+fn transfer_settings_must_be_in_range() {
     let set = |field: &str, value: Value| {
-        let mut document = example();
+        let mut document = example_document();
         let upstreams = document["upstreams"].as_object_mut().unwrap();
         let is_engine = |upstream: &&mut Value| upstream["kind"] == "engine";
         let engine = upstreams.values_mut().find(is_engine).unwrap();
@@ -102,12 +102,12 @@
 }
 
 #[test]
-fn a_key_twice_and_an_unknown_field_are_refused() {
-    let mut document = example();
+fn duplicate_keys_and_unknown_fields_are_rejected() {
+    let mut document = example_document();
     document["teams"]["visitors"]["key_sha256"] = document["teams"]["shop"]["key_sha256"].clone();
     let error = Document::from_value(document).unwrap_err();
-    assert!(matches!(error, ConfigError::KeyTwice { .. }), "{error}");
-    let mut document = example();
+    assert!(matches!(error, ConfigError::DuplicateKey { .. }), "{error}");
+    let mut document = example_document();
     document["teams"]["shop"]["max_rate"] = json!(1);
     let error = Document::from_value(document).unwrap_err().to_string();
     assert!(error.contains("unknown field `max_rate`"), "{error}");
@@ -115,21 +115,21 @@
 
 /// Text that is sometimes close to a document.
 #[derive(Clone, Debug)]
-struct NearlyJson(String);
+struct CorruptedDocument(String);
 
-impl Arbitrary for NearlyJson {
+impl Arbitrary for CorruptedDocument {
     fn arbitrary(g: &mut Gen) -> Self {
-        let mut text: Vec<char> = EXAMPLE.chars().collect();
+        let mut text: Vec<char> = EXAMPLE_DOCUMENT.chars().collect();
         for _ in 0..u8::arbitrary(g) % 8 {
-            let place = usize::arbitrary(g) % text.len().max(1);
+            let index = usize::arbitrary(g) % text.len().max(1);
             if text.is_empty() {
                 break;
             }
             match u8::arbitrary(g) % 3 {
-                0 => text[place] = char::arbitrary(g),
-                1 => text.truncate(place + 1),
+                0 => text[index] = char::arbitrary(g),
+                1 => text.truncate(index + 1),
                 _ => {
-                    text.remove(place);
+                    text.remove(index);
                 }
             }
         }
@@ -138,13 +138,13 @@
 }
 
 #[test]
-fn no_text_makes_the_parser_panic() {
-    fn survives(text: NearlyJson) -> bool {
+fn corrupted_documents_never_panic_the_parser() {
+    fn rejects_or_round_trips(text: CorruptedDocument) -> bool {
         let again = Document::from_json(&text.0).map(|document| document.to_json());
         again.is_err() || Document::from_json(&again.unwrap()).is_ok()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 1))
         .tests(300)
-        .quickcheck(survives as fn(NearlyJson) -> bool);
+        .quickcheck(rejects_or_round_trips as fn(CorruptedDocument) -> bool);
 }
--- a/crates/config/tests/routes.rs
+++ b/crates/config/tests/routes.rs
@@ -11,12 +11,12 @@
 
 /// A few host names and prefixes, so that routes overlap.
 #[derive(Clone, Debug)]
-struct Place {
+struct RequestTarget {
     hostname: String,
     path: String,
 }
 
-impl Arbitrary for Place {
+impl Arbitrary for RequestTarget {
     fn arbitrary(g: &mut Gen) -> Self {
         let hostname = g.choose(&["a.example", "A.Example", "b.example"]).unwrap();
         let parts = ["/", "shop/", "stock/", "s", "\u{e9}/"];
@@ -29,13 +29,13 @@
     }
 }
 
-fn routes(places: &[Place]) -> BTreeMap<RouteId, Route> {
-    let routes = places.iter().enumerate().map(|(number, place)| {
+fn routes(targets: &[RequestTarget]) -> BTreeMap<RouteId, Route> {
+    let routes = targets.iter().enumerate().map(|(number, target)| {
         let route = Route {
             class: "class".parse().unwrap(),
-            hostname: place.hostname.clone(),
-            prefix: place.path.clone(),
-            // Tells routes of one place apart.
+            hostname: target.hostname.clone(),
+            prefix: target.path.clone(),
+            // Tells routes of one target apart.
             public: number % 2 == 0,
             services: Vec::new(),
         };
@@ -48,19 +48,19 @@
 /// those of the host name, and of two with the same prefix the one with the later id.
 #[test]
 fn the_longest_prefix_of_the_host_name_is_found() {
-    fn holds(places: Vec<Place>, asked: Place) -> bool {
-        let all = routes(&places);
-        let walked = all
+    fn finds_longest_prefix(targets: Vec<RequestTarget>, request: RequestTarget) -> bool {
+        let all = routes(&targets);
+        let expected = all
             .values()
-            .filter(|route| route.hostname.eq_ignore_ascii_case(&asked.hostname))
-            .filter(|route| asked.path.starts_with(&route.prefix))
+            .filter(|route| route.hostname.eq_ignore_ascii_case(&request.hostname))
+            .filter(|route| request.path.starts_with(&route.prefix))
             .max_by_key(|route| route.prefix.len())
             .cloned();
         let found = Routes::from(all);
-        found.find(&asked.hostname, &asked.path) == walked.as_ref()
+        found.find(&request.hostname, &request.path) == expected.as_ref()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(30, 1))
         .tests(2_000)
-        .quickcheck(holds as fn(Vec<Place>, Place) -> bool);
+        .quickcheck(finds_longest_prefix as fn(Vec<RequestTarget>, RequestTarget) -> bool);
 }
--- a/crates/config/tests/template.rs
+++ b/crates/config/tests/template.rs
@@ -7,7 +7,7 @@
 const TEMPLATE: &str = include_str!("../../../deploy/host.toml.template");
 
 /// Figures of an installation, each with a fraction.
-const FRACTIONS: &[(&str, &str)] = &[
+const TEMPLATE_VALUES: &[(&str, &str)] = &[
     ("bootstrap|json", "true"),
     ("bounds.budget-extra", "33.1578947368421"),
     ("bounds.budget-window-s", "10.5"),
@@ -39,14 +39,14 @@
     let text = text
         .replace("{{#cloud-api.address}}", "")
         .replace("{{/cloud-api.address}}", "");
-    FRACTIONS.iter().fold(text, |text, (name, value)| {
+    TEMPLATE_VALUES.iter().fold(text, |text, (name, value)| {
         text.replace(&format!("{{{{{name}}}}}"), value)
     })
 }
 
 /// Guards against a host that does not start, as the installation's bounds are no whole numbers.
 #[test]
-fn reads_figures_with_fractions_on_the_side_of_the_bound() {
+fn fractional_bounds_are_rounded_to_the_strict_side() {
     let settings = Settings::from_toml(&fill(TEMPLATE)).unwrap();
     let relay = toml::to_string(&settings.relay).unwrap();
     assert_eq!(
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn refuses_figures_that_no_host_can_keep() {
+fn out_of_range_settings_are_rejected() {
     for (from, to) in [
         ("= 33.15", "= -1.5"),
         ("= 10.5\n", "= 0.0\n"),
--- a/crates/operator/src/config_command.rs
+++ b/crates/operator/src/config_command.rs
@@ -139,9 +139,9 @@
 }
 
 async fn history(store: &ConfigStore, last: u64) -> eyre::Result<()> {
-    let newest = store.newest().await?;
+    let newest = store.newest_version().await?;
     let first = newest.get().saturating_sub(last.saturating_sub(1)).max(1);
-    let rows = store.log(ConfigVersion::new(first), newest).await?;
+    let rows = store.read_log(ConfigVersion::new(first), newest).await?;
     for (number, row) in (first..).zip(rows) {
         match row.patch {
             Some(patch) => println!(
--- a/crates/operator/src/experiment.rs
+++ b/crates/operator/src/experiment.rs
@@ -267,7 +267,7 @@
     /// Several operators submit patches against one version; one is accepted.
     async fn race(&self, operators: u32) -> eyre::Result<()> {
         let store = self.fleet.store();
-        let base = store.newest().await?;
+        let base = store.newest_version().await?;
         let share = self.fleet.hosts.len() as f64;
         let submits = (0..operators).map(|number| {
             let store = store.clone();
--- a/crates/policy/benches/decision/main.rs
+++ b/crates/policy/benches/decision/main.rs
@@ -7,7 +7,7 @@
 #![allow(missing_docs, clippy::unwrap_used)]
 
 use {
-    config::{Document, Numbered, Route},
+    config::{Document, Route, VersionedDocument},
     peer::{Demand, Heartbeat, PeerHost, PeerPhase},
     policy::{
         Action, Arrival, AttemptEnd, Controller, ControllerOptions, Event, Repeatability,
@@ -153,7 +153,7 @@
 
 /// Time in which the controller takes the next version.
 fn put_in_force_ms(controller: &mut Controller, document: Document) -> f64 {
-    let numbered = Arc::new(Numbered {
+    let numbered = Arc::new(VersionedDocument {
         document,
         version: ConfigVersion::new(2),
     });
--- a/crates/policy/benches/decision/setup.rs
+++ b/crates/policy/benches/decision/setup.rs
@@ -23,7 +23,7 @@
         slot_rules: SlotRules::default(),
         seed: 1,
     });
-    let numbered = Arc::new(Numbered {
+    let numbered = Arc::new(VersionedDocument {
         document: document(size.upstreams, size.teams),
         version: ConfigVersion::new(1),
     });
--- a/crates/policy/benches/overload/controllers.rs
+++ b/crates/policy/benches/overload/controllers.rs
@@ -26,7 +26,7 @@
 
 impl Controllers {
     pub fn new(site: &Site, rules: &SlotRules, peering: Peering, headroom: f64, seed: u64) -> Self {
-        let numbered = Arc::new(Numbered {
+        let numbered = Arc::new(VersionedDocument {
             document: class::document(site, headroom),
             version: ConfigVersion::new(1),
         });
--- a/crates/policy/benches/overload/main.rs
+++ b/crates/policy/benches/overload/main.rs
@@ -7,7 +7,7 @@
 #![allow(missing_docs, clippy::unwrap_used)]
 
 use {
-    config::{Document, Numbered},
+    config::{Document, VersionedDocument},
     peer::PeerHost,
     policy::{
         Action, Arrival, AttemptEnd, Controller, ControllerOptions, Event, Repeatability,
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -33,7 +33,7 @@
 /// the actions to take. Two runs with the same events and times return the same actions.
 #[derive(Debug)]
 pub struct Controller {
-    pub(crate) configuration: Option<Arc<Numbered>>,
+    pub(crate) configuration: Option<Arc<VersionedDocument>>,
     /// Last time at which the configuration in force was known to be the newest.
     pub(crate) confirmed_at: Option<Time>,
     /// Time at which the first configuration was read.
@@ -360,7 +360,7 @@
     /// Applies a configuration unless it is older than, or the same as, the version in force.
     /// Responses of the platform can arrive out of order, and a host never returns to an older
     /// version.
-    fn apply_configuration(&mut self, now: Time, numbered: Arc<Numbered>) {
+    fn apply_configuration(&mut self, now: Time, numbered: Arc<VersionedDocument>) {
         if self
             .version()
             .is_some_and(|version| version >= numbered.version)
@@ -371,7 +371,7 @@
             .document
             .teams
             .iter()
-            .flat_map(|(id, team)| team.keys().map(|key| (key, id.clone())))
+            .flat_map(|(id, team)| team.key_hashes().map(|key| (key, id.clone())))
             .collect();
         let classes = numbered.document.classes.values();
         self.shortest_pause_ms = classes.filter_map(|class| class.pause_target_ms).min();
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -45,7 +45,7 @@
     /// A version of the configuration is ready to be sent to other hosts.
     ConfigurationPacked(ConfigVersion),
     /// A version of the configuration was read.
-    ConfigurationRead(Arc<Numbered>),
+    ConfigurationRead(Arc<VersionedDocument>),
     /// The crashes in the store were read. Some of them may have been announced before.
     CrashesListed(Vec<Crash>),
     /// Another host announced crashes, or completions of requests with earlier crashes.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -3,7 +3,7 @@
 //! failure can be reproduced by a script of events.
 
 use {
-    config::{Class, Document, Numbered, Plan, Scheduling, Team, Upstream},
+    config::{Class, Document, Plan, Scheduling, Team, Upstream, VersionedDocument},
     peer::{
         ClearedRequest, Crash, CrashNote, Demand, DutyNote, Echo, EngineKey, ExpectedWait, Grant,
         Heartbeat, HeartbeatAnswer, LimitNote, LoadNote, ModelWork, PeerHost, PeerPhase,
--- a/crates/policy/tests/installation/support.rs
+++ b/crates/policy/tests/installation/support.rs
@@ -2,7 +2,7 @@
 //! tiers, engines and a service named by a directory, notes between hosts.
 
 use {
-    config::{Document, Engine, Numbered, ServiceReplica, Upstream},
+    config::{Document, Engine, ServiceReplica, Upstream, VersionedDocument},
     peer::{LoadNote, PeerHost},
     policy::{
         Action, Arrival, AttemptEnd, Controller, ControllerOptions, Event, Refusal, RelayRules,
@@ -159,7 +159,7 @@
     }
 
     pub fn read_version(&mut self, version: u64) {
-        self.handle(Event::ConfigurationRead(Arc::new(Numbered {
+        self.handle(Event::ConfigurationRead(Arc::new(VersionedDocument {
             document: document(),
             version: ConfigVersion::new(version),
         })));
--- a/crates/policy/tests/properties/main.rs
+++ b/crates/policy/tests/properties/main.rs
@@ -4,7 +4,7 @@
 #![allow(missing_docs, clippy::unwrap_used)]
 
 use {
-    config::{Document, Numbered},
+    config::{Document, VersionedDocument},
     policy::{
         Action, Arrival, AttemptEnd, ClaimResult, Controller, ControllerOptions, Event,
         Repeatability, SlotRules, Target,
--- a/crates/policy/tests/properties/model.rs
+++ b/crates/policy/tests/properties/model.rs
@@ -38,7 +38,7 @@
             now: Time::default(),
             requests: BTreeMap::new(),
         };
-        let numbered = Numbered {
+        let numbered = VersionedDocument {
             document: Document::from_value(document()).unwrap(),
             version: ConfigVersion::new(1),
         };
--- a/crates/policy/tests/script/mod.rs
+++ b/crates/policy/tests/script/mod.rs
@@ -9,7 +9,7 @@
 #![allow(missing_docs, clippy::unwrap_used)]
 
 use {
-    config::{Document, Numbered},
+    config::{Document, VersionedDocument},
     datadriven::TestCase,
     peer::{Grant, Heartbeat, HeartbeatAnswer, PeerHost},
     policy::{
@@ -270,7 +270,7 @@
         let version = args.get_or("version", self.version.next());
         self.version = self.version.max(version);
         let document = Document::from_value(document(&args, edits)).unwrap();
-        let numbered = Arc::new(Numbered { document, version });
+        let numbered = Arc::new(VersionedDocument { document, version });
         let to = args.list("to");
         self.each(|host| match to.is_empty() || to.contains(&name_of(host)) {
             true => host.handle(Event::ConfigurationRead(Arc::clone(&numbered))),
--- a/crates/ports/src/directory_update.rs
+++ b/crates/ports/src/directory_update.rs
@@ -6,7 +6,7 @@
     /// A version of the configuration was read. Upstreams are announced separately.
     Configuration {
         /// The configuration with its version.
-        numbered: Arc<Numbered>,
+        numbered: Arc<VersionedDocument>,
         /// Size and duration of the read.
         read_stats: ReadStats,
     },
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -4,7 +4,7 @@
 
 use {
     bytes::Bytes,
-    config::{Numbered, Upstream},
+    config::{Upstream, VersionedDocument},
     flate2::{Compression, read::GzDecoder, write::GzEncoder},
     hyper::{HeaderMap, StatusCode, http::request::Parts},
     nix::time::{ClockId, clock_gettime},
--- a/crates/router/src/caller_service.rs
+++ b/crates/router/src/caller_service.rs
@@ -4,7 +4,7 @@
 #[derive(Clone)]
 pub(crate) struct CallerService {
     pub(crate) bodies: BodyBudget,
-    pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
+    pub(crate) configuration: Arc<ArcSwapOption<VersionedDocument>>,
     pub(crate) connections: ConnectionPool,
     pub(crate) events: flume::Sender<RingEvent>,
     pub(crate) limits: LimitsInForce,
@@ -113,7 +113,7 @@
         let configuration = self.configuration.load();
         let known = configuration.as_ref().is_some_and(|numbered| {
             let mut teams = numbered.document.teams.values();
-            teams.any(|team| team.keys().any(|key| key == key_hash))
+            teams.any(|team| team.key_hashes().any(|key| key == key_hash))
         });
         if known {
             return Ok(());
--- a/crates/router/src/configuration_fetcher.rs
+++ b/crates/router/src/configuration_fetcher.rs
@@ -50,10 +50,10 @@
             .header(AUTHORIZATION, http_api::bearer(&self.token))
             .body(Full::default())?;
         let asked = self.clock.now();
-        let calls = HttpCalls::new(job.address, 0);
-        let answer = calls.begin(request, FETCH_TIMEOUT).await?;
+        let calls = EndpointClient::new(job.address, 0);
+        let answer = calls.send(request, FETCH_TIMEOUT).await?;
         let began = Instant::now();
-        let (head, packed) = answer.whole().await?;
+        let (head, packed) = answer.read_body().await?;
         let lasted = began.elapsed();
         match head.status {
             StatusCode::OK => {}
--- a/crates/router/src/controller_thread.rs
+++ b/crates/router/src/controller_thread.rs
@@ -18,7 +18,7 @@
 /// What the controller's thread is given.
 pub(crate) struct ControllerThread {
     pub(crate) clock: Clock,
-    pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
+    pub(crate) configuration: Arc<ArcSwapOption<VersionedDocument>>,
     pub(crate) controller: Controller,
     /// Where crashes go that are to be kept.
     pub(crate) crashes: flume::Sender<Vec<Crash>>,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -5,7 +5,9 @@
 use {
     arc_swap::{ArcSwap, ArcSwapOption},
     bytes::{Bytes, BytesMut},
-    config::{CallerLimits, Document, Limits, Numbered, Patch, RelaySettings, Route, Settings},
+    config::{
+        CallerLimits, Document, Limits, Patch, RelaySettings, Route, Settings, VersionedDocument,
+    },
     eyre::{Context, eyre},
     futures::{
         StreamExt,
@@ -68,7 +70,7 @@
         time::{Duration, Instant, SystemTime, UNIX_EPOCH},
     },
     store::{
-        ClaimRow, ClaimState, ConfigStore, ConfigStoreError, HostList, HttpCalls, ListedHost,
+        ClaimRow, ClaimState, ConfigStore, ConfigStoreError, EndpointClient, HostList, ListedHost,
         ListedState, PlatformClient, PlatformError, Row, TableBatch, TableOperation, TableResult,
     },
     subtle::ConstantTimeEq,
--- a/crates/router/src/limits_in_force.rs
+++ b/crates/router/src/limits_in_force.rs
@@ -13,13 +13,13 @@
 /// where it names them, else those of this host's settings. Both may change.
 #[derive(Clone, Debug)]
 pub(crate) struct LimitsInForce {
-    configuration: Arc<ArcSwapOption<Numbered>>,
+    configuration: Arc<ArcSwapOption<VersionedDocument>>,
     settings: Arc<ArcSwap<Limits>>,
 }
 
 impl LimitsInForce {
     pub(crate) const fn new(
-        configuration: Arc<ArcSwapOption<Numbered>>,
+        configuration: Arc<ArcSwapOption<VersionedDocument>>,
         settings: Arc<ArcSwap<Limits>>,
     ) -> Self {
         Self {
--- a/crates/router/src/operator_service.rs
+++ b/crates/router/src/operator_service.rs
@@ -7,7 +7,7 @@
 #[derive(Clone)]
 pub(crate) struct OperatorService {
     pub(crate) clock: Clock,
-    pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
+    pub(crate) configuration: Arc<ArcSwapOption<VersionedDocument>>,
     pub(crate) ledger: Arc<Mutex<Ledger>>,
     pub(crate) metrics: PrometheusHandle,
     /// Whether it serves the metrics to anyone, and nothing else.
@@ -120,7 +120,7 @@
         ConfigStoreError::Missing => (StatusCode::NOT_FOUND, "missing"),
         ConfigStoreError::Platform { .. } => (StatusCode::SERVICE_UNAVAILABLE, "platform"),
         ConfigStoreError::Stale { .. } => (StatusCode::CONFLICT, "stale"),
-        ConfigStoreError::Unknown { .. } => (StatusCode::GATEWAY_TIMEOUT, "unknown"),
+        ConfigStoreError::OutcomeUnknown { .. } => (StatusCode::GATEWAY_TIMEOUT, "unknown"),
     }
 }
 
--- a/crates/router/src/platform_thread.rs
+++ b/crates/router/src/platform_thread.rs
@@ -77,7 +77,7 @@
     events: &flume::Sender<RingEvent>,
     logger: &Logger,
 ) {
-    let mut known: Option<Arc<Numbered>> = None;
+    let mut known: Option<Arc<VersionedDocument>> = None;
     let mut last_error = String::new();
     loop {
         match store.read_newer(known.as_deref()).await {
@@ -119,7 +119,7 @@
 async fn watch_hosts(client: &PlatformClient, events: &flume::Sender<RingEvent>, logger: &Logger) {
     let mut tag = String::new();
     loop {
-        match client.hosts(&tag).await {
+        match client.host_list_if_changed(&tag).await {
             Ok(Some(newest)) => {
                 debug!(logger, "platform: host list"; "hosts" => newest.list.hosts.len());
                 tag = newest.tag;
--- a/crates/router/src/relay_service.rs
+++ b/crates/router/src/relay_service.rs
@@ -4,7 +4,7 @@
 #[derive(Clone)]
 pub(crate) struct RelayService {
     pub(crate) clock: Clock,
-    pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
+    pub(crate) configuration: Arc<ArcSwapOption<VersionedDocument>>,
     pub(crate) bodies: BodyBudget,
     pub(crate) connections: ConnectionPool,
     pub(crate) events: flume::Sender<RingEvent>,
@@ -162,7 +162,7 @@
     route: &Route,
     head: &RequestHead,
 ) -> Result<Arrival, TurnedAway> {
-    let service = route.service(rand::rng().random());
+    let service = route.pick_service(rand::rng().random());
     let service = service.ok_or_else(|| TurnedAway::refused(RefusalReason::NoUpstream))?;
     let is_engine = document.services.get(service);
     let is_engine = is_engine.is_some_and(|service| service.engine);
--- a/crates/router/src/shared.rs
+++ b/crates/router/src/shared.rs
@@ -4,7 +4,7 @@
 pub(crate) struct Shared {
     pub(crate) bodies: BodyBudget,
     pub(crate) clock: Clock,
-    pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
+    pub(crate) configuration: Arc<ArcSwapOption<VersionedDocument>>,
     /// Whether the host is to stop.
     pub(crate) draining: Arc<AtomicBool>,
     /// What other hosts are handed.
--- a/crates/router/src/upstream_thread.rs
+++ b/crates/router/src/upstream_thread.rs
@@ -17,7 +17,7 @@
 /// What the thread is given.
 pub(crate) struct UpstreamThread {
     pub(crate) clock: Clock,
-    pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
+    pub(crate) configuration: Arc<ArcSwapOption<VersionedDocument>>,
     pub(crate) events: flume::Sender<RingEvent>,
     pub(crate) logger: Logger,
     pub(crate) probes: flume::Receiver<ProbeJob>,
@@ -132,7 +132,7 @@
 /// Asks one engine after the other, a fixed number a second, so that the cost
 /// of control does not grow with the domain.
 async fn poll_loads(
-    configuration: &ArcSwapOption<Numbered>,
+    configuration: &ArcSwapOption<VersionedDocument>,
     status: &ArcSwap<HostStatus>,
     adapter: &EngineAdapter,
     events: &flume::Sender<RingEvent>,
@@ -152,7 +152,7 @@
 /// The engines that this host asks: all of its domain where they are few, else
 /// those that its share lies on and some others, different for each host.
 fn polled_engines(
-    numbered: Option<&Numbered>,
+    numbered: Option<&VersionedDocument>,
     status: &HostStatus,
 ) -> Vec<(UpstreamId, SocketAddr)> {
     let Some(numbered) = numbered else {
--- a/crates/router/tests/configuration.rs
+++ b/crates/router/tests/configuration.rs
@@ -5,7 +5,7 @@
 mod site;
 
 use {
-    config::{Numbered, Patch},
+    config::{Patch, VersionedDocument},
     http_body_util::Full,
     hyper::Request,
     serde_json::json,
@@ -88,7 +88,10 @@
     // Submitted once more, it is found and not made twice.
     let again = site.store().submit(&patch("p", 1, 0.25)).await;
     assert_eq!(again, Ok(ConfigVersion::new(2)));
-    assert_eq!(site.store().newest().await, Ok(ConfigVersion::new(2)));
+    assert_eq!(
+        site.store().newest_version().await,
+        Ok(ConfigVersion::new(2))
+    );
 }
 
 /// A write that was lost on its way cannot be distinguished from one that is still on
@@ -105,7 +108,7 @@
     let unknown = site.store().submit(&patch).await;
     assert_eq!(
         unknown,
-        Err(ConfigStoreError::Unknown {
+        Err(ConfigStoreError::OutcomeUnknown {
             patch: "p".to_string()
         })
     );
@@ -121,7 +124,10 @@
         matches!(refused, Err(ConfigStoreError::Invalid { .. })),
         "{refused:?}"
     );
-    assert_eq!(site.store().newest().await, Ok(ConfigVersion::new(1)));
+    assert_eq!(
+        site.store().newest_version().await,
+        Ok(ConfigVersion::new(1))
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -182,6 +188,6 @@
         .body(Full::default())
         .unwrap();
     let (_, body) = site.operator(get).await;
-    let numbered: Numbered = serde_json::from_slice(&body).unwrap();
+    let numbered: VersionedDocument = serde_json::from_slice(&body).unwrap();
     assert_eq!(numbered.document.trial.max_slot_share, 0.25);
 }
--- a/crates/store/src/config_store.rs
+++ b/crates/store/src/config_store.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 /// Every so many versions the whole document is written.
-const SNAPSHOT_EVERY: u64 = 50;
+const SNAPSHOT_INTERVAL: u64 = 50;
 
 /// Row that holds the number of the newest version.
 const HEAD_KEY: &str = "config/head";
 
 /// Times that a lost answer is looked up before it is reported as unknown.
-const LOOKUPS: u32 = 4;
+const MAX_LOOKUPS: u32 = 4;
 
 /// Longest pause between two look-ups.
-const LOOKUP_PAUSE_MS: u64 = 200;
+const MAX_LOOKUP_PAUSE_MS: u64 = 200;
 
 /// Versions read in one call.
-const MAX_READ: u64 = 100;
+const MAX_VERSIONS_PER_READ: u64 = 100;
 
 /// The shared configuration in the platform's table: one row for each version,
 /// and a head that moves by compare-and-set together with the row it names.
@@ -52,20 +52,20 @@
         if results.results.iter().all(|result| result.applied) {
             return Ok(version);
         }
-        let (head, _) = self.head().await?;
+        let (head, _) = self.read_head().await?;
         Err(ConfigStoreError::Stale {
             current: head.version,
         })
     }
 
     /// Number of the newest version.
-    pub async fn newest(&self) -> Result<ConfigVersion, ConfigStoreError> {
-        self.head().await.map(|(head, _)| head.version)
+    pub async fn newest_version(&self) -> Result<ConfigVersion, ConfigStoreError> {
+        self.read_head().await.map(|(head, _)| head.version)
     }
 
     /// Reads the newest version.
-    pub async fn read(&self) -> Result<Numbered, ConfigStoreError> {
-        let newest = self.newest().await?;
+    pub async fn read(&self) -> Result<VersionedDocument, ConfigStoreError> {
+        let newest = self.newest_version().await?;
         self.read_version(newest, None).await
     }
 
@@ -73,9 +73,9 @@
     /// since then where possible.
     pub async fn read_newer(
         &self,
-        known: Option<&Numbered>,
-    ) -> Result<Option<Numbered>, ConfigStoreError> {
-        let newest = self.newest().await?;
+        known: Option<&VersionedDocument>,
+    ) -> Result<Option<VersionedDocument>, ConfigStoreError> {
+        let newest = self.newest_version().await?;
         if known.is_some_and(|known| known.version >= newest) {
             return Ok(None);
         }
@@ -86,29 +86,29 @@
     pub async fn read_version(
         &self,
         version: ConfigVersion,
-        known: Option<&Numbered>,
-    ) -> Result<Numbered, ConfigStoreError> {
+        known: Option<&VersionedDocument>,
+    ) -> Result<VersionedDocument, ConfigStoreError> {
         let snapshot = last_snapshot(version);
-        let (mut document, mut at) = match known {
+        let (mut document, mut reached) = match known {
             Some(known) if known.version < version && known.version >= snapshot => {
                 (Some(known.document.clone()), known.version)
             }
             _ => (None, ConfigVersion::new(snapshot.get().saturating_sub(1))),
         };
-        while at < version {
-            let first = at.next();
-            let last = version.get().min(at.get() + MAX_READ);
-            for logged in self.log(first, ConfigVersion::new(last)).await? {
+        while reached < version {
+            let first = reached.next();
+            let last = version.get().min(reached.get() + MAX_VERSIONS_PER_READ);
+            for logged in self.read_log(first, ConfigVersion::new(last)).await? {
                 document = Some(apply_logged(document, logged)?);
             }
-            at = ConfigVersion::new(last);
+            reached = ConfigVersion::new(last);
         }
         let document = document.ok_or(ConfigStoreError::Missing)?;
-        Ok(Numbered { document, version })
+        Ok(VersionedDocument { document, version })
     }
 
     /// Reads the rows of several versions.
-    pub async fn log(
+    pub async fn read_log(
         &self,
         first: ConfigVersion,
         last: ConfigVersion,
@@ -126,8 +126,8 @@
     /// has been accepted before: its version is returned again, so that a
     /// client whose answer was lost may simply submit it once more.
     pub async fn submit(&self, patch: &Patch) -> Result<ConfigVersion, ConfigStoreError> {
-        let (head, head_row_version) = self.head().await?;
-        if let Some(version) = self.find(patch, head.version).await? {
+        let (head, head_row_version) = self.read_head().await?;
+        if let Some(version) = self.find_version(patch, head.version).await? {
             return Ok(version);
         }
         if patch.base != head.version {
@@ -138,19 +138,19 @@
         let current = self.read_version(head.version, None).await?;
         let document = current.document.patched(&patch.operations)?;
         let version = head.version.next();
-        let batch = next_version(version, head_row_version, patch, document);
+        let batch = version_batch(version, head_row_version, patch, document);
         match self.client.write(&batch).await {
             Ok(results) if results.results.iter().all(|result| result.applied) => Ok(version),
-            Ok(_) => self.after_conflict(patch).await,
-            Err(error) if error.may_have_taken_effect() => self.after_lost_answer(patch).await,
+            Ok(_) => self.resolve_conflict(patch).await,
+            Err(error) if error.may_have_taken_effect() => self.resolve_lost_response(patch).await,
             Err(error) => Err(error.into()),
         }
     }
 
     /// Another patch was first, or this one was, by an earlier call.
-    async fn after_conflict(&self, patch: &Patch) -> Result<ConfigVersion, ConfigStoreError> {
-        let current = self.newest().await?;
-        match self.find(patch, current).await? {
+    async fn resolve_conflict(&self, patch: &Patch) -> Result<ConfigVersion, ConfigStoreError> {
+        let current = self.newest_version().await?;
+        match self.find_version(patch, current).await? {
             Some(version) => Ok(version),
             None => Err(ConfigStoreError::Stale { current }),
         }
@@ -159,14 +159,17 @@
     /// The write may have taken effect, and may still do so: only the patch's
     /// id in the log tells that it did. Not finding it proves nothing until
     /// another version stands where it would.
-    async fn after_lost_answer(&self, patch: &Patch) -> Result<ConfigVersion, ConfigStoreError> {
-        for _ in 0..LOOKUPS {
-            let pause_ms = rand::rng().random_range(1..=LOOKUP_PAUSE_MS);
+    async fn resolve_lost_response(
+        &self,
+        patch: &Patch,
+    ) -> Result<ConfigVersion, ConfigStoreError> {
+        for _ in 0..MAX_LOOKUPS {
+            let pause_ms = rand::rng().random_range(1..=MAX_LOOKUP_PAUSE_MS);
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-            let Ok(current) = self.newest().await else {
+            let Ok(current) = self.newest_version().await else {
                 continue;
             };
-            match self.find(patch, current).await {
+            match self.find_version(patch, current).await {
                 Ok(Some(version)) => return Ok(version),
                 Ok(None) if current > patch.base => {
                     return Err(ConfigStoreError::Stale { current });
@@ -174,14 +177,14 @@
                 _ => {}
             }
         }
-        Err(ConfigStoreError::Unknown {
+        Err(ConfigStoreError::OutcomeUnknown {
             patch: patch.id.clone(),
         })
     }
 
     /// Looks for a patch among the versions after its base; it can only be the
     /// first of them.
-    async fn find(
+    async fn find_version(
         &self,
         patch: &Patch,
         newest: ConfigVersion,
@@ -190,15 +193,15 @@
         if newest < version {
             return Ok(None);
         }
-        let logged = self.log(version, version).await?;
-        let same = logged
+        let logged = self.read_log(version, version).await?;
+        let is_same_patch = logged
             .first()
             .and_then(|logged| logged.patch.as_ref())
             .is_some_and(|logged| logged.id == patch.id);
-        Ok(same.then_some(version))
+        Ok(is_same_patch.then_some(version))
     }
 
-    async fn head(&self) -> Result<(ConfigHead, u64), ConfigStoreError> {
+    async fn read_head(&self) -> Result<(ConfigHead, u64), ConfigStoreError> {
         let rows = self.client.read(vec![HEAD_KEY.to_string()]).await?;
         let row = rows
             .into_iter()
@@ -211,16 +214,16 @@
 }
 
 /// The head moves and the version's row appears in one transaction.
-fn next_version(
+fn version_batch(
     version: ConfigVersion,
     head_row_version: u64,
     patch: &Patch,
     document: Document,
 ) -> TableBatch {
-    let keep = version.get().is_multiple_of(SNAPSHOT_EVERY);
+    let has_snapshot = version.get().is_multiple_of(SNAPSHOT_INTERVAL);
     let logged = LoggedPatch {
         patch: Some(patch.clone()),
-        snapshot: keep.then_some(document),
+        snapshot: has_snapshot.then_some(document),
     };
     TableBatch {
         atomic: true,
@@ -241,7 +244,7 @@
 /// The newest version at or before `version` whose row holds the whole
 /// document.
 fn last_snapshot(version: ConfigVersion) -> ConfigVersion {
-    let number = version.get() / SNAPSHOT_EVERY * SNAPSHOT_EVERY;
+    let number = version.get() / SNAPSHOT_INTERVAL * SNAPSHOT_INTERVAL;
     ConfigVersion::new(number.max(1))
 }
 
--- a/crates/store/src/config_store_error.rs
+++ b/crates/store/src/config_store_error.rs
@@ -22,7 +22,7 @@
     },
     /// The answer was lost and could not be looked up: the patch may be in
     /// force. Submitting it again with the same id is safe.
-    Unknown {
+    OutcomeUnknown {
         /// Id of the patch.
         patch: String,
     },
@@ -37,7 +37,7 @@
             Self::Stale { current } => {
                 write!(f, "patch is stale, the current version is {current}")
             }
-            Self::Unknown { patch } => write!(
+            Self::OutcomeUnknown { patch } => write!(
                 f,
                 "patch {patch} may have been accepted, submit it again with the same id"
             ),
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -4,7 +4,7 @@
 
 use {
     bytes::{Bytes, BytesMut},
-    config::{ConfigError, Document, Numbered, Patch},
+    config::{ConfigError, Document, Patch, VersionedDocument},
     http_body_util::{BodyExt, Full},
     hyper::{
         Method, Request, Response, StatusCode,
@@ -37,11 +37,11 @@
 mod config_head;
 mod config_store;
 mod config_store_error;
+mod endpoint_client;
 mod host_list;
-mod http_calls;
 mod listed_state;
 mod logged_patch;
-mod pending_answer;
+mod pending_response;
 mod platform_client;
 mod platform_error;
 mod row;
@@ -49,7 +49,7 @@
 mod table_operation;
 mod table_read;
 mod table_result;
-mod tagged_list;
+mod tagged_host_list;
 
 pub use {
     claim_row::ClaimRow,
@@ -57,11 +57,11 @@
     config_head::ConfigHead,
     config_store::ConfigStore,
     config_store_error::ConfigStoreError,
+    endpoint_client::EndpointClient,
     host_list::{HostList, ListedHost, ListedUpstream},
-    http_calls::HttpCalls,
     listed_state::ListedState,
     logged_patch::LoggedPatch,
-    pending_answer::PendingAnswer,
+    pending_response::PendingResponse,
     platform_client::PlatformClient,
     platform_error::PlatformError,
     row::Row,
@@ -69,7 +69,7 @@
     table_operation::TableOperation,
     table_read::{TableRead, TableRows},
     table_result::{TableResult, TableResults},
-    tagged_list::TaggedList,
+    tagged_host_list::TaggedHostList,
 };
 
-use http_calls::{lost, not_done};
+use endpoint_client::{not_executed, response_lost};
--- a/crates/store/src/platform_client.rs
+++ b/crates/store/src/platform_client.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 /// Connections kept open for later calls.
-const MAX_IDLE: usize = 8;
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
 /// A client of the platform's services.
 #[derive(Debug)]
 pub struct PlatformClient {
-    calls: HttpCalls,
+    client: EndpointClient,
     timeout: Duration,
 }
 
@@ -14,7 +14,7 @@
     /// A client whose answers must begin within `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self {
-            calls: HttpCalls::new(address, MAX_IDLE),
+            client: EndpointClient::new(address, MAX_IDLE_CONNECTIONS),
             timeout,
         }
     }
@@ -32,10 +32,10 @@
 
     /// Reads rows of the table, in the order of the keys.
     pub async fn read(&self, keys: Vec<String>) -> Result<Vec<Option<Row>>, PlatformError> {
-        let wanted = keys.len();
+        let expected = keys.len();
         let read = TableRead { keys };
         let rows: TableRows = self.call(Method::POST, "/table/read", &read).await?;
-        if rows.rows.len() != wanted {
+        if rows.rows.len() != expected {
             return Err(PlatformError::Malformed {
                 message: "wrong number of rows".to_string(),
             });
@@ -44,22 +44,25 @@
     }
 
     /// Reads the list of hosts and upstreams, unless it is still the one with
-    /// the tag `known`: then the answer is `None` and a hundred bytes long,
+    /// the tag `known_tag`: then the answer is `None` and a hundred bytes long,
     /// where the list of a large fleet has tens of thousands.
-    pub async fn hosts(&self, known: &str) -> Result<Option<TaggedList>, PlatformError> {
+    pub async fn host_list_if_changed(
+        &self,
+        known_tag: &str,
+    ) -> Result<Option<TaggedHostList>, PlatformError> {
         let request = request(Method::GET, "/hosts", Bytes::new());
         let request = request.and_then(|mut request| {
-            let tag = HeaderValue::from_str(known).map_err(not_done)?;
+            let tag = HeaderValue::from_str(known_tag).map_err(not_executed)?;
             request.headers_mut().insert(IF_NONE_MATCH, tag);
             Ok(request)
         })?;
-        let (head, body) = self.calls.exchange(request, self.timeout).await?;
+        let (head, body) = self.client.exchange(request, self.timeout).await?;
         if head.status == StatusCode::NOT_MODIFIED {
             return Ok(None);
         }
         check_status(head.status)?;
         let tag = head.headers.get(ETAG).and_then(|tag| tag.to_str().ok());
-        Ok(Some(TaggedList {
+        Ok(Some(TaggedHostList {
             list: parse(&body)?,
             tag: tag.unwrap_or_default().to_string(),
         }))
@@ -71,11 +74,11 @@
         path: &str,
         body: &B,
     ) -> Result<A, PlatformError> {
-        let body = serde_json::to_vec(body).map_err(|error| PlatformError::NotDone {
+        let body = serde_json::to_vec(body).map_err(|error| PlatformError::NotExecuted {
             message: error.to_string(),
         })?;
         let request = request(method, path, body.into())?;
-        let (head, body) = self.calls.exchange(request, self.timeout).await?;
+        let (head, body) = self.client.exchange(request, self.timeout).await?;
         check_status(head.status)?;
         parse(&body)
     }
@@ -87,7 +90,7 @@
         .uri(path)
         .header(CONTENT_TYPE, "application/json")
         .body(Full::new(body))
-        .map_err(not_done)
+        .map_err(not_executed)
 }
 
 fn parse<A: DeserializeOwned>(body: &[u8]) -> Result<A, PlatformError> {
@@ -99,7 +102,7 @@
 fn check_status(status: StatusCode) -> Result<(), PlatformError> {
     match status {
         StatusCode::OK => Ok(()),
-        status => Err(PlatformError::NotDone {
+        status => Err(PlatformError::NotExecuted {
             message: format!("status {status}"),
         }),
     }
--- a/crates/store/src/platform_error.rs
+++ b/crates/store/src/platform_error.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PlatformError {
     /// The answer was lost: a write may have taken effect.
-    AnswerLost {
+    ResponseLost {
         /// What happened.
         message: String,
     },
@@ -14,7 +14,7 @@
         message: String,
     },
     /// The call was not carried out.
-    NotDone {
+    NotExecuted {
         /// What happened.
         message: String,
     },
@@ -23,18 +23,20 @@
 impl PlatformError {
     /// Whether a write may have taken effect all the same.
     pub const fn may_have_taken_effect(&self) -> bool {
-        !matches!(self, Self::NotDone { .. })
+        !matches!(self, Self::NotExecuted { .. })
     }
 }
 
 impl Display for PlatformError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::AnswerLost { message } => write!(f, "answer of the platform was lost: {message}"),
+            Self::ResponseLost { message } => {
+                write!(f, "answer of the platform was lost: {message}")
+            }
             Self::Malformed { message } => {
                 write!(f, "answer of the platform cannot be read: {message}")
             }
-            Self::NotDone { message } => {
+            Self::NotExecuted { message } => {
                 write!(f, "platform did not carry the call out: {message}")
             }
         }
