--- a/crates/config/src/class.rs
+++ b/crates/config/src/class.rs
@@ -1,31 +1,30 @@
 use super::*;
 
-/// A request class: how urgent its requests are and what they promise.
+/// A request class: the urgency and the latency targets of its requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Target for the time between two tokens, on average over the answer.
+    /// Target for the time between two tokens, averaged over the response.
     pub between_token_target_ms: u64,
-    /// Longest time from arrival until the last attempt starts.
+    /// Time after arrival within which the last attempt must start.
     pub deadline_ms: u64,
     /// Target for the time from arrival to the first token.
     pub first_token_target_ms: u64,
-    /// Whether a request may run twice without harm.
+    /// Whether it is safe to run a request twice.
     #[serde(default = "default_idempotent")]
     pub idempotent: bool,
-    /// Most upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request may be sent to.
     #[serde(default = "default_max_attempts")]
     pub max_attempts: u32,
-    /// Share of requests that should meet the targets, between 0 and 1. The
-    /// rest is the error budget of the burn report.
+    /// Share of requests that should meet the targets, between 0 and 1. The rest is the error
+    /// budget, whose burn rate is reported.
     #[serde(default = "default_objective")]
     pub objective: f64,
-    /// Longest pause between two parts of an answer with which it still counts as on
-    /// time; where none is given only the average counts.
+    /// Longest pause between two parts of a response that still counts as on time. If absent, only
+    /// the average time between tokens counts.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pause_target_ms: Option<u64>,
-    /// Whether a broken stream may go on at another upstream after its last
-    /// whole event.
+    /// Whether a broken stream may continue at another upstream after the last complete event.
     #[serde(default)]
     pub resumable: bool,
     /// Service tier.
--- a/crates/config/src/config_error.rs
+++ b/crates/config/src/config_error.rs
@@ -3,50 +3,50 @@
 /// Why a configuration document or patch cannot be used.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigError {
-    /// Two upstreams have one address.
+    /// Two upstreams have the same address.
     DuplicateAddress {
-        /// The address.
+        /// The shared address.
         address: SocketAddr,
-        /// One upstream.
+        /// The first upstream.
         first: UpstreamId,
-        /// The other upstream.
+        /// The second upstream.
         second: UpstreamId,
     },
-    /// A team's default class is not among its classes.
+    /// A team's default class is not among the classes that the team may use.
     DefaultClassNotAllowed {
         /// The team.
         team: TeamId,
     },
-    /// Two teams have one bearer key.
+    /// The same bearer key occurs twice.
     DuplicateKey {
-        /// One team.
+        /// The first team.
         first: TeamId,
-        /// The other team.
+        /// The second team; equal to `first` if one team lists the key twice.
         second: TeamId,
     },
-    /// The document has a newer format than this release understands.
+    /// The document has a newer format than this release can read.
     NewerFormat {
-        /// Its format.
+        /// Format of the document.
         format: u64,
     },
-    /// A number lies outside its range.
+    /// A number is out of range.
     OutOfRange {
-        /// What is allowed.
+        /// Description of the allowed values.
         expected: String,
         /// Path of the field.
         field: String,
     },
-    /// The patch does not fit the document.
+    /// The patch can't be applied to the document.
     PatchFailed {
-        /// The library's message.
+        /// Message of the JSON Patch library.
         message: String,
     },
-    /// The text is not a document.
+    /// The text can't be parsed as a document.
     Syntax {
-        /// The library's message, with line and column where known.
+        /// The parser's message, with line and column if known.
         message: String,
     },
-    /// A trial team may use a class that is too urgent.
+    /// A trial team lists a class that is too urgent for trial traffic.
     TrialClassTooUrgent {
         /// The class.
         class: ClassId,
--- a/crates/config/src/duty_settings.rs
+++ b/crates/config/src/duty_settings.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// Shortest lease: a holder leaves half a second of it unused.
+/// Shortest lease term. A holder stops using its lease half a second before the lease expires.
 const MIN_LEASE_MS: u64 = 1_500;
 
-/// Duties that one host at a time does for the whole installation.
+/// Duties that one host at a time performs for the whole installation.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DutySettings {
-    /// Where reports and orders are sent.
+    /// Address that receives usage reports and orders for upstreams.
     pub address: SocketAddr,
-    /// Names of the duties, as the installation has them.
+    /// Names of the duties as the installation defines them.
     pub kinds: Vec<String>,
-    /// Term of the lease under which they are done.
+    /// Term of the lease that a host must hold to perform a duty.
     #[serde(deserialize_with = "whole_number::ceiled")]
     pub lease_ms: u64,
-    /// Time after the end of a window at which its usage report is due.
+    /// Time after the end of a usage window by which its report is due.
     pub usage_late_s: f64,
-    /// Length of a window of usage.
+    /// Length of a usage window.
     pub usage_window_s: f64,
 }
 
--- a/crates/config/src/engine.rs
+++ b/crates/config/src/engine.rs
@@ -4,38 +4,39 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
-    /// Where it listens.
+    /// Address that the engine listens on.
     pub address: SocketAddr,
-    /// Whether it refuses an order that carries an old fencing number. Where
-    /// this is not given, it counts as ignoring the number.
+    /// Whether the engine rejects an order that carries an outdated fencing token. If absent, the
+    /// engine is assumed to ignore the token.
     #[serde(default)]
     pub checks_fence: bool,
-    /// Failure domain it stands in.
+    /// Failure domain of the engine.
     pub failure_domain: FailureDomainId,
-    /// Path of its health check.
+    /// Path of the health check.
     #[serde(default = "default_health_path")]
     pub health_path: String,
-    /// Link over which it fetches parts of prompts from other engines; `None` if it can't.
+    /// Bandwidth at which the engine fetches parts of prompts from other engines; `None` if the
+    /// engine can't fetch them.
     #[serde(default)]
     pub link: Option<Bandwidth>,
-    /// Tokens that fit into its memory, for prompts kept and requests that run.
+    /// Tokens that fit into the engine's memory, for cached prompts and running requests together.
     #[serde(default)]
     pub memory: Option<Tokens>,
-    /// Models it serves.
+    /// Models that the engine serves.
     pub models: BTreeSet<ModelId>,
-    /// Memory that one token of a prompt takes; `None` if it isn't known.
+    /// Memory that one token of a prompt takes; `None` if unknown.
     #[serde(default)]
     pub prompt_token_bytes: Option<ByteSize>,
-    /// Requests it holds beyond its slots, in order of priority.
+    /// Requests that the engine can queue beyond its slots. The queue is ordered by priority.
     pub queue_bound: u32,
-    /// Whether it resumes a broken stream after a named event.
+    /// Whether the engine can resume a broken stream after the event that a request names.
     #[serde(default)]
     pub resumes: bool,
-    /// Requests it runs at one moment.
+    /// Requests that the engine can run at the same time.
     pub slots: u32,
 }
 
-/// Health check of an upstream whose definition names none.
+/// Health check path of an upstream whose definition has none.
 pub(crate) fn default_health_path() -> String {
     "/health".to_string()
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings of one host (TOML) and the shared, numbered configuration that the
-//! platform holds (JSON): document, patch and validation.
+//! Settings of one host (TOML) and the shared, versioned configuration that the platform stores
+//! (JSON): document, patch and validation.
 
 use {
     json_patch::Patch as JsonPatch,
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -4,34 +4,35 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Time that a caller may take to send a request's body.
+    /// Time that a caller may take to send the body of a request.
     pub body_timeout_ms: u64,
-    /// Time that a caller may take to send a request's head.
+    /// Time that a caller may take to send the head of a request.
     pub head_timeout_ms: u64,
-    /// Answers kept for a repeated idempotency key, at most this long each.
+    /// Largest response that is stored to answer a repeated idempotency key.
     pub max_answer_bytes: ByteSize,
     /// Largest body of a request.
     pub max_body_bytes: ByteSize,
-    /// Bodies of requests that are held in memory at one moment, all together; by
-    /// default 64 MiB, a quarter of the memory of today's small hosts.
+    /// Memory for the buffered bodies of all requests together. The default of 64 MiB is a quarter
+    /// of the memory of a small host.
     pub max_buffered_bytes: ByteSize,
-    /// Caller connections at one moment.
+    /// Maximum number of open connections from callers.
     pub max_connections: usize,
-    /// Largest head of a request; by default what the HTTP library takes by itself.
+    /// Largest head of a request. The default is the limit of the HTTP library.
     pub max_head_bytes: ByteSize,
-    /// Requests queued at one moment.
+    /// Maximum number of queued requests.
     pub max_queued: usize,
-    /// Bytes of answers that are held at one moment, all together, until their callers read them;
-    /// by default what bodies leave of the memory of the smallest hosts, control set aside.
+    /// Memory for the unread bytes of all responses together, until their callers read them. The
+    /// default is the memory that the smallest hosts have left after request bodies and the
+    /// memory reserved for control work.
     pub max_unread_bytes: ByteSize,
-    /// Bytes of a stream that are held until its caller reads them.
+    /// Memory for the unread bytes of one stream, until its caller reads them.
     pub max_unread_stream_bytes: ByteSize,
-    /// Largest answer that is passed on as a whole; by default a quarter of what
-    /// bodies may take.
+    /// Largest response that is buffered and forwarded as a whole. The default is a quarter of the
+    /// default `max_buffered_bytes`.
     pub max_whole_answer_bytes: ByteSize,
     /// Time that a caller may leave a stream unread.
     pub slow_reader_timeout_ms: u64,
-    /// Time that an upstream may stay silent within an answer.
+    /// Time for which an upstream may send nothing in the middle of a response.
     pub upstream_idle_timeout_ms: u64,
 }
 
--- a/crates/config/src/patch.rs
+++ b/crates/config/src/patch.rs
@@ -1,15 +1,16 @@
 use super::*;
 
-/// A change of the configuration, made against one version.
+/// A change to one version of the configuration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Patch {
-    /// Who made it.
+    /// Author of the change.
     pub author: String,
-    /// Version that it was made against.
+    /// Version that the patch applies to.
     pub base: ConfigVersion,
-    /// Id drawn by the client, by which a lost answer is looked up.
+    /// Unique id chosen by the client. If the response to a submission is lost, the client finds
+    /// out by this id whether the patch was accepted.
     pub id: String,
-    /// What changes, as a JSON Patch (RFC 6902).
+    /// The change as a JSON Patch (RFC 6902).
     pub operations: JsonPatch,
 }
--- a/crates/config/src/relay_settings.rs
+++ b/crates/config/src/relay_settings.rs
@@ -1,36 +1,36 @@
 use super::*;
 
-/// Longest time that can be set, in seconds: a day.
+/// Longest duration that can be set: one day.
 const MAX_DURATION_S: f64 = 86_400.0;
 
-/// How a host relays the requests of an installation: figures that the
-/// installation sets for all hosts.
+/// How the hosts of an installation relay requests. The installation sets the same values for all
+/// its hosts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelaySettings {
-    /// Time after a change of the configuration in which it must be in force.
+    /// Time within which a host must apply a change of the configuration.
     #[serde(deserialize_with = "whole_number::floored")]
     pub apply_limit_ms: u64,
-    /// Time after a planned stop was asked for in which the process must end.
+    /// Time within which the process must end after a planned stop was requested.
     pub drain_limit_s: f64,
-    /// Duties that one host at a time does for all; none if left out.
+    /// Duties that one host at a time performs for all hosts; `None` if there are none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub duties: Option<DutySettings>,
-    /// Whether the whole installation starts for the first time, so that all hosts write
-    /// themselves into its table of hosts at about the same moment.
+    /// Whether the whole installation starts for the first time, so that all hosts register in
+    /// its table of hosts at about the same time.
     #[serde(default)]
     pub first_start: bool,
-    /// Age of its knowledge of the configuration from which a host must not
-    /// take a key for valid any more: the bound for a removed key.
+    /// Age of a host's configuration from which the host must not accept keys any more. This
+    /// bounds the time for which a removed key is still accepted.
     #[serde(deserialize_with = "whole_number::floored")]
     pub key_knowledge_limit_ms: u64,
-    /// Requests that all hosts together may send again beyond the ratio, in one
-    /// window.
+    /// Retries that all hosts together may send in one window in addition to those that
+    /// `retry_ratio` allows.
     #[serde(deserialize_with = "whole_number::floored")]
     pub retry_extra: u32,
-    /// Requests that may be sent again for each request.
+    /// Retries allowed per request.
     pub retry_ratio: f64,
-    /// Window of the retry budget.
+    /// Length of the window over which the retry budget counts.
     pub retry_window_s: f64,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Checks times that a host waits or counts by.
+/// Checks that each duration is above zero and at most [`MAX_DURATION_S`].
 pub(crate) fn check_durations(fields: &[(&str, f64)]) -> Result<(), SettingsError> {
     let is_in_range = |seconds: f64| seconds > 0.0 && seconds <= MAX_DURATION_S;
     match fields.iter().find(|(_, seconds)| !is_in_range(*seconds)) {
--- a/crates/config/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -1,11 +1,10 @@
 use super::*;
 
-/// The routes of a document, to be found by host name and path.
+/// The routes of a document, indexed by host name and sorted by path prefix.
 ///
-/// What goes wrong with a walk over all of them: with 7,000 routes one request takes 0.17 ms
-/// of a processor to find its own, as much as all its decisions, and hosts with 0.12 of a
-/// core wait for 1.4 ms. One would notice processor time a request that grows with the
-/// configuration. By the order of prefixes it takes under 1 us (`benches/decision`).
+/// A scan of all routes would cost processor time per request that grows with the configuration:
+/// with 7,000 routes it takes 0.17 ms, as much as all other decisions on a request, and 1.4 ms on
+/// a host with 0.12 of a core. A binary search among sorted prefixes takes less than 1 us.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(from = "BTreeMap<RouteId, Route>", into = "BTreeMap<RouteId, Route>")]
 pub struct Routes {
@@ -16,15 +15,15 @@
 /// The routes of one host name.
 #[derive(Clone, Debug, Default)]
 struct HostnameRoutes {
-    /// Lengths of prefixes that occur; there are few.
+    /// Lengths of all prefixes. Few distinct lengths occur, so trying each one is cheap.
     prefix_lengths: BTreeSet<usize>,
-    /// Places among all routes, in the order of the prefixes.
+    /// Indexes into the list of all routes, sorted by prefix.
     indexes: Vec<usize>,
 }
 
 impl Routes {
-    /// The route of a request: among those of its host name the one with the
-    /// longest prefix of its path.
+    /// Finds the route of a request: among the routes of its host name, the one with the longest
+    /// prefix of its path.
     pub fn find(&self, hostname: &str, path: &str) -> Option<&Route> {
         let hostname_routes = match self.by_hostname.get(hostname) {
             Some(hostname_routes) => hostname_routes,
@@ -63,7 +62,8 @@
         }
         let routes = &built.routes;
         for hostname_routes in built.by_hostname.values_mut() {
-            // Stable: of two routes with one prefix the one with the later id counts.
+            // The sort must be stable: of two routes with the same prefix, the one with the
+            // later id takes effect.
             hostname_routes
                 .indexes
                 .sort_by(|first, second| routes[*first].1.prefix.cmp(&routes[*second].1.prefix));
--- a/crates/config/src/scheduling.rs
+++ b/crates/config/src/scheduling.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// How slots are given to requests, beyond tiers and teams.
+/// How slots are assigned to requests, in addition to the rules of tiers and teams.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Scheduling {
-    /// Most of a domain's slots that are kept free for tiers 0 and 1 where
-    /// several hosts share them, 0 to 0.5. More makes the urgent tail shorter
-    /// and costs goodput; docs/design/shares.md has the figures.
+    /// Largest share of the slots of a failure domain that is reserved for tiers 0 and 1 if several
+    /// hosts share the slots, 0 to 0.5. A larger reserve shortens the tail latency of urgent
+    /// requests but reduces goodput; see docs/design/shares.md.
     pub max_headroom_share: f64,
 }
 
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -1,12 +1,13 @@
 use super::*;
 
-/// A plain service, called through `/services/ID/…`.
+/// A service that callers reach through `/services/ID/…`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Whether its upstreams are engines, which serve it as a model of its name.
+    /// Whether the upstreams of the service are engines, which serve a model with the name of the
+    /// service.
     #[serde(default)]
     pub engine: bool,
-    /// Whether a call may run twice without harm.
+    /// Whether it is safe to run a request twice.
     pub idempotent: bool,
 }
--- a/crates/config/src/service_replica.rs
+++ b/crates/config/src/service_replica.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// One replica of a plain service.
+/// One replica of a service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceReplica {
-    /// Where it listens.
+    /// Address that the replica listens on.
     pub address: SocketAddr,
-    /// Failure domain it stands in.
+    /// Failure domain of the replica.
     pub failure_domain: FailureDomainId,
-    /// Path of its health check.
+    /// Path of the health check.
     #[serde(default = "engine::default_health_path")]
     pub health_path: String,
-    /// Service that it is a replica of.
+    /// Service that this upstream is a replica of.
     pub service: ServiceId,
-    /// Requests it runs at one moment.
+    /// Requests that the replica can run at the same time.
     pub slots: u32,
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -4,38 +4,38 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Pause between failing the readiness check and closing the listener, so
-    /// that the balancer sees it first.
+    /// Pause between the first failed readiness check and closing the listener, so that the load
+    /// balancer stops sending requests before connections are refused.
     #[serde(default = "default_balancer_pause_ms")]
     pub balancer_pause_ms: u64,
-    /// Address for callers.
+    /// Address that callers connect to.
     pub caller_address: SocketAddr,
     /// Threads that serve callers.
     #[serde(default = "default_caller_threads")]
     pub caller_threads: usize,
-    /// Failure domain this host stands in.
+    /// Failure domain of this host.
     pub failure_domain: FailureDomainId,
     /// Id of this host.
     pub host: HostId,
     /// Limits that protect this host from its callers.
     #[serde(default)]
     pub limits: Limits,
-    /// Address that serves the metrics to anyone who reaches it, and nothing else;
-    /// without it they are at the operator address only.
+    /// Address that serves only the metrics, without authentication. If absent, the metrics are
+    /// served at the operator address only.
     #[serde(default)]
     pub metrics_address: Option<SocketAddr>,
-    /// Address for operators: health checks, metrics, configuration.
+    /// Address that operators connect to, for health checks, metrics and the configuration.
     pub operator_address: SocketAddr,
     /// Bearer token that operators present; at least 16 characters.
     pub operator_token: String,
-    /// Address for other hosts.
+    /// Address that other hosts connect to.
     pub peer_address: SocketAddr,
     /// Secret that hosts present to each other; at least 16 characters.
     pub peer_token: String,
     /// Address of the platform's table, object store and host list.
     pub platform_address: SocketAddr,
-    /// Relay of unchanged requests in an installation; without it the host
-    /// serves its own interface.
+    /// Settings for relaying requests unchanged in an installation. If absent, the host serves its
+    /// own API.
     #[serde(default)]
     pub relay: Option<RelaySettings>,
 }
@@ -48,14 +48,14 @@
     1
 }
 
-/// Shortest token that is accepted, in characters.
+/// Length of the shortest token that is accepted.
 const MIN_TOKEN_LEN: usize = 16;
 
-/// Most caller threads.
+/// Maximum number of threads that serve callers.
 const MAX_CALLER_THREADS: usize = 64;
 
 impl Settings {
-    /// Reads settings from TOML text and checks them.
+    /// Parses and validates settings.
     pub fn from_toml(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(|error| SettingsError::Syntax {
             message: error.to_string().trim_end().to_string(),
--- a/crates/config/src/settings_error.rs
+++ b/crates/config/src/settings_error.rs
@@ -3,25 +3,25 @@
 /// Why a settings file cannot be used.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingsError {
-    /// Two listeners or servers have one address.
+    /// Two fields have the same address.
     DuplicateAddress {
-        /// The address.
+        /// The shared address.
         address: SocketAddr,
-        /// One field.
+        /// Name of the first field.
         first: String,
-        /// The other field.
+        /// Name of the second field.
         second: String,
     },
-    /// A value lies outside its range.
+    /// A value is out of range.
     OutOfRange {
-        /// What is allowed.
+        /// Description of the allowed values.
         expected: String,
-        /// The field.
+        /// Name of the field.
         field: String,
     },
-    /// The text is not a settings file.
+    /// The text can't be parsed as settings.
     Syntax {
-        /// The library's message, with line, column and what was expected.
+        /// The parser's message, with line, column and what was expected.
         message: String,
     },
 }
--- a/crates/config/src/trial_rules.rs
+++ b/crates/config/src/trial_rules.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// Rules that keep trial traffic apart from paid traffic.
+/// Limits on trial traffic, which protect paid traffic.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrialRules {
-    /// Most of an upstream's slots that trial requests may hold, 0 to 1.
+    /// Largest share of an upstream's slots that trial requests may hold, 0 to 1.
     pub max_slot_share: f64,
     /// Most urgent tier that a trial team may use.
     pub most_urgent_tier: Tier,
--- a/crates/config/src/upstream.rs
+++ b/crates/config/src/upstream.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// One upstream.
+/// An upstream: a model engine or a replica of a service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Upstream {
     /// A model engine.
     Engine(Engine),
-    /// A replica of a plain service.
+    /// A replica of a service.
     Service(ServiceReplica),
 }
 
 impl Upstream {
-    /// Where it listens.
+    /// Address that the upstream listens on.
     pub const fn address(&self) -> SocketAddr {
         match self {
             Self::Engine(engine) => engine.address,
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Failure domain it stands in.
+    /// Failure domain of the upstream.
     pub const fn failure_domain(&self) -> &FailureDomainId {
         match self {
             Self::Engine(engine) => &engine.failure_domain,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Path of its health check.
+    /// Path of the health check.
     pub fn health_path(&self) -> &str {
         match self {
             Self::Engine(engine) => &engine.health_path,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Requests it runs at one moment.
+    /// Requests that the upstream can run at the same time.
     pub const fn slots(&self) -> u32 {
         match self {
             Self::Engine(engine) => engine.slots,
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -1,15 +1,15 @@
-//! Checks that a document is whole: every reference resolves, every number is
-//! in range, no key or address stands twice.
+//! Validation of a document: every reference resolves, every number is in range, and no key or
+//! address occurs twice.
 
 use super::*;
 
 /// Longest deadline of a class: one day.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
 
-/// Most slots of one upstream.
+/// Maximum number of slots of one upstream.
 const MAX_SLOTS: u32 = 100_000;
 
-/// Bytes of memory that one token of a prompt may take, up to 64 MiB.
+/// Valid range of the memory that one token of a prompt takes, up to 64 MiB.
 pub const PROMPT_TOKEN_BYTES_RANGE: RangeInclusive<u64> = 1..=64 * 1_024 * 1_024;
 
 pub(crate) fn check(document: &Document) -> Result<(), ConfigError> {
--- a/crates/config/src/versioned_document.rs
+++ b/crates/config/src/versioned_document.rs
@@ -5,6 +5,6 @@
 pub struct VersionedDocument {
     /// The document.
     pub document: Document,
-    /// Its version.
+    /// Version of the document.
     pub version: ConfigVersion,
 }
--- a/crates/config/src/weighted_service.rs
+++ b/crates/config/src/weighted_service.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// A service's part of the requests of a route.
+/// A service of a route, with its share of the route's requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceId,
-    /// Its part, relative to the other services of the route.
+    /// Share of the requests, relative to the weights of the other services of the route.
     pub weight: u64,
 }
--- a/crates/config/src/whole_number.rs
+++ b/crates/config/src/whole_number.rs
@@ -1,10 +1,11 @@
-//! Whole numbers of settings that an installation may give with a fraction.
+//! Deserializers for integer settings that an installation may write with a fraction.
 //!
-//! Each is rounded to the side on which the host keeps the installation's bound.
+//! The fraction is rounded in the direction that respects the bound of the installation: upper
+//! bounds are rounded down, lower bounds are rounded up.
 
 use super::*;
 
-/// Rounds down: what must not be exceeded.
+/// Rounds an upper bound down.
 pub(crate) fn floored<'a, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'a>,
@@ -13,7 +14,7 @@
     to_integer(f64::deserialize(deserializer)?.floor())
 }
 
-/// Rounds up: what must not be fallen short of.
+/// Rounds a lower bound up.
 pub(crate) fn ceiled<'a, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'a>,
--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Documents and settings: the examples pass, and each fault is named.
+//! Tests of documents and settings: the examples are valid, and each error names its cause.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Guards against transfers that are planned by figures no engine has.
+/// Guards against prompt transfers that are planned with values that no engine can have.
 #[test]
 fn transfer_settings_must_be_in_range() {
     let set = |field: &str, value: Value| {
@@ -113,7 +113,7 @@
     assert!(error.contains("unknown field `max_rate`"), "{error}");
 }
 
-/// Text that is sometimes close to a document.
+/// The example document with up to seven random edits.
 #[derive(Clone, Debug)]
 struct CorruptedDocument(String);
 
--- a/crates/config/tests/routes.rs
+++ b/crates/config/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route is found for a request.
+//! Tests of the lookup of the route for a request.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -9,7 +9,7 @@
     types::prelude::*,
 };
 
-/// A few host names and prefixes, so that routes overlap.
+/// Host name and path, drawn from a few values so that routes overlap.
 #[derive(Clone, Debug)]
 struct RequestTarget {
     hostname: String,
@@ -35,7 +35,7 @@
             class: "class".parse().unwrap(),
             hostname: target.hostname.clone(),
             prefix: target.path.clone(),
-            // Tells routes of one target apart.
+            // Makes routes with the same host name and prefix distinguishable.
             public: number % 2 == 0,
             services: Vec::new(),
         };
@@ -44,8 +44,8 @@
     routes.collect()
 }
 
-/// What is found is what a walk over all routes finds: the longest prefix of the path among
-/// those of the host name, and of two with the same prefix the one with the later id.
+/// The lookup finds the same route as a scan of all routes: the longest prefix of the path among
+/// the routes of the host name, and of two routes with the same prefix the one with the later id.
 #[test]
 fn the_longest_prefix_of_the_host_name_is_found() {
     fn finds_longest_prefix(targets: Vec<RequestTarget>, request: RequestTarget) -> bool {
--- a/crates/config/tests/template.rs
+++ b/crates/config/tests/template.rs
@@ -1,4 +1,4 @@
-//! The template of the settings, filled in as an installation does.
+//! Tests of the settings template, with placeholders replaced as an installation does.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -6,7 +6,7 @@
 
 const TEMPLATE: &str = include_str!("../../../deploy/host.toml.template");
 
-/// Figures of an installation, each with a fraction.
+/// Values for the placeholders. The numeric bounds have fractions.
 const TEMPLATE_VALUES: &[(&str, &str)] = &[
     ("bootstrap|json", "true"),
     ("bounds.budget-extra", "33.1578947368421"),
@@ -29,7 +29,7 @@
     ("zone", "hall-a"),
 ];
 
-/// Fills in placeholders; the sections are those of one entry.
+/// Replaces the placeholders. Each section of the template is rendered once.
 fn fill(template: &str) -> String {
     let list = ["{{#cloud-api.duties}}", "{{/cloud-api.duties}}"];
     let text = template.replace(
@@ -44,7 +44,7 @@
     })
 }
 
-/// Guards against a host that does not start, as the installation's bounds are no whole numbers.
+/// Guards against a host that fails to start because the installation's bounds aren't integers.
 #[test]
 fn fractional_bounds_are_rounded_to_the_strict_side() {
     let settings = Settings::from_toml(&fill(TEMPLATE)).unwrap();
