--- a/crates/config/src/relay_settings.rs
+++ b/crates/config/src/relay_settings.rs
@@ -20,8 +20,8 @@
     /// its table of hosts at about the same time.
     #[serde(default)]
     pub first_start: bool,
-    /// Age of a host's configuration from which the host must not accept keys any more. This
-    /// bounds the time for which a removed key is still accepted.
+    /// Time after which a host that could not confirm that its configuration is current must not
+    /// accept keys any more. This bounds the time for which a removed key is still accepted.
     #[serde(deserialize_with = "whole_number::floored")]
     pub key_knowledge_limit_ms: u64,
     /// Retries that all hosts together may send in one window in addition to those that
--- a/crates/store/src/config_store.rs
+++ b/crates/store/src/config_store.rs
@@ -185,8 +185,8 @@
         })
     }
 
-    /// Finds the version that a patch became. An accepted patch always becomes the version that
-    /// follows its base.
+    /// Finds the version that an accepted patch produced, which is always the version after the
+    /// patch's base.
     async fn find_version(
         &self,
         patch: &Patch,
--- a/crates/store/src/pending_response.rs
+++ b/crates/store/src/pending_response.rs
@@ -85,8 +85,9 @@
         }
     }
 
-    /// Fails if the body is too large or arrives below the minimum rate. The rate only counts after
-    /// [`MAX_CHUNK_PAUSE`], so that a pause at the start is allowed as well.
+    /// Fails if the body is too large or arrives too slowly. The time limit is the time that the
+    /// received bytes take at [`MIN_BYTES_PER_S`], plus [`MAX_CHUNK_PAUSE`], so that a response at
+    /// the minimum rate may still pause.
     fn check_transfer_rate(&self, started_at: Instant) -> Result<(), PlatformError> {
         if self.received_bytes > MAX_BODY_BYTES {
             return Err(response_lost(format!("over {MAX_BODY_BYTES} bytes came")));
