--- a/crates/policy/tests/installation/attempts.rs
+++ b/crates/policy/tests/installation/attempts.rs
@@ -9,7 +9,7 @@
 /// Symptom: an order runs twice. Events: the upstream's connection breaks after
 /// the request was written. Cause: it is sent again although it may have run.
 #[test]
-fn never_repeats_a_request_that_may_have_run_and_must_not_run_twice() {
+fn never_retries_a_request_that_may_have_run_and_must_not_run_twice() {
     let mut host = Host::new(0);
     let (id, actions) = host.ask(order());
     let first = sent(&actions).unwrap();
@@ -21,7 +21,7 @@
 /// One that provably did not run goes to another upstream, also if its class
 /// allows one attempt only.
 #[test]
-fn sends_an_unsent_request_to_another_upstream() {
+fn retries_an_unsent_request_on_another_upstream() {
     let mut host = Host::new(0);
     let (id, actions) = host.ask(order());
     let first = sent(&actions).unwrap();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn repeats_an_idempotent_request_once_at_the_most() {
+fn retries_an_idempotent_request_at_most_once() {
     let mut host = Host::new(0);
     let (id, actions) = host.ask(lookup());
     let first = sent(&actions).unwrap();
@@ -48,7 +48,7 @@
 /// two attempts. Events: the first upstream cannot be connected, the second one
 /// fails. Cause: an attempt that never left counts.
 #[test]
-fn an_unsent_attempt_does_not_count() {
+fn an_unsent_attempt_does_not_count_against_the_class_limit() {
     let mut host = Host::new(0);
     let (id, actions) = host.ask(lookup());
     let first = sent(&actions).unwrap();
@@ -66,7 +66,7 @@
 /// Symptom: a stream that broke holds its caller until its time is over. Events: no
 /// other engine can be connected. Cause: attempts that never left do not count.
 #[test]
-fn gives_a_broken_stream_up_after_some_engines_out_of_reach() {
+fn gives_up_a_broken_stream_after_several_unreachable_engines() {
     let mut host = Host::new(0);
     let draft = || Ask::prompt("draft", "shop-key", &[(1, 500), (2, 100)]);
     for _ in 0..60 {
@@ -84,13 +84,13 @@
         }
         (cause, verdict) = (FailureCause::Connect, Verdict::NotRun);
     }
-    panic!("it is still sent");
+    panic!("the stream is still retried");
 }
 
 /// Repeats that some hosts make which list so many hosts, while every attempt of
 /// each of their requests fails.
-fn repeats(hosts: u64, listed: usize, requests: usize) -> usize {
-    let mut repeats = 0;
+fn retries(hosts: u64, listed: usize, requests: usize) -> usize {
+    let mut retries = 0;
     for number in 0..hosts {
         let mut host = Host::new(number);
         host.list_hosts(listed);
@@ -104,13 +104,13 @@
             let failed = FailureCause::ErrorStatus;
             let actions = host.fail(&first, id, failed, Verdict::MayHaveRun, false);
             if let Some(second) = sent(&actions) {
-                repeats += 1;
+                retries += 1;
                 host.fail(&second, id, failed, Verdict::MayHaveRun, false);
             }
             host.pass(100);
         }
     }
-    repeats
+    retries
 }
 
 /// Symptom: upstreams get far more arrivals than requests while they fail.
@@ -119,26 +119,26 @@
 /// repeats each request, or takes a part of the budget that rests on how many
 /// hosts it observes.
 #[test]
-fn repeats_of_all_hosts_stay_within_the_budget() {
+fn retries_of_all_hosts_stay_within_the_budget() {
     for (hosts, listed, requests) in [(14, 7, 50), (120, 68, 10)] {
-        let repeats = repeats(hosts, listed, requests);
-        let asked = hosts as usize * requests;
-        let budget = 0.2 * asked as f64 + f64::from(support::RETRY_EXTRA);
+        let retries = retries(hosts, listed, requests);
+        let request_count = hosts as usize * requests;
+        let budget = 0.2 * request_count as f64 + f64::from(support::RETRY_EXTRA);
         assert!(
-            repeats as f64 <= budget,
-            "{repeats} repeats, {budget} allowed"
+            retries as f64 <= budget,
+            "{retries} retries, {budget} allowed"
         );
         assert!(
-            repeats as f64 > 0.1 * asked as f64,
-            "only {repeats} repeats"
+            retries as f64 > 0.1 * request_count as f64,
+            "only {retries} retries"
         );
     }
 }
 
 /// Times in milliseconds of requests and of repeats, of 14 hosts that get 20 requests a
 /// second each for 10 s and then 4. Every attempt fails from 7.5 s on.
-fn falling_load() -> (Vec<u64>, Vec<u64>) {
-    let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+fn run_falling_load() -> (Vec<u64>, Vec<u64>) {
+    let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for seed in 0..14 {
         let mut host = Host::new(seed);
         host.list_hosts(14);
@@ -146,16 +146,16 @@
             host.now = Time::from_ms(at_ms);
             host.handle(Event::ConfigurationConfirmed { as_of: host.now });
             requests.push(at_ms);
-            if repeats_after_failure(&mut host, at_ms >= 7_500) {
-                repeats.push(at_ms);
+            if retries_after_failure(&mut host, at_ms >= 7_500) {
+                retries.push(at_ms);
             }
         }
     }
-    (requests, repeats)
+    (requests, retries)
 }
 
 /// Whether a request is sent again, if its first attempt fails.
-fn repeats_after_failure(host: &mut Host, fails: bool) -> bool {
+fn retries_after_failure(host: &mut Host, fails: bool) -> bool {
     let (id, actions) = host.ask(lookup());
     let Some(first) = sent(&actions) else {
         return false;
@@ -178,29 +178,29 @@
 /// spend all of their budgets. Cause: each host's own window ends with its last repeat and
 /// still holds the burst, which a later window of 10 s no longer has.
 #[test]
-fn repeats_stay_within_the_budget_of_every_window_when_the_load_falls() {
-    let (requests, repeats) = falling_load();
+fn retries_stay_within_the_budget_of_every_window_when_the_load_falls() {
+    let (requests, retries) = run_falling_load();
     let within = |times: &[u64], from: u64| {
         let window = from..from + 10_000;
         times.iter().filter(|time| window.contains(*time)).count() as f64
     };
     for from in (0_u64..10_000).step_by(250) {
         let before = from.saturating_sub(5_000);
-        let asked = within(&requests, from).max(within(&requests, before));
-        let allowed = 0.2 * asked + f64::from(support::RETRY_EXTRA);
-        let repeats = within(&repeats, from);
+        let request_count = within(&requests, from).max(within(&requests, before));
+        let allowed = 0.2 * request_count + f64::from(support::RETRY_EXTRA);
+        let retries = within(&retries, from);
         assert!(
-            repeats <= allowed,
-            "{repeats} repeats from {from} ms on, {allowed} allowed"
+            retries <= allowed,
+            "{retries} retries from {from} ms on, {allowed} allowed"
         );
     }
-    assert!(repeats.len() > 200, "only {} repeats", repeats.len());
+    assert!(retries.len() > 200, "only {} retries", retries.len());
 }
 
 /// Symptom: a caller loses the rest of a stream although its class allows it to
 /// go on elsewhere. Events: the engine breaks off after the first events.
 #[test]
-fn goes_on_with_a_broken_stream_at_another_engine() {
+fn resumes_a_broken_stream_on_another_engine() {
     let mut host = Host::new(0);
     let (id, actions) = host.ask(Ask::prompt("draft", "shop-key", &[(1, 500), (2, 100)]));
     let first = sent(&actions).unwrap();
@@ -215,7 +215,7 @@
 
 /// One whose class does not allow it is cut, and not run again.
 #[test]
-fn does_not_go_on_with_a_stream_that_must_not_run_twice() {
+fn does_not_resume_a_stream_that_must_not_run_twice() {
     let mut host = Host::new(0);
     let (id, actions) = host.ask(Ask::prompt("question", "shop-key", &[(1, 500), (2, 100)]));
     let first = sent(&actions).unwrap();
@@ -230,7 +230,7 @@
 /// is refused by the first engine that it meets. Cause: all classes spend one budget, who
 /// comes first.
 #[test]
-fn a_more_urgent_request_is_sent_on_when_less_urgent_ones_have_spent_the_budget() {
+fn a_more_urgent_request_is_retried_after_less_urgent_ones_spent_the_budget() {
     let mut host = Host::new(0);
     host.list_hosts(14);
     let (id, actions) = host.ask(Ask::prompt("question", "shop-key", &[(98, 100)]));
@@ -248,5 +248,5 @@
     let (id, actions) = host.ask(Ask::prompt("question", "shop-key", &[(99, 100)]));
     let first = sent(&actions).unwrap();
     let actions = host.fail(&first, id, FailureCause::Busy, Verdict::NotRun, false);
-    assert!(sent(&actions).is_some(), "nothing is left of the retries");
+    assert!(sent(&actions).is_some(), "the retry budget is spent");
 }
--- a/crates/policy/tests/installation/early_refusal.rs
+++ b/crates/policy/tests/installation/early_refusal.rs
@@ -3,7 +3,7 @@
 
 use {
     crate::{
-        engine_world::{Counts, World},
+        engine_simulation::{Counts, EngineSimulation},
         support::{Ask, Host, refused, sent},
     },
     policy::{AttemptEnd, Event, RefusalReason},
@@ -15,139 +15,136 @@
 const ENGINES: usize = 30;
 
 /// Requests a second of each class, the most urgent first.
-const CALM: [f64; 3] = [60.0, 30.0, 30.0];
-const BURST: [f64; 3] = [60.0, 30.0, 300.0];
+const NORMAL_LOAD: [f64; 3] = [60.0, 30.0, 30.0];
+const BURST_LOAD: [f64; 3] = [60.0, 30.0, 300.0];
 
 const WARM_UP: Duration = Duration::from_secs(2);
-const BURST_LASTS: Duration = Duration::from_secs(10);
+const BURST_DURATION: Duration = Duration::from_secs(10);
 /// Longer than the callers' limit.
-const AFTERWARDS: Duration = Duration::from_secs(10);
+const RECOVERY_DURATION: Duration = Duration::from_secs(10);
 
-fn burst(world: &mut World) -> [Counts; 3] {
-    world.pass(BURST_LASTS, BURST);
-    world.pass(AFTERWARDS, CALM);
-    assert_eq!(world.untrue, 0);
-    world.counts
+fn run_burst(simulation: &mut EngineSimulation) -> [Counts; 3] {
+    simulation.advance(BURST_DURATION, BURST_LOAD);
+    simulation.advance(RECOVERY_DURATION, NORMAL_LOAD);
+    assert_eq!(simulation.false_not_run, 0);
+    simulation.counts
 }
 
 /// More urgent classes lose nothing, and few of the least urgent one are lost at engines.
-fn assert_few_lost(counts: &[Counts; 3]) {
+fn assert_few_timeouts(counts: &[Counts; 3]) {
     let [question, draft, summary] = counts;
     for urgent in [question, draft] {
-        assert_eq!((urgent.lost, urgent.refused), (0, 0), "{urgent:?}");
+        assert_eq!((urgent.timed_out, urgent.refused), (0, 0), "{urgent:?}");
     }
-    assert!(10 * summary.lost <= summary.came, "{summary:?}");
-    assert!(2 * summary.served >= summary.came, "{summary:?}");
+    assert!(10 * summary.timed_out <= summary.arrived, "{summary:?}");
+    assert!(2 * summary.served >= summary.arrived, "{summary:?}");
 }
 
 /// Most of those that are refused, and come back, are served.
-fn assert_served(counts: &[Counts; 3]) {
+fn assert_retries_served(counts: &[Counts; 3]) {
     let [.., summary] = counts;
     assert!(summary.refused > 0, "{summary:?}");
-    assert!(10 * summary.served >= 6 * summary.came, "{summary:?}");
-    assert!(
-        2 * summary.returned_served >= summary.returned,
-        "{summary:?}"
-    );
+    assert!(10 * summary.served >= 6 * summary.arrived, "{summary:?}");
+    assert!(2 * summary.retries_served >= summary.retried, "{summary:?}");
 }
 
 /// Guards against engines that work for callers who have left in a burst of the least urgent
 /// class.
 #[test]
-fn a_burst_is_refused_early_and_comes_back() {
-    let mut world = World::new(HOSTS, ENGINES, 1);
-    world.pass(WARM_UP, CALM);
-    let counts = burst(&mut world);
-    assert_few_lost(&counts);
-    assert_served(&counts);
+fn requests_refused_early_in_a_burst_are_retried_and_served() {
+    let mut simulation = EngineSimulation::new(HOSTS, ENGINES, 1);
+    simulation.advance(WARM_UP, NORMAL_LOAD);
+    let counts = run_burst(&mut simulation);
+    assert_few_timeouts(&counts);
+    assert_retries_served(&counts);
     // Larger prompts are served at no lesser share than the others.
-    let [(small, small_served), (large, large_served)] = world.by_size;
+    let [(small, small_served), (large, large_served)] = simulation.least_urgent_by_size;
     assert!(2 * large_served * small >= small_served * large);
 }
 
 /// Guards against callers with a short limit who are all taken for ones that came back.
 #[test]
-fn callers_whose_limits_differ_are_refused_alike() {
-    let mut world = World::new(HOSTS, ENGINES, 7);
-    world.limits_differ = true;
-    world.pass(WARM_UP, CALM);
-    assert_few_lost(&burst(&mut world));
+fn callers_with_different_time_limits_are_refused_alike() {
+    let mut simulation = EngineSimulation::new(HOSTS, ENGINES, 7);
+    simulation.random_time_limits = true;
+    simulation.advance(WARM_UP, NORMAL_LOAD);
+    assert_few_timeouts(&run_burst(&mut simulation));
 }
 
 /// Guards against a level that rests on notes alone, where no host hears another.
 #[test]
-fn hosts_without_notes_go_by_their_own_requests() {
-    let mut world = World::new(HOSTS, ENGINES, 2);
-    world.cut.extend(0..HOSTS);
-    world.pass(WARM_UP, CALM);
-    assert_few_lost(&burst(&mut world));
+fn hosts_without_notes_refuse_by_their_own_requests() {
+    let mut simulation = EngineSimulation::new(HOSTS, ENGINES, 2);
+    simulation.hosts_without_notes.extend(0..HOSTS);
+    simulation.advance(WARM_UP, NORMAL_LOAD);
+    assert_few_timeouts(&run_burst(&mut simulation));
 }
 
 /// Guards against notes that go on counting after their senders fell silent in a burst.
 #[test]
-fn stale_notes_refuse_nobody() {
-    let mut world = World::new(HOSTS, ENGINES, 3);
-    world.pass(WARM_UP, CALM);
-    world.pass(BURST_LASTS, BURST);
-    world.cut.extend(0..HOSTS);
-    world.pass(AFTERWARDS, CALM);
-    assert_no_refusals(&mut world);
+fn stale_notes_cause_no_refusals() {
+    let mut simulation = EngineSimulation::new(HOSTS, ENGINES, 3);
+    simulation.advance(WARM_UP, NORMAL_LOAD);
+    simulation.advance(BURST_DURATION, BURST_LOAD);
+    simulation.hosts_without_notes.extend(0..HOSTS);
+    simulation.advance(RECOVERY_DURATION, NORMAL_LOAD);
+    assert_no_refusals(&mut simulation);
 }
 
 /// Guards against hosts that start in a burst and refuse, or take, what the others don't.
 #[test]
-fn hosts_that_start_in_a_burst_join_the_others() {
-    let mut world = World::new(HOSTS, ENGINES, 4);
-    world.pass(WARM_UP, CALM);
-    world.pass(BURST_LASTS / 2, BURST);
+fn hosts_started_in_a_burst_refuse_like_the_others() {
+    let mut simulation = EngineSimulation::new(HOSTS, ENGINES, 4);
+    simulation.advance(WARM_UP, NORMAL_LOAD);
+    simulation.advance(BURST_DURATION / 2, BURST_LOAD);
     for host in 1..HOSTS / 4 {
-        world.restart(host);
+        simulation.restart(host);
     }
-    world.pass(BURST_LASTS / 2, BURST);
-    world.pass(AFTERWARDS, CALM);
-    assert_eq!(world.untrue, 0);
-    let [.., summary] = world.counts;
-    assert!(8 * summary.lost <= summary.came, "{summary:?}");
+    simulation.advance(BURST_DURATION / 2, BURST_LOAD);
+    simulation.advance(RECOVERY_DURATION, NORMAL_LOAD);
+    assert_eq!(simulation.false_not_run, 0);
+    let [.., summary] = simulation.counts;
+    assert!(8 * summary.timed_out <= summary.arrived, "{summary:?}");
 }
 
 /// Guards against a level that stays low once lost engines are back.
 #[test]
-fn the_level_is_full_again_after_engines_were_lost() {
-    let mut world = World::new(HOSTS, ENGINES, 5);
+fn the_admission_level_recovers_after_an_engine_outage() {
+    let mut simulation = EngineSimulation::new(HOSTS, ENGINES, 5);
     let load = [60.0, 30.0, 120.0];
-    world.pass(WARM_UP, load);
-    world.lost_engines = ENGINES / 2;
-    world.pass(BURST_LASTS, load);
-    let [.., summary] = world.counts;
+    simulation.advance(WARM_UP, load);
+    simulation.stopped_engines = ENGINES / 2;
+    simulation.advance(BURST_DURATION, load);
+    let [.., summary] = simulation.counts;
     assert!(summary.refused > 0, "{summary:?}");
-    world.lost_engines = 0;
-    world.pass(AFTERWARDS, CALM);
-    assert_eq!(world.untrue, 0);
-    assert_no_refusals(&mut world);
+    simulation.stopped_engines = 0;
+    simulation.advance(RECOVERY_DURATION, NORMAL_LOAD);
+    assert_eq!(simulation.false_not_run, 0);
+    assert_no_refusals(&mut simulation);
 }
 
 /// Guards against refusals while half of the places are free.
 #[test]
-fn nobody_is_refused_while_engines_have_room() {
-    let mut world = World::new(HOSTS, ENGINES, 6);
-    world.pass(WARM_UP, CALM);
+fn no_request_is_refused_while_engines_have_capacity() {
+    let mut simulation = EngineSimulation::new(HOSTS, ENGINES, 6);
+    simulation.advance(WARM_UP, NORMAL_LOAD);
     // Many at once, which engines can begin in time.
-    world.pass(Duration::from_millis(300), BURST);
-    assert_no_refusals(&mut world);
-    let refused: usize = world.counts.iter().map(|counts| counts.refused).sum();
+    simulation.advance(Duration::from_millis(300), BURST_LOAD);
+    assert_no_refusals(&mut simulation);
+    let refused: usize = simulation.counts.iter().map(|counts| counts.refused).sum();
     assert_eq!(refused, 0);
 }
 
-fn assert_no_refusals(world: &mut World) {
-    let before = world.counts.map(|counts| counts.refused);
-    world.pass(AFTERWARDS / 2, CALM);
-    assert_eq!(world.counts.map(|counts| counts.refused), before);
+fn assert_no_refusals(simulation: &mut EngineSimulation) {
+    let before = simulation.counts.map(|counts| counts.refused);
+    simulation.advance(RECOVERY_DURATION / 2, NORMAL_LOAD);
+    assert_eq!(simulation.counts.map(|counts| counts.refused), before);
 }
 
 /// Guards against a request that was sent and is answered as not run, when its engine's failure
 /// comes late or its caller has left.
 #[test]
-fn what_was_sent_is_never_refused_as_not_run() {
+fn sent_requests_are_never_refused_as_not_run() {
     let ask = || Ask::prompt("summary", "shop-key", &[(1, 12_000), (2, 3_000)]);
     let mut host = Host::new(0);
     let (request, actions) = host.ask(ask());
--- a/crates/policy/tests/installation/fleet.rs
+++ b/crates/policy/tests/installation/fleet.rs
@@ -14,29 +14,29 @@
 };
 
 /// Time of a datagram between two hosts.
-const DATAGRAM: Duration = Duration::from_millis(2);
+const DATAGRAM_DELAY: Duration = Duration::from_millis(2);
 
 /// Bytes of a datagram's headers.
-const HEADERS: usize = 28;
+const DATAGRAM_HEADER_BYTES: usize = 28;
 
 /// Time between two ticks of a host.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Time between two confirmations of the configuration.
-const CONFIRMED: Duration = Duration::from_secs(1);
+const CONFIRMATION_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time after a disturbance for which a host is out of touch.
-const STABLE: Duration = Duration::from_secs(4);
+const RECOVERY_TIME: Duration = Duration::from_secs(4);
 
 /// Time in which a replica answers.
-const ANSWER: Duration = Duration::from_millis(30);
+const RESPONSE_TIME: Duration = Duration::from_millis(30);
 
 /// Port of the hosts, apart from those of upstreams.
-pub const HOSTS_AT: usize = 0;
+pub const HOST_ADDRESS_OFFSET: usize = 0;
 
 /// Something that is due at a moment.
-enum Due {
-    Answer {
+enum ScheduledEvent {
+    Response {
         host: usize,
         order: Box<SendOrder>,
         request: RequestId,
@@ -49,11 +49,11 @@
 
 /// A request as it reached a replica.
 #[derive(Clone, Debug)]
-pub struct Reached {
+pub struct ReceivedRequest {
     pub at: Time,
     pub host: usize,
     /// When this replica had named a limit to that host first.
-    pub notified: Option<Time>,
+    pub limit_known_since: Option<Time>,
     pub upstream: UpstreamId,
 }
 
@@ -64,16 +64,16 @@
     pub sent: usize,
     pub served: usize,
     /// Times from arrival to the end of refused requests.
-    pub held: Vec<Duration>,
+    pub refusal_delays: Vec<Duration>,
     /// Times from arrival to the end of served requests.
-    pub lasted: Vec<Duration>,
+    pub response_times: Vec<Duration>,
 }
 
 pub struct Fleet {
     /// Hosts that were disturbed, and when.
     pub disturbed: Vec<(usize, Time)>,
     /// Hosts whose datagrams get nowhere.
-    pub cut: BTreeSet<usize>,
+    pub cut_off_hosts: BTreeSet<usize>,
     /// Hosts that do nothing now.
     pub frozen: BTreeSet<usize>,
     pub counts: BTreeMap<&'static str, Counts>,
@@ -88,19 +88,19 @@
     /// Backoffs that hosts were asked for: host, replica, from when, until when.
     pub backoffs: Vec<(usize, UpstreamId, Time, Time)>,
     /// Part of the datagrams that is lost.
-    pub lost: f64,
+    pub datagram_loss: f64,
     pub now: Time,
-    pub reached: Vec<Reached>,
+    pub received: Vec<ReceivedRequest>,
     /// Bytes of questions for tokens and of answers to them.
     pub token_bytes: usize,
     arrivals: BTreeMap<(usize, RequestId), (Time, &'static str)>,
-    due: BTreeMap<(Time, u64), Due>,
+    scheduled: BTreeMap<(Time, u64), ScheduledEvent>,
     /// When a host got an answer first that said that its replica leaves.
-    left: BTreeMap<(usize, UpstreamId), Time>,
-    next: u64,
+    leave_known_since: BTreeMap<(usize, UpstreamId), Time>,
+    next_number: u64,
     replicas: usize,
     rng: SmallRng,
-    notified: BTreeMap<(usize, UpstreamId), Time>,
+    limit_known_since: BTreeMap<(usize, UpstreamId), Time>,
 }
 
 pub fn replica(number: usize) -> UpstreamId {
@@ -127,23 +127,23 @@
             arrivals: BTreeMap::new(),
             backoffs: Vec::new(),
             counts: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            cut_off_hosts: BTreeSet::new(),
             datagrams: 0,
             disturbed: Vec::new(),
-            due: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             frozen: BTreeSet::new(),
             hosts: Vec::new(),
             leaving: BTreeSet::new(),
-            left: BTreeMap::new(),
+            leave_known_since: BTreeMap::new(),
             limits: BTreeMap::new(),
-            lost: 0.0,
-            next: 0,
+            datagram_loss: 0.0,
+            next_number: 0,
             now: Time::from_ms(1_000),
-            reached: Vec::new(),
+            received: Vec::new(),
             refusing: BTreeMap::new(),
             replicas,
             rng: SmallRng::seed_from_u64(seed),
-            notified: BTreeMap::new(),
+            limit_known_since: BTreeMap::new(),
             token_bytes: 0,
         };
         fleet.hosts = (0..hosts)
@@ -162,29 +162,32 @@
 
     /// Starts a host anew; it knows nothing of before.
     pub fn restart(&mut self, number: usize) {
-        self.disturb(number);
+        self.note_disturbance(number);
         let mut host = self.start(number, self.hosts.len());
         host.now = self.now;
         let as_of = self.now;
         host.handle(Event::ConfigurationConfirmed { as_of });
-        host.skip_requests(1_000_000 + self.next);
+        host.skip_requests(1_000_000 + self.next_number);
         host.actions.clear();
         self.hosts[number] = host;
-        self.notified.retain(|(host, _), _| *host != number);
-        self.left.retain(|(host, _), _| *host != number);
+        self.limit_known_since
+            .retain(|(host, _), _| *host != number);
+        self.leave_known_since
+            .retain(|(host, _), _| *host != number);
         self.backoffs.retain(|(host, ..)| *host != number);
-        self.due
-            .retain(|_, due| !matches!(due, Due::Answer { host, .. } if *host == number));
+        self.scheduled.retain(|_, scheduled| {
+            !matches!(scheduled, ScheduledEvent::Response { host, .. } if *host == number)
+        });
     }
 
     /// Stops a host, as if its processor stood still.
     pub fn freeze(&mut self, number: usize) {
-        self.disturb(number);
+        self.note_disturbance(number);
         self.frozen.insert(number);
     }
 
     pub fn thaw(&mut self, number: usize) {
-        self.disturb(number);
+        self.note_disturbance(number);
         self.frozen.remove(&number);
     }
 
@@ -195,50 +198,52 @@
     }
 
     /// Cuts some hosts off from the others.
-    pub fn cut_off(&mut self, hosts: &[usize]) {
+    pub fn isolate(&mut self, hosts: &[usize]) {
         for host in hosts {
-            self.disturb(*host);
+            self.note_disturbance(*host);
         }
-        self.cut.extend(hosts);
+        self.cut_off_hosts.extend(hosts);
     }
 
-    pub fn heal(&mut self) {
-        for host in std::mem::take(&mut self.cut) {
-            self.disturb(host);
+    pub fn reconnect(&mut self) {
+        for host in std::mem::take(&mut self.cut_off_hosts) {
+            self.note_disturbance(host);
         }
     }
 
-    fn disturb(&mut self, host: usize) {
+    fn note_disturbance(&mut self, host: usize) {
         self.disturbed.push((host, self.now));
     }
 
     /// Whether a host is out of touch at a moment.
-    fn is_excused(&self, host: usize, at: Time) -> bool {
+    fn is_recovering(&self, host: usize, at: Time) -> bool {
         let mut own = self.disturbed.iter().filter(|(other, _)| *other == host);
-        own.any(|(_, from)| at >= *from && at.since(*from) < STABLE)
+        own.any(|(_, from)| at >= *from && at.since(*from) < RECOVERY_TIME)
     }
 
     /// Lets time pass, with so many requests a second of each class over all hosts.
-    pub fn pass(&mut self, span: Duration, per_s: &[(&'static str, f64)]) {
+    pub fn advance(&mut self, span: Duration, per_s: &[(&'static str, f64)]) {
         let end = self.now + span;
         while self.now < end {
-            let next = self.now + TICK;
-            self.arrive(per_s);
-            self.settle(next);
+            let next = self.now + TICK_INTERVAL;
+            self.generate_arrivals(per_s);
+            self.run_scheduled(next);
             self.now = next;
             for host in 0..self.hosts.len() {
-                let confirm = next.as_us().is_multiple_of(CONFIRMED.as_micros() as u64);
+                let confirm = next
+                    .as_us()
+                    .is_multiple_of(CONFIRMATION_INTERVAL.as_micros() as u64);
                 if confirm {
-                    self.tell(host, Event::ConfigurationConfirmed { as_of: next });
+                    self.deliver_event(host, Event::ConfigurationConfirmed { as_of: next });
                 }
-                self.tell(host, Event::Ticked);
+                self.deliver_event(host, Event::Ticked);
             }
         }
     }
 
-    fn arrive(&mut self, per_s: &[(&'static str, f64)]) {
+    fn generate_arrivals(&mut self, per_s: &[(&'static str, f64)]) {
         for (class, per_s) in per_s {
-            let mut expected = per_s * TICK.as_secs_f64();
+            let mut expected = per_s * TICK_INTERVAL.as_secs_f64();
             while self.rng.random::<f64>() < expected {
                 expected -= 1.0;
                 let host = self.rng.random_range(0..self.hosts.len());
@@ -256,42 +261,42 @@
         let (request, _) = self.hosts[host].ask(Ask::call(class));
         self.arrivals.insert((host, request), (self.now, class));
         self.counts.entry(class).or_default().sent += 1;
-        self.carry_out(host);
+        self.apply_actions(host);
     }
 
     /// Does what is due before a moment.
-    fn settle(&mut self, until: Time) {
-        while let Some(entry) = self.due.first_entry() {
+    fn run_scheduled(&mut self, until: Time) {
+        while let Some(entry) = self.scheduled.first_entry() {
             let (at, _) = *entry.key();
             if at >= until {
                 return;
             }
-            let due = entry.remove();
+            let scheduled = entry.remove();
             self.now = self.now.max(at);
-            match due {
-                Due::Answer {
+            match scheduled {
+                ScheduledEvent::Response {
                     host,
                     order,
                     request,
-                } => self.answer(host, &order, request),
-                Due::Receive { event, host } => self.tell(host, *event),
+                } => self.respond(host, &order, request),
+                ScheduledEvent::Receive { event, host } => self.deliver_event(host, *event),
             }
         }
     }
 
-    fn answer(&mut self, host: usize, order: &SendOrder, request: RequestId) {
+    fn respond(&mut self, host: usize, order: &SendOrder, request: RequestId) {
         if self.frozen.contains(&host) {
             return;
         }
         let named = self.limits.get(&order.upstream).copied();
         if named.is_some() {
             let key = (host, order.upstream.clone());
-            self.notified.entry(key).or_insert(self.now);
+            self.limit_known_since.entry(key).or_insert(self.now);
         }
         let leaving = self.leaving.contains(&order.upstream);
         if leaving {
             let key = (host, order.upstream.clone());
-            self.left.entry(key).or_insert(self.now);
+            self.leave_known_since.entry(key).or_insert(self.now);
         }
         let limit = named.and_then(Rate::per_second);
         let limit = limit.map_or(AdvertisedLimit::Absent, AdvertisedLimit::Valid);
@@ -309,10 +314,10 @@
         if !notice.is_empty() || order.inputs.rate_limit.is_some() {
             let event = Event::NoticeAnswered {
                 notice,
-                sent: self.now - ANSWER,
+                sent: self.now - RESPONSE_TIME,
                 upstream: order.upstream.clone(),
             };
-            self.tell(host, event);
+            self.deliver_event(host, event);
         }
         let end = if refused.is_some() {
             AttemptEnd::Failed {
@@ -333,162 +338,170 @@
             end,
             request,
         };
-        self.tell(host, event);
+        self.deliver_event(host, event);
         if refused.is_some() {
             return;
         }
         if let Some((at, class)) = self.arrivals.remove(&(host, request)) {
             let counts = self.counts.entry(class).or_default();
             counts.served += 1;
-            counts.lasted.push(self.now.since(at));
+            counts.response_times.push(self.now.since(at));
         }
     }
 
-    fn tell(&mut self, host: usize, event: Event) {
+    fn deliver_event(&mut self, host: usize, event: Event) {
         if self.frozen.contains(&host) {
             return;
         }
         self.hosts[host].now = self.now;
         self.hosts[host].handle(event);
-        self.carry_out(host);
+        self.apply_actions(host);
     }
 
-    fn carry_out(&mut self, from: usize) {
+    fn apply_actions(&mut self, from: usize) {
         for action in std::mem::take(&mut self.hosts[from].actions) {
             match action {
-                Action::Send { order, request } => self.send(from, order, request),
-                Action::Refuse { refusal, request } => self.refuse(from, refusal, request),
+                Action::Send { order, request } => self.on_sent(from, order, request),
+                Action::Refuse { refusal, request } => self.on_refused(from, refusal, request),
                 Action::SendLoadNotes { notes } => {
                     for (to, note) in notes {
-                        let from_address = address(HOSTS_AT + from);
+                        let from_address = address(HOST_ADDRESS_OFFSET + from);
                         let event = Event::LoadNoteReceived {
                             from: from_address,
                             note,
                         };
-                        self.datagram(from, to, event);
+                        self.send_datagram(from, to, event);
                     }
                 }
                 Action::SendUpstreamNote { note, to } => {
                     for to in to {
-                        self.datagram(from, to, Event::UpstreamNoticesReceived(note.clone()));
+                        self.send_datagram(from, to, Event::UpstreamNoticesReceived(note.clone()));
                     }
                 }
                 Action::RequestTokens { ask, to } => {
-                    self.token_bytes += HEADERS + ask.to_datagram("").len();
-                    let from_address = address(HOSTS_AT + from);
+                    self.token_bytes += DATAGRAM_HEADER_BYTES + ask.to_datagram("").len();
+                    let from_address = address(HOST_ADDRESS_OFFSET + from);
                     let event = Event::TokensRequested {
                         ask,
                         from: from_address,
                     };
-                    self.datagram(from, to, event);
+                    self.send_datagram(from, to, event);
                 }
                 Action::GrantTokens { grant, to } => {
-                    self.token_bytes += HEADERS + grant.to_datagram("").len();
-                    self.datagram(from, to, Event::TokensGranted(grant));
+                    self.token_bytes += DATAGRAM_HEADER_BYTES + grant.to_datagram("").len();
+                    self.send_datagram(from, to, Event::TokensGranted(grant));
                 }
                 _ => {}
             }
         }
     }
 
-    fn send(&mut self, host: usize, order: SendOrder, request: RequestId) {
-        let notified = self.notified.get(&(host, order.upstream.clone())).copied();
-        self.reached.push(Reached {
+    fn on_sent(&mut self, host: usize, order: SendOrder, request: RequestId) {
+        let limit_known_since = self
+            .limit_known_since
+            .get(&(host, order.upstream.clone()))
+            .copied();
+        self.received.push(ReceivedRequest {
             at: self.now,
             host,
-            notified,
+            limit_known_since,
             upstream: order.upstream.clone(),
         });
-        let due = Due::Answer {
+        let scheduled = ScheduledEvent::Response {
             host,
             order: Box::new(order),
             request,
         };
-        self.at(self.now + ANSWER, due);
+        self.schedule(self.now + RESPONSE_TIME, scheduled);
     }
 
-    fn refuse(&mut self, host: usize, refusal: Refusal, request: RequestId) {
+    fn on_refused(&mut self, host: usize, refusal: Refusal, request: RequestId) {
         assert_eq!(refusal.verdict, Verdict::NotRun);
         if let Some((at, class)) = self.arrivals.remove(&(host, request)) {
             let counts = self.counts.entry(class).or_default();
             counts.refused += 1;
-            counts.held.push(self.now.since(at));
+            counts.refusal_delays.push(self.now.since(at));
         }
     }
 
-    fn datagram(&mut self, from: usize, to: std::net::SocketAddr, event: Event) {
+    fn send_datagram(&mut self, from: usize, to: std::net::SocketAddr, event: Event) {
         self.datagrams += 1;
-        let to = (0..self.hosts.len()).find(|host| address(HOSTS_AT + host) == to);
+        let to = (0..self.hosts.len()).find(|host| address(HOST_ADDRESS_OFFSET + host) == to);
         let Some(to) = to else {
             return;
         };
-        let is_cut = self.cut.contains(&from) != self.cut.contains(&to);
-        if is_cut || self.rng.random::<f64>() < self.lost {
+        let is_isolated = self.cut_off_hosts.contains(&from) != self.cut_off_hosts.contains(&to);
+        if is_isolated || self.rng.random::<f64>() < self.datagram_loss {
             return;
         }
         let event = Box::new(event);
-        self.at(self.now + DATAGRAM, Due::Receive { event, host: to });
+        self.schedule(
+            self.now + DATAGRAM_DELAY,
+            ScheduledEvent::Receive { event, host: to },
+        );
     }
 
-    fn at(&mut self, at: Time, due: Due) {
-        self.next += 1;
-        self.due.insert((at, self.next), due);
+    fn schedule(&mut self, at: Time, scheduled: ScheduledEvent) {
+        self.next_number += 1;
+        self.scheduled.insert((at, self.next_number), scheduled);
     }
 
     /// Requests of one class.
-    pub fn of(&self, class: &'static str) -> Counts {
+    pub fn counts_of(&self, class: &'static str) -> Counts {
         self.counts.get(class).cloned().unwrap_or_default()
     }
 
     /// Requests that reached a replica from hosts that it had notified half a second before or
     /// earlier.
-    pub fn after_notice(&self, upstream: &UpstreamId) -> Vec<Time> {
-        let notified = self.reached.iter().filter(|reached| {
-            let known = reached
-                .notified
-                .map(|notified| notified + Duration::from_millis(500));
-            let counts = !self.is_excused(reached.host, reached.at);
-            counts
-                && reached.upstream == *upstream
-                && known.is_some_and(|known| reached.at >= known)
+    pub fn request_times_under_limit(&self, upstream: &UpstreamId) -> Vec<Time> {
+        let requests = self.received.iter().filter(|request| {
+            let effective_from = request
+                .limit_known_since
+                .map(|since| since + Duration::from_millis(500));
+            let is_counted = !self.is_recovering(request.host, request.at);
+            is_counted
+                && request.upstream == *upstream
+                && effective_from.is_some_and(|effective_from| request.at >= effective_from)
         });
-        notified.map(|reached| reached.at).collect()
+        requests.map(|request| request.at).collect()
     }
 
     /// Requests that reached a replica from hosts that it had notified so long before that it
     /// leaves.
-    pub fn after_left(&self, upstream: &UpstreamId, span: Duration) -> usize {
-        let reached = self.reached.iter().filter(|reached| {
-            let left = self.left.get(&(reached.host, upstream.clone()));
-            reached.upstream == *upstream && left.is_some_and(|left| reached.at > *left + span)
+    pub fn requests_after_leaving_notice(&self, upstream: &UpstreamId, span: Duration) -> usize {
+        let requests = self.received.iter().filter(|request| {
+            let since = self
+                .leave_known_since
+                .get(&(request.host, upstream.clone()));
+            request.upstream == *upstream && since.is_some_and(|since| request.at > *since + span)
         });
-        reached.count()
+        requests.count()
     }
 
     /// The most requests that reached a replica from a host that it had asked for a backoff,
     /// between half a second after that and its end.
-    pub fn most_in_backoff(&self) -> usize {
+    pub fn max_requests_in_backoff(&self) -> usize {
         let counts = self.backoffs.iter().map(|(host, upstream, from, until)| {
             let from = *from + Duration::from_millis(500);
-            let reached = self.reached.iter().filter(|reached| {
-                let there = reached.host == *host && reached.upstream == *upstream;
-                there && reached.at >= from && reached.at < *until
+            let requests = self.received.iter().filter(|request| {
+                let there = request.host == *host && request.upstream == *upstream;
+                there && request.at >= from && request.at < *until
             });
-            reached.count()
+            requests.count()
         });
         counts.max().unwrap_or_default()
     }
 
     /// Requests that reached a replica from a moment on.
-    pub fn reached_from(&self, upstream: &UpstreamId, from: Time) -> usize {
-        let reached = self.reached.iter();
-        let reached = reached.filter(|reached| reached.upstream == *upstream);
-        reached.filter(|reached| reached.at >= from).count()
+    pub fn requests_since(&self, upstream: &UpstreamId, from: Time) -> usize {
+        let requests = self.received.iter();
+        let requests = requests.filter(|request| request.upstream == *upstream);
+        requests.filter(|request| request.at >= from).count()
     }
 
     /// The most of them in some four seconds.
-    pub fn most_in_4_s(&self, upstream: &UpstreamId) -> usize {
-        let times = self.after_notice(upstream);
+    pub fn max_requests_in_4_s(&self, upstream: &UpstreamId) -> usize {
+        let times = self.request_times_under_limit(upstream);
         let span = Duration::from_secs(4);
         let within = |first: &Time| {
             let from = times.iter().filter(|at| **at >= *first);
--- a/crates/policy/tests/installation/costs.rs
+++ b/crates/policy/tests/installation/host_costs.rs
@@ -17,39 +17,39 @@
 const DOMAINS: [&str; 5] = ["north-a", "north-b", "north-c", "north-d", "north-e"];
 
 /// Bytes of a datagram's headers.
-const HEADERS: usize = 28;
+const DATAGRAM_HEADER_BYTES: usize = 28;
 
-const TOKEN: &str = "hosts-of-the-test";
+const HOSTS_TOKEN: &str = "hosts-of-the-test";
 
 /// Span in which messages are counted.
-const COUNTED: Duration = Duration::from_secs(60);
+const COUNTING_DURATION: Duration = Duration::from_secs(60);
 
 /// What a host costs; all of it must not grow with the installation.
 #[derive(Clone, Copy, Debug, Default)]
 struct Costs {
     /// Upstreams that it knows.
-    upstreams: usize,
+    known_upstreams: usize,
     /// Hosts that it exchanges notes with.
-    exchanging: usize,
+    note_partners: usize,
     note_bytes_per_s: usize,
     notes_per_min: usize,
     /// Datagrams by which it tells of one upstream that leaves, and of one crash.
-    leaving: usize,
-    crash: usize,
+    leaving_datagrams: usize,
+    crash_datagrams: usize,
     /// Datagrams by which it tells of a version.
-    version: usize,
+    version_datagrams: usize,
 }
 
 impl Costs {
-    fn all(&self) -> [(&'static str, usize); 7] {
+    fn by_name(&self) -> [(&'static str, usize); 7] {
         [
-            ("upstreams known", self.upstreams),
-            ("hosts exchanging notes", self.exchanging),
+            ("upstreams known", self.known_upstreams),
+            ("hosts exchanging notes", self.note_partners),
             ("note bytes a second", self.note_bytes_per_s),
             ("notes a minute", self.notes_per_min),
-            ("datagrams for a leaving", self.leaving),
-            ("datagrams for a crash", self.crash),
-            ("datagrams for a version", self.version),
+            ("datagrams for a departure", self.leaving_datagrams),
+            ("datagrams for a crash", self.crash_datagrams),
+            ("datagrams for a version", self.version_datagrams),
         ]
     }
 }
@@ -105,23 +105,23 @@
 }
 
 /// Those of so many upstreams that the hosts of the first failure domain know.
-fn known(count: usize) -> BTreeMap<UpstreamId, Upstream> {
+fn known_upstreams_of(count: usize) -> BTreeMap<UpstreamId, Upstream> {
     let all: Vec<(UpstreamId, Upstream)> = (0..count).map(upstream).collect();
     let mut census = UpstreamCensus::default();
     for (id, upstream) in &all {
         census.note(id.name(), service(upstream), upstream.failure_domain());
     }
     let working_set = WorkingSet::divide(&DOMAINS[0].parse().unwrap(), &census);
-    let known = all
+    let upstreams = all
         .into_iter()
         .filter(|(id, _)| census.level(id.name(), &working_set) <= WorkingSet::KNOWN_LEVEL);
-    known.collect()
+    upstreams.collect()
 }
 
 /// A host of an installation of so many hosts.
 fn host(hosts: usize) -> Host {
     let mut host = Host::new(0);
-    host.read_directory(known(10 * hosts), &[]);
+    host.read_directory(known_upstreams_of(10 * hosts), &[]);
     let peers = peers(hosts);
     host.handle(Event::PeersListed {
         total_hosts: Some(peers.len()),
@@ -132,7 +132,7 @@
 }
 
 /// Counts the notes that a host wants sent, and lets those who get them answer.
-fn exchange(host: &mut Host, costs: &mut Costs, bytes: &mut usize) {
+fn exchange_notes(host: &mut Host, costs: &mut Costs, bytes: &mut usize) {
     let mut sent: Vec<(SocketAddr, LoadNote)> = Vec::new();
     for action in std::mem::take(&mut host.actions) {
         if let Action::SendLoadNotes { notes } = action {
@@ -140,10 +140,10 @@
         }
     }
     let others: BTreeSet<SocketAddr> = sent.iter().map(|(to, _)| *to).collect();
-    costs.exchanging = costs.exchanging.max(others.len());
+    costs.note_partners = costs.note_partners.max(others.len());
     costs.notes_per_min += sent.len();
     for (from, note) in sent {
-        *bytes += note.to_datagram(TOKEN).len() + HEADERS;
+        *bytes += note.to_datagram(HOSTS_TOKEN).len() + DATAGRAM_HEADER_BYTES;
         let note = LoadNote {
             host: host_at(from),
             loads: Vec::new(),
@@ -162,27 +162,27 @@
 }
 
 /// Sends one request a second for a while.
-fn serve(host: &mut Host, costs: &mut Costs) {
+fn serve_requests(host: &mut Host, costs: &mut Costs) {
     let mut bytes = 0;
-    for second in 0..COUNTED.as_secs() {
+    for second in 0..COUNTING_DURATION.as_secs() {
         let parts = [(second % 7, 13_000), (1_000 + second, 3_000)];
         let (request, actions) = host.ask(Ask::prompt("question", "first-key", &parts));
         let order = sent(&actions).unwrap();
         for _ in 0..8 {
             host.pass(100);
-            exchange(host, costs, &mut bytes);
+            exchange_notes(host, costs, &mut bytes);
         }
         host.finish(&order, request);
         host.pass(200);
-        exchange(host, costs, &mut bytes);
+        exchange_notes(host, costs, &mut bytes);
         let as_of = host.now;
         host.handle(Event::ConfigurationConfirmed { as_of });
     }
-    costs.note_bytes_per_s = bytes / COUNTED.as_secs() as usize;
+    costs.note_bytes_per_s = bytes / COUNTING_DURATION.as_secs() as usize;
 }
 
 /// Datagrams that are sent in the next second.
-fn datagrams(host: &mut Host, count: impl Fn(&Action) -> usize) -> usize {
+fn count_datagrams(host: &mut Host, count: impl Fn(&Action) -> usize) -> usize {
     host.pass(2_000);
     let as_of = host.now;
     host.handle(Event::ConfigurationConfirmed { as_of });
@@ -191,8 +191,8 @@
     announced
 }
 
-fn tell_leaving(host: &mut Host) -> usize {
-    let upstream = known(100).into_keys().next().unwrap();
+fn announce_leaving(host: &mut Host) -> usize {
+    let upstream = known_upstreams_of(100).into_keys().next().unwrap();
     let sent = host.now;
     host.handle(Event::DirectoryLost);
     host.handle(Event::NoticeAnswered {
@@ -203,13 +203,13 @@
         sent,
         upstream,
     });
-    datagrams(host, |action| match action {
+    count_datagrams(host, |action| match action {
         Action::SendUpstreamNote { to, .. } => to.len(),
         _ => 0,
     })
 }
 
-fn tell_crash(host: &mut Host) -> usize {
+fn announce_crash(host: &mut Host) -> usize {
     let ask = Ask::prompt("question", "first-key", &[(1, 500), (2, 100)]);
     let (request, actions) = host.ask(ask);
     let order = sent(&actions).unwrap();
@@ -230,56 +230,56 @@
             });
         }
     }
-    datagrams(host, |action| match action {
+    count_datagrams(host, |action| match action {
         Action::SendCrashNote { to, .. } => to.len(),
         _ => 0,
     })
 }
 
-fn tell_version(host: &mut Host) -> usize {
+fn announce_version(host: &mut Host) -> usize {
     host.handle(Event::ConfigurationPacked(ConfigVersion::new(2)));
-    datagrams(host, |action| match action {
+    count_datagrams(host, |action| match action {
         Action::SendVersionNote { to, .. } => to.len(),
         _ => 0,
     })
 }
 
-fn costs(hosts: usize) -> Costs {
+fn measure_costs(hosts: usize) -> Costs {
     let mut host = host(hosts);
     let mut costs = Costs {
-        upstreams: known(10 * hosts).len(),
+        known_upstreams: known_upstreams_of(10 * hosts).len(),
         ..Costs::default()
     };
-    serve(&mut host, &mut costs);
-    costs.version = tell_version(&mut host);
-    costs.leaving = tell_leaving(&mut host);
-    costs.crash = tell_crash(&mut host);
+    serve_requests(&mut host, &mut costs);
+    costs.version_datagrams = announce_version(&mut host);
+    costs.leaving_datagrams = announce_leaving(&mut host);
+    costs.crash_datagrams = announce_crash(&mut host);
     costs
 }
 
 /// Guards against a host whose state, messages or work grow with the installation: beyond some
 /// size it has no time left for requests.
 #[test]
-fn a_host_costs_the_same_in_an_installation_of_twice_the_size() {
+fn the_costs_of_a_host_do_not_grow_with_the_installation() {
     let sizes = [100, 300, 985, 1_970];
-    let by_size: Vec<Costs> = sizes.iter().map(|hosts| costs(*hosts)).collect();
+    let by_size: Vec<Costs> = sizes.iter().map(|hosts| measure_costs(*hosts)).collect();
     let mut table = format!("{:26}", "hosts");
     table += &sizes.map(|hosts| format!("{hosts:>8}")).concat();
-    for (line, (name, _)) in by_size[0].all().iter().enumerate() {
+    for (line, (name, _)) in by_size[0].by_name().iter().enumerate() {
         let figures: Vec<String> = by_size
             .iter()
-            .map(|costs| format!("{:>8}", costs.all()[line].1))
+            .map(|costs| format!("{:>8}", costs.by_name()[line].1))
             .collect();
         table += &format!("\n{name:26}{}", figures.concat());
     }
     println!("{table}");
-    let [.., fleet, twice] = &by_size[..] else {
+    let [.., single, double] = &by_size[..] else {
         panic!("four sizes")
     };
-    for ((name, cost), (_, at_twice)) in fleet.all().into_iter().zip(twice.all()) {
+    for ((name, cost), (_, double_cost)) in single.by_name().into_iter().zip(double.by_name()) {
         // Sizes of groups and sets vary by chance, as names decide.
         assert!(
-            at_twice as f64 <= 1.25 * cost as f64,
+            double_cost as f64 <= 1.25 * cost as f64,
             "{name} grows\n{table}"
         );
     }
--- a/crates/policy/tests/installation/incarnations.rs
+++ b/crates/policy/tests/installation/incarnations.rs
@@ -11,15 +11,15 @@
 };
 
 const DOCUMENT_TOKENS: u32 = 13_300;
-const OWN_TOKENS: u32 = 400;
+const UNIQUE_TOKENS: u32 = 400;
 
 fn prompt() -> Ask {
-    let parts = [(7, DOCUMENT_TOKENS), (8, OWN_TOKENS)];
+    let parts = [(7, DOCUMENT_TOKENS), (8, UNIQUE_TOKENS)];
     Ask::prompt("draft", "shop-key", &parts)
 }
 
 /// The upstreams, one of them started at a later moment.
-fn started_again(id: &UpstreamId, started_ms: u64) -> BTreeMap<UpstreamId, Upstream> {
+fn with_restarted(id: &UpstreamId, started_ms: u64) -> BTreeMap<UpstreamId, Upstream> {
     let mut upstreams = upstreams();
     let upstream = upstreams.remove(&id.clone().with_started_ms(None)).unwrap();
     upstreams.insert(id.clone().with_started_ms(Some(started_ms)), upstream);
@@ -30,12 +30,12 @@
 /// Events: an engine reads a document, crashes and starts again at once, so that its
 /// entry never goes. Cause: prompts are remembered by name.
 #[test]
-fn an_engine_that_started_again_keeps_nothing() {
+fn a_restarted_engine_has_an_empty_prompt_cache() {
     let mut host = Host::new(0);
     let first = sent(&host.ask(prompt()).1).unwrap();
-    host.read_directory(started_again(&first.upstream, 5_000), &[]);
+    host.read_directory(with_restarted(&first.upstream, 5_000), &[]);
     let second = sent(&host.ask(prompt()).1).unwrap();
-    let whole = Tokens::new(DOCUMENT_TOKENS + OWN_TOKENS);
+    let whole = Tokens::new(DOCUMENT_TOKENS + UNIQUE_TOKENS);
     assert_eq!(second.inputs.prefill_tokens, whole);
     assert_eq!(second.inputs.backlog, u64::from(whole.get()));
     assert_eq!(second.inputs.in_flight, 1);
@@ -45,13 +45,13 @@
 /// crashes; they end only after it has started again. Cause: the end of an attempt is
 /// booked on whoever bears the name.
 #[test]
-fn requests_of_before_do_not_count_for_the_new_incarnation() {
+fn earlier_requests_do_not_count_for_the_new_incarnation() {
     let mut host = Host::new(0);
     let (request, actions) = host.ask(prompt());
     let before = sent(&actions).unwrap();
-    let again = before.upstream.clone().with_started_ms(Some(5_000));
-    host.read_directory(started_again(&before.upstream, 5_000), &[]);
-    assert_eq!(host.controller.in_flight(&again), Some(0));
+    let restarted = before.upstream.clone().with_started_ms(Some(5_000));
+    host.read_directory(with_restarted(&before.upstream, 5_000), &[]);
+    assert_eq!(host.controller.in_flight(&restarted), Some(0));
     host.fail(
         &before,
         request,
@@ -61,7 +61,7 @@
     );
     let running: u32 = upstreams()
         .keys()
-        .chain([&again])
+        .chain([&restarted])
         .filter_map(|id| host.controller.in_flight(id))
         .sum();
     assert_eq!(running, 1, "the second attempt alone");
@@ -70,7 +70,7 @@
 /// Symptom: a healthy upstream is avoided. Events: it fails three times, crashes, and
 /// starts again. Cause: failures are remembered by name.
 #[test]
-fn failures_of_before_do_not_eject_the_new_incarnation() {
+fn earlier_failures_do_not_eject_the_new_incarnation() {
     let mut host = Host::new(0);
     for _ in 0..12 {
         let (request, actions) = host.ask(crate::support::order());
@@ -80,16 +80,16 @@
     }
     let ejected = host.controller.ejected();
     assert!(!ejected.is_empty());
-    host.read_directory(started_again(&ejected[0], 5_000), &[]);
-    let again = ejected[0].clone().with_started_ms(Some(5_000));
-    assert!(!host.controller.ejected().contains(&again));
+    host.read_directory(with_restarted(&ejected[0], 5_000), &[]);
+    let restarted = ejected[0].clone().with_started_ms(Some(5_000));
+    assert!(!host.controller.ejected().contains(&restarted));
 }
 
 /// Symptom: a host sends prompts to an engine that has read none of them, or keeps away
 /// from it. Events: notes under way tell of the earlier incarnation. Cause: notes name
 /// upstreams without their start.
 #[test]
-fn notes_of_an_earlier_incarnation_say_nothing_of_the_later_one() {
+fn notes_about_an_earlier_incarnation_do_not_apply_to_the_later_one() {
     let mut hosts = [Host::new(0), Host::new(1)];
     for host in &mut hosts {
         host.pass(100);
@@ -97,7 +97,7 @@
     exchange_notes(&mut hosts);
     let home = sent(&hosts[0].ask(prompt()).1).unwrap().upstream;
     hosts[0].pass(100);
-    hosts[1].read_directory(started_again(&home, 5_000), &[]);
+    hosts[1].read_directory(with_restarted(&home, 5_000), &[]);
     let advertised = hosts[0].take_notes();
     let (_, mut note) = advertised
         .into_iter()
@@ -111,9 +111,9 @@
     }];
     let from = address(0);
     hosts[1].handle(Event::LoadNoteReceived { from, note });
-    let again = home.with_started_ms(Some(5_000));
+    let restarted = home.with_started_ms(Some(5_000));
     let now = hosts[1].now;
-    assert!(!hosts[1].controller.leaving(now).contains(&again));
+    assert!(!hosts[1].controller.leaving(now).contains(&restarted));
     let order = sent(&hosts[1].ask(prompt()).1).unwrap();
     assert_eq!(order.inputs.others_in_flight, 0);
 }
@@ -122,11 +122,11 @@
 /// its part. Events: it starts again while the store is away. Cause: the earlier
 /// incarnation is taken for one whose entry has lapsed.
 #[test]
-fn an_earlier_incarnation_has_not_just_lapsed() {
+fn an_earlier_incarnation_is_not_kept_as_an_expired_entry() {
     let mut host = Host::new(0);
     host.lose_directory(1_000);
     let id: UpstreamId = "shop-1".parse().unwrap();
-    host.read_directory(started_again(&id, 5_000), &[]);
+    host.read_directory(with_restarted(&id, 5_000), &[]);
     assert!(
         host.controller.leaving(host.now).contains(&id) || host.controller.in_flight(&id).is_none()
     );
--- a/crates/policy/tests/installation/knowledge.rs
+++ b/crates/policy/tests/installation/load_notes.rs
@@ -78,7 +78,7 @@
 /// or answers an earlier start of it, or speaks of another version. Cause: the
 /// age in the note is counted from its arrival.
 #[test]
-fn believes_no_note_whose_age_is_unknown() {
+fn ignores_a_note_of_unknown_age() {
     let mut host = Host::new(0);
     let frozen_at = host.now.as_us();
     host.pass(KEY_KNOWLEDGE.as_millis() as u64 + 1_000);
@@ -114,7 +114,7 @@
     let event = note(&host, None, 1);
     host.handle(event);
     host.pass(2_500);
-    assert_eq!(fetches(&host.actions), 0, "it has this one");
+    assert_eq!(fetches(&host.actions), 0, "the host has this version");
 
     let mut host = Host::new(0);
     let event = note(&host, None, 2);
@@ -140,7 +140,7 @@
 
 /// An upstream that another host knows to be leaving gets nothing new.
 #[test]
-fn believes_another_host_that_an_upstream_is_leaving() {
+fn learns_from_another_host_that_an_upstream_is_leaving() {
     let mut host = Host::new(0);
     let Event::LoadNoteReceived { from, note } = note(&host, None, 1) else {
         unreachable!("a note is a note");
@@ -157,7 +157,7 @@
 /// Symptom: a host believes an engine to be loaded by a host that ended. Events:
 /// a host tells its load and is killed. Cause: its last note counts for ever.
 #[test]
-fn forgets_the_load_of_a_host_that_fell_silent() {
+fn drops_the_load_of_a_host_that_stopped_sending_notes() {
     let mut host = Host::new(0);
     let loaded = LoadNote {
         confirmed_age_ms: None,
@@ -235,7 +235,7 @@
 /// telling each other their load. Events: many hosts, each with a load that
 /// changes all the time. Cause: the work grows with the square of the hosts.
 #[test]
-fn notes_stay_within_the_budget_of_control() {
+fn notes_stay_within_the_control_traffic_budget() {
     assert!(note_bytes_in_10_s(7) <= 10 * 25_000);
     assert!(note_bytes_in_10_s(380) <= 10 * 3_000 + 380 * 200);
 }
@@ -245,14 +245,14 @@
 /// anything to do, the other one asks the store every 1.8 s. Cause: their notes come
 /// once a second, and each counts from the note that it answers.
 #[test]
-fn an_idle_host_that_the_store_turns_away_goes_on_by_one_neighbor() {
-    const ASKS_EVERY_MS: u64 = 1_800;
+fn an_idle_host_without_the_store_relies_on_one_neighbor() {
+    const CONFIRMATION_INTERVAL_MS: u64 = 1_800;
     let mut hosts = [Host::new(0), Host::new(1)];
     let start = hosts[0].now;
     for ms in (0..20_000).step_by(10) {
         let now = start.plus_ms(ms);
-        if ms % ASKS_EVERY_MS == 0 {
-            let as_of = start.plus_ms(ms.saturating_sub(ASKS_EVERY_MS));
+        if ms % CONFIRMATION_INTERVAL_MS == 0 {
+            let as_of = start.plus_ms(ms.saturating_sub(CONFIRMATION_INTERVAL_MS));
             hosts[0].now = now;
             hosts[0].handle(Event::ConfigurationConfirmed { as_of });
         }
--- a/crates/policy/tests/installation/main.rs
+++ b/crates/policy/tests/installation/main.rs
@@ -3,15 +3,14 @@
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod attempts;
-mod brittle;
-mod costs;
+mod brittle_replicas;
 mod crashes;
 mod early_refusal;
-mod engine_world;
+mod engine_simulation;
 mod fleet;
+mod host_costs;
 mod incarnations;
-mod knowledge;
-mod named_limits;
+mod load_notes;
 mod newer_configuration;
 mod notices;
 mod overload;
@@ -19,6 +18,7 @@
 mod placement;
 mod prompt_transfers;
 mod reach;
+mod upstream_limits;
 
 mod refusals;
 mod retries_of_many;
--- a/crates/policy/tests/installation/notices.rs
+++ b/crates/policy/tests/installation/notices.rs
@@ -264,15 +264,18 @@
             fleet.hosts[host].handle(Event::DirectoryLost);
         }
         let load = [("lookup", 60.0)];
-        fleet.pass(Duration::from_secs(1), &load);
+        fleet.advance(Duration::from_secs(1), &load);
         fleet.leaving.insert(replica(0));
-        fleet.pass(Duration::from_millis(500), &load);
+        fleet.advance(Duration::from_millis(500), &load);
         let from = fleet.now;
         let datagrams = fleet.datagrams;
-        fleet.pass(Duration::from_secs(3), &load);
-        assert_eq!(fleet.reached_from(&replica(0), from), 0, "{hosts} hosts");
-        assert_eq!(fleet.after_left(&replica(0), Duration::ZERO), 0);
-        let counts = fleet.of("lookup");
+        fleet.advance(Duration::from_secs(3), &load);
+        assert_eq!(fleet.requests_since(&replica(0), from), 0, "{hosts} hosts");
+        assert_eq!(
+            fleet.requests_after_leaving_notice(&replica(0), Duration::ZERO),
+            0
+        );
+        let counts = fleet.counts_of("lookup");
         assert_eq!(counts.refused, 0, "{hosts} hosts");
         // Two more times by the host that was notified first, and the usual notes.
         let each = (fleet.datagrams - datagrams) as f64 / hosts as f64;
@@ -284,13 +287,16 @@
 #[test]
 fn a_leaving_binds_each_host_that_was_notified_itself_though_datagrams_are_lost() {
     let mut fleet = Fleet::new(20, 4, 3);
-    fleet.lost = 1.0;
+    fleet.datagram_loss = 1.0;
     let load = [("lookup", 200.0)];
-    fleet.pass(Duration::from_secs(1), &load);
+    fleet.advance(Duration::from_secs(1), &load);
     fleet.leaving.insert(replica(0));
-    fleet.pass(Duration::from_secs(4), &load);
-    assert_eq!(fleet.after_left(&replica(0), Duration::ZERO), 0);
-    assert_eq!(fleet.of("lookup").refused, 0);
+    fleet.advance(Duration::from_secs(4), &load);
+    assert_eq!(
+        fleet.requests_after_leaving_notice(&replica(0), Duration::ZERO),
+        0
+    );
+    assert_eq!(fleet.counts_of("lookup").refused, 0);
 }
 
 /// Guards against requests to an upstream that has refused one and wants nothing for a while.
@@ -487,20 +493,20 @@
     for (hosts, per_s) in [(6, 60.0), (66, 300.0), (381, 600.0)] {
         let mut fleet = Fleet::new(hosts, 4, 1);
         let load = [("lookup", per_s)];
-        fleet.pass(Duration::from_millis(500), &load);
+        fleet.advance(Duration::from_millis(500), &load);
         fleet.refusing.insert(replica(0), Duration::from_secs(2));
-        fleet.pass(Duration::from_secs(3), &load);
-        assert_eq!(fleet.most_in_backoff(), 0, "{hosts} hosts");
+        fleet.advance(Duration::from_secs(3), &load);
+        assert_eq!(fleet.max_requests_in_backoff(), 0, "{hosts} hosts");
         // A repeat at another replica needs a token of the retry budget, of which each of many
         // hosts has a small part; who is not refused is never held up.
-        let counts = fleet.of("lookup");
+        let counts = fleet.counts_of("lookup");
         assert!(
             counts.refused * 100 <= counts.sent,
             "{hosts} hosts: {}",
             counts.refused
         );
         let held = counts
-            .lasted
+            .response_times
             .iter()
             .filter(|lasted| lasted.as_millis() > 100);
         assert_eq!(held.count(), 0, "{hosts} hosts");
@@ -516,17 +522,17 @@
     for host in 0..HOSTS {
         fleet.ask(host, "lookup");
     }
-    fleet.pass(Duration::from_millis(100), &[]);
+    fleet.advance(Duration::from_millis(100), &[]);
     assert_eq!(fleet.backoffs.len(), HOSTS);
     fleet.refusing.clear();
     let from = fleet.now;
     for host in 0..HOSTS {
         fleet.ask(host, "lookup");
     }
-    fleet.pass(Duration::from_millis(3_000), &[]);
+    fleet.advance(Duration::from_millis(3_000), &[]);
     let arrived = |span: std::ops::Range<u64>| {
-        let reached = fleet.reached.iter().map(|reached| reached.at.since(from));
-        reached
+        let times = fleet.received.iter().map(|request| request.at.since(from));
+        times
             .filter(|at| span.contains(&(at.as_millis() as u64)))
             .count()
     };
