--- a/crates/policy/tests/installation/brittle_replicas.rs
+++ b/crates/policy/tests/installation/brittle_replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas that fall over when they have to reject more than so many requests a second.
+//! Brittle replicas: they crash if they have to reject more than a number of requests per second.
 
 use {
     crate::{
@@ -13,22 +13,22 @@
 /// Slots of a replica.
 const SLOTS: usize = 6;
 
-/// Time in which a replica answers, on average.
+/// Average time in which a replica responds.
 const RESPONSE_TIME: Duration = Duration::from_millis(120);
 
-/// Time in which hosts learn that replicas are brittle.
+/// Time that hosts get to learn that replicas are brittle.
 const LEARNING_TIME: Duration = Duration::from_secs(2);
 
-/// Time for which they are.
+/// Duration of a measured run with brittle replicas.
 const RUN_DURATION: Duration = Duration::from_secs(15);
 
-/// Falls that are borne in one such time, a part of what an installation allows.
+/// Crashes allowed in one run, a part of what an installation allows.
 const MAX_CRASHES: usize = 2 + REPLICAS / 20;
 
-/// Part of the first tries that are served as if replicas were not brittle.
+/// Share of the requests that has to be served, compared with replicas that are not brittle.
 const MIN_SERVED_SHARE: f64 = 0.9;
 
-/// Hosts at which as much is asked as is usual, before replicas are brittle.
+/// Returns hosts under a usual load of half the capacity, with replicas that are not yet brittle.
 fn warmed_up(hosts: usize, seed: u64) -> World {
     let mut world = World::with_slots(hosts, SLOTS, seed);
     world.answer = RESPONSE_TIME;
@@ -36,13 +36,14 @@
     world
 }
 
-/// Requests a second at a host, for a part of what all replicas can do.
+/// Requests per second and host that add up to a share of the capacity of all replicas.
 fn requests_per_host_s(hosts: usize, load: f64) -> f64 {
     let per_s = (REPLICAS * SLOTS) as f64 / RESPONSE_TIME.as_secs_f64();
     per_s * load / hosts as f64
 }
 
-/// Lets replicas say that they are brittle, and fewer wait there a little later.
+/// Makes the replicas report that they are brittle, and removes their queues when the hosts have
+/// learned of it.
 fn become_brittle(world: &mut World, rejections_per_s: f64, load: f64) {
     let hosts = world.hosts.len();
     for replica in &mut world.replicas {
@@ -52,8 +53,8 @@
     world.make_brittle(&World::all_replicas(), Some(rejections_per_s));
 }
 
-/// Falls, and the part of the first tries that were served, while so much is asked of what the
-/// replicas can do.
+/// Runs a load, given as a share of the capacity. Returns the crashes and the share of the requests
+/// that were served.
 fn run_load(world: &mut World, load: f64) -> (usize, f64) {
     let (from, crashes) = (world.now, world.falls());
     let hosts = world.hosts.len();
@@ -65,7 +66,8 @@
     )
 }
 
-/// Guards against replicas that fall over again and again as hosts go on asking full ones.
+/// Guards against replicas that crash again and again because hosts keep sending requests to full
+/// replicas.
 #[test]
 fn brittle_replicas_survive_and_serve_as_much_as_others() {
     for load in [0.9, 1.5, 3.0] {
@@ -84,7 +86,8 @@
     }
 }
 
-/// Guards against queues at replicas that were full before they were known to be brittle.
+/// Guards against crashes by the requests that already wait at full replicas when the hosts learn
+/// that the replicas are brittle.
 #[test]
 fn replicas_that_become_brittle_during_a_burst_survive() {
     for seed in 0..4 {
@@ -96,7 +99,7 @@
     }
 }
 
-/// Guards against hosts that take the part of those which they do not observe.
+/// Guards against hosts that use the share of hosts which they no longer observe.
 #[test]
 fn brittle_replicas_survive_while_hosts_end_and_others_are_isolated() {
     for seed in 0..4 {
@@ -109,7 +112,7 @@
     }
 }
 
-/// Guards against a rule for some that binds all.
+/// Guards against applying the rules for brittle replicas to the replicas that are not brittle.
 #[test]
 fn replicas_that_are_not_brittle_are_used_beyond_a_hosts_share() {
     let mut world = warmed_up(8, 3);
@@ -123,7 +126,7 @@
     assert!(served >= MIN_SERVED_SHARE, "{served:.3}");
 }
 
-/// Guards against a caution that outlasts its reason.
+/// Guards against applying the rules for brittle replicas to those that are no longer brittle.
 #[test]
 fn replicas_that_are_no_longer_brittle_are_used_as_before() {
     let mut world = warmed_up(8, 5);
@@ -135,7 +138,8 @@
     assert!(served >= MIN_SERVED_SHARE, "{served:.3}");
 }
 
-/// Guards against shares too small to serve anybody where hosts are about as many as slots.
+/// Guards against shares that are too small to serve any request, where there are about as many
+/// hosts as slots.
 #[test]
 fn brittle_replicas_serve_as_much_with_as_many_hosts_as_slots() {
     let (_, usual) = run_load(&mut warmed_up(66, 7), 1.5);
@@ -149,7 +153,7 @@
     );
 }
 
-/// Guards against hosts without a slot of their own that all ask at once.
+/// Guards against hosts without a slot of their own that all send requests at the same time.
 #[test]
 fn brittle_replicas_survive_more_hosts_than_slots() {
     for hosts in [100, 200] {
@@ -161,7 +165,7 @@
     }
 }
 
-/// Guards against a division of slots that are none, as all brittle upstreams are gone.
+/// Guards against a division by zero slots when all brittle upstreams are removed.
 #[test]
 fn all_brittle_upstreams_can_be_removed_while_requests_run_there() {
     let mut host = Host::new(0);
--- a/crates/policy/tests/installation/early_refusal.rs
+++ b/crates/policy/tests/installation/early_refusal.rs
@@ -1,5 +1,5 @@
-//! Requests that are not expected to end within their callers' limits are refused at once, and
-//! come back.
+//! Requests that are not expected to end within the time limits of their callers are refused at
+//! once, and the callers retry them.
 
 use {
     crate::{
@@ -14,13 +14,13 @@
 const HOSTS: usize = 24;
 const ENGINES: usize = 30;
 
-/// Requests a second of each class, the most urgent first.
+/// Requests per second of each class, the most urgent first.
 const NORMAL_LOAD: [f64; 3] = [60.0, 30.0, 30.0];
 const BURST_LOAD: [f64; 3] = [60.0, 30.0, 300.0];
 
 const WARM_UP: Duration = Duration::from_secs(2);
 const BURST_DURATION: Duration = Duration::from_secs(10);
-/// Longer than the callers' limit.
+/// Longer than the time limit of the callers, so that all requests of the burst have ended.
 const RECOVERY_DURATION: Duration = Duration::from_secs(10);
 
 fn run_burst(simulation: &mut EngineSimulation) -> [Counts; 3] {
@@ -30,7 +30,8 @@
     simulation.counts
 }
 
-/// More urgent classes lose nothing, and few of the least urgent one are lost at engines.
+/// Asserts that no request of the more urgent classes timed out or was refused, that at most a
+/// tenth of the least urgent class timed out, and that at least half of that class was served.
 fn assert_few_timeouts(counts: &[Counts; 3]) {
     let [question, draft, summary] = counts;
     for urgent in [question, draft] {
@@ -40,7 +41,8 @@
     assert!(2 * summary.served >= summary.arrived, "{summary:?}");
 }
 
-/// Most of those that are refused, and come back, are served.
+/// Asserts that some requests were refused, and that most requests and retries of the least urgent
+/// class were served.
 fn assert_retries_served(counts: &[Counts; 3]) {
     let [.., summary] = counts;
     assert!(summary.refused > 0, "{summary:?}");
@@ -48,8 +50,8 @@
     assert!(2 * summary.retries_served >= summary.retried, "{summary:?}");
 }
 
-/// Guards against engines that work for callers who have left in a burst of the least urgent
-/// class.
+/// Guards against engines that process requests whose callers have already left, during a burst of
+/// the least urgent class.
 #[test]
 fn requests_refused_early_in_a_burst_are_retried_and_served() {
     let mut simulation = EngineSimulation::new(HOSTS, ENGINES, 1);
@@ -57,12 +59,12 @@
     let counts = run_burst(&mut simulation);
     assert_few_timeouts(&counts);
     assert_retries_served(&counts);
-    // Larger prompts are served at no lesser share than the others.
+    // The served share of the larger prompts is at least half that of the smaller ones.
     let [(small, small_served), (large, large_served)] = simulation.least_urgent_by_size;
     assert!(2 * large_served * small >= small_served * large);
 }
 
-/// Guards against callers with a short limit who are all taken for ones that came back.
+/// Guards against taking all callers with a short time limit for callers that retry.
 #[test]
 fn callers_with_different_time_limits_are_refused_alike() {
     let mut simulation = EngineSimulation::new(HOSTS, ENGINES, 7);
@@ -71,7 +73,8 @@
     assert_few_timeouts(&run_burst(&mut simulation));
 }
 
-/// Guards against a level that rests on notes alone, where no host hears another.
+/// Guards against an admission level that is based on load notes alone: without notes, hosts have
+/// to use their own requests.
 #[test]
 fn hosts_without_notes_refuse_by_their_own_requests() {
     let mut simulation = EngineSimulation::new(HOSTS, ENGINES, 2);
@@ -80,7 +83,8 @@
     assert_few_timeouts(&run_burst(&mut simulation));
 }
 
-/// Guards against notes that go on counting after their senders fell silent in a burst.
+/// Guards against load notes that still count long after their senders stopped sending during a
+/// burst.
 #[test]
 fn stale_notes_cause_no_refusals() {
     let mut simulation = EngineSimulation::new(HOSTS, ENGINES, 3);
@@ -91,7 +95,8 @@
     assert_no_refusals(&mut simulation);
 }
 
-/// Guards against hosts that start in a burst and refuse, or take, what the others don't.
+/// Guards against hosts that start during a burst and refuse requests that the others accept, or
+/// accept those that the others refuse.
 #[test]
 fn hosts_started_in_a_burst_refuse_like_the_others() {
     let mut simulation = EngineSimulation::new(HOSTS, ENGINES, 4);
@@ -107,7 +112,7 @@
     assert!(8 * summary.timed_out <= summary.arrived, "{summary:?}");
 }
 
-/// Guards against a level that stays low once lost engines are back.
+/// Guards against an admission level that stays low after stopped engines have recovered.
 #[test]
 fn the_admission_level_recovers_after_an_engine_outage() {
     let mut simulation = EngineSimulation::new(HOSTS, ENGINES, 5);
@@ -123,12 +128,12 @@
     assert_no_refusals(&mut simulation);
 }
 
-/// Guards against refusals while half of the places are free.
+/// Guards against refusals while half of the engine capacity is free.
 #[test]
 fn no_request_is_refused_while_engines_have_capacity() {
     let mut simulation = EngineSimulation::new(HOSTS, ENGINES, 6);
     simulation.advance(WARM_UP, NORMAL_LOAD);
-    // Many at once, which engines can begin in time.
+    // A short burst, whose requests the engines can start in time.
     simulation.advance(Duration::from_millis(300), BURST_LOAD);
     assert_no_refusals(&mut simulation);
     let refused: usize = simulation.counts.iter().map(|counts| counts.refused).sum();
@@ -141,8 +146,8 @@
     assert_eq!(simulation.counts.map(|counts| counts.refused), before);
 }
 
-/// Guards against a request that was sent and is answered as not run, when its engine's failure
-/// comes late or its caller has left.
+/// Guards against a request that was sent to an engine and is then refused as not run, because the
+/// failure of the engine is detected late or the caller has left.
 #[test]
 fn sent_requests_are_never_refused_as_not_run() {
     let ask = || Ask::prompt("summary", "shop-key", &[(1, 12_000), (2, 3_000)]);
--- a/crates/policy/tests/installation/engine_simulation.rs
+++ b/crates/policy/tests/installation/engine_simulation.rs
@@ -1,5 +1,5 @@
-//! Hosts that tell each other their load, before engines that read cold documents, and callers
-//! that leave at their limit and come back once after a refusal.
+//! Simulates hosts that exchange load notes and send prompts to engines. Callers cancel at their
+//! time limit, and retry once after an early refusal.
 
 use {
     crate::support::{Ask, Host, TIME_LIMIT, address, engines},
@@ -12,27 +12,31 @@
     types::prelude::*,
 };
 
-/// Prompts that an engine works on at a time, and that wait there beyond those.
+/// Prompts that an engine processes concurrently.
 const ENGINE_SLOTS: usize = 8;
+/// Prompts that can wait at an engine beyond its slots.
 const ENGINE_QUEUE_LIMIT: usize = 64;
 
-/// Prompt tokens that an engine reads in a step.
+/// Prompt tokens that an engine prefills per simulation step.
 const PREFILL_TOKENS_PER_STEP: u32 = 1_000;
 
 const STEP_MS: u64 = 10;
 const START_UNIX_MS: u64 = 1_700_000_000_000;
 
-/// A class: what it is called, which team sends it, its documents and their tokens, the time of
-/// an answer once its prompt is read.
+/// A request class and the load that its callers generate.
 pub struct RequestClass {
     pub name: &'static str,
+    /// API key of the team that sends the requests.
     pub key: &'static str,
+    /// Number of different documents that prompts of the class start with.
     pub documents: u64,
+    /// Tokens of a document.
     pub tokens: u32,
+    /// Time from the end of the prefill to the end of the response.
     pub answer_ms: u64,
 }
 
-/// The most urgent first.
+/// The classes, the most urgent first.
 pub const CLASSES: [RequestClass; 3] = [
     RequestClass {
         name: "question",
@@ -57,21 +61,23 @@
     },
 ];
 
-/// One caller's request.
+/// A caller with one request.
 #[derive(Clone, Debug)]
 struct Caller {
     is_retry: bool,
     deadline: Time,
     document: u64,
+    /// Index in [`CLASSES`].
     class: usize,
     number: u64,
     unique_tokens: u32,
 }
 
+/// An attempt of a request that waits or runs at an engine.
 #[derive(Clone, Debug)]
 struct EngineAttempt {
     attempt: AttemptId,
-    /// When its answer ends; `None` before its prompt is read.
+    /// When the response ends; `None` until the prefill is complete.
     ends_at: Option<Time>,
     host: usize,
     is_running: bool,
@@ -86,33 +92,34 @@
     placed: Vec<EngineAttempt>,
 }
 
-/// What became of the requests of a class.
+/// Outcomes of the requests of a class.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub arrived: usize,
-    /// Not answered within the limit, at an engine.
+    /// Requests sent or queued whose caller reached its time limit before the response ended.
     pub timed_out: usize,
-    /// Refused for want of time, the first time.
+    /// First attempts of callers that were refused because too little time was left.
     pub refused: usize,
-    /// Came back after it.
+    /// Retries that callers sent after such a refusal.
     pub retried: usize,
-    /// Served after they came back.
+    /// Served retries.
     pub retries_served: usize,
     pub served: usize,
 }
 
 pub struct EngineSimulation {
     pub counts: [Counts; CLASSES.len()],
-    /// Hosts that receive no notes.
+    /// Hosts that neither send nor receive load notes.
     pub hosts_without_notes: BTreeSet<usize>,
     pub hosts: Vec<Host>,
+    /// Number of engines that process nothing and refuse new requests.
     pub stopped_engines: usize,
-    /// Whether callers wait for half of the time to all of it, instead of all of it.
+    /// Whether each caller waits for a random part of the time limit, from half to all of it.
     pub random_time_limits: bool,
-    /// By size of prompt, those of the least urgent class that came and were served: smaller
-    /// half, larger half.
+    /// Arrived and served requests of the least urgent class: those with the smaller prompts, then
+    /// those with the larger ones.
     pub least_urgent_by_size: [(usize, usize); 2],
-    /// Requests refused as not run though something of them was sent.
+    /// Requests that were refused as not run although an engine had accepted them.
     pub false_not_run: usize,
     callers: BTreeMap<(usize, RequestId), Caller>,
     engines: BTreeMap<UpstreamId, Engine>,
@@ -170,7 +177,7 @@
         self.hosts[0].now
     }
 
-    /// Starts a host anew; the callers of its requests are gone.
+    /// Restarts a host. The callers of its requests are gone.
     pub fn restart(&mut self, number: usize) {
         let mut host = self.start_host(number, self.hosts.len());
         host.now = self.now();
@@ -184,14 +191,15 @@
         }
     }
 
-    /// Lets time pass, with so many requests a second of each class over all hosts.
+    /// Runs the simulation for a while, with `per_s` requests per second of each class over all
+    /// hosts.
     pub fn advance(&mut self, span: Duration, per_s: [f64; CLASSES.len()]) {
         let steps = span.as_millis() as u64 / STEP_MS;
         for _ in 0..steps {
             for host in 0..self.hosts.len() {
                 let now = self.hosts[host].now.plus_ms(STEP_MS);
                 self.hosts[host].now = now;
-                // Knowledge of the configuration is not what is looked at.
+                // Keeps the configuration current, so that no request is refused for a stale one.
                 self.deliver_event(host, Event::ConfigurationConfirmed { as_of: now });
                 self.deliver_event(host, Event::Ticked);
             }
@@ -322,7 +330,7 @@
         let is_stopped = self.is_stopped(&order.upstream);
         let engine = self.engines.get_mut(&order.upstream).unwrap();
         if is_stopped || engine.placed.len() >= ENGINE_SLOTS + ENGINE_QUEUE_LIMIT {
-            // Its host learns at once that it did not run.
+            // The engine refuses the request at once, and the host learns that it did not run.
             let (cause, verdict) = (FailureCause::Busy, Verdict::NotRun);
             self.sent.remove(&(host, request));
             let actions = self.hosts[host].fail(order, request, cause, verdict, false);
@@ -351,7 +359,7 @@
         lost.into_iter().any(|lost| lost == id)
     }
 
-    /// Engines end, begin the most urgent that wait, and read.
+    /// Completes finished responses, starts the most urgent waiting prompts and prefills prompts.
     fn run_engines(&mut self) {
         let now = self.now();
         let mut events = Vec::new();
@@ -440,7 +448,7 @@
         );
     }
 
-    /// Callers leave at their limit.
+    /// Cancels the requests of callers whose time limit has passed.
     fn expire_callers(&mut self) {
         let now = self.now();
         let late = self
@@ -457,7 +465,8 @@
 }
 
 impl Caller {
-    /// Whether it is in the smaller or the larger half of its class.
+    /// Returns 0 for a caller with a smaller prompt of its class and 1 for one with a larger
+    /// prompt.
     fn size_half(&self) -> usize {
         usize::from(self.unique_tokens >= CLASSES[self.class].tokens / 4)
     }
--- a/crates/policy/tests/installation/fleet.rs
+++ b/crates/policy/tests/installation/fleet.rs
@@ -1,5 +1,6 @@
-//! Many hosts before the replicas of a service, in virtual time: datagrams between hosts take
-//! a moment and may be lost, replicas answer by a script, and what reaches them is counted.
+//! Simulates many hosts and the replicas of a service in virtual time. Datagrams between hosts are
+//! delayed and may be lost, replicas respond as configured, and the requests that reach them are
+//! recorded.
 
 use {
     crate::support::{Ask, Host, address},
@@ -13,10 +14,10 @@
     types::{AdvertisedBackoff, AdvertisedLimit, prelude::*},
 };
 
-/// Time of a datagram between two hosts.
+/// Delay of a datagram between two hosts.
 const DATAGRAM_DELAY: Duration = Duration::from_millis(2);
 
-/// Bytes of a datagram's headers.
+/// IP and UDP headers of a datagram.
 const DATAGRAM_HEADER_BYTES: usize = 28;
 
 /// Time between two ticks of a host.
@@ -25,16 +26,18 @@
 /// Time between two confirmations of the configuration.
 const CONFIRMATION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time after a disturbance for which a host is out of touch.
+/// Time after a disturbance during which the requests of a host are not counted against a limit,
+/// because the host may be out of touch with the others.
 const RECOVERY_TIME: Duration = Duration::from_secs(4);
 
-/// Time in which a replica answers.
+/// Time in which a replica responds.
 const RESPONSE_TIME: Duration = Duration::from_millis(30);
 
-/// Port of the hosts, apart from those of upstreams.
+/// Number of the first host address. The addresses of replicas start far above, so that the two
+/// never overlap.
 pub const HOST_ADDRESS_OFFSET: usize = 0;
 
-/// Something that is due at a moment.
+/// An event that is scheduled for a point in virtual time.
 enum ScheduledEvent {
     Response {
         host: usize,
@@ -47,55 +50,55 @@
     },
 }
 
-/// A request as it reached a replica.
+/// A request that a replica received.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     pub at: Time,
     pub host: usize,
-    /// When this replica had named a limit to that host first.
+    /// When the host first received a response of this replica that named a limit.
     pub limit_known_since: Option<Time>,
     pub upstream: UpstreamId,
 }
 
-/// What callers got.
+/// Outcomes of the requests of a class.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     pub refused: usize,
     pub sent: usize,
     pub served: usize,
-    /// Times from arrival to the end of refused requests.
+    /// Times from the arrival of a request to its refusal.
     pub refusal_delays: Vec<Duration>,
-    /// Times from arrival to the end of served requests.
+    /// Times from the arrival of a request to the end of its response.
     pub response_times: Vec<Duration>,
 }
 
 pub struct Fleet {
-    /// Hosts that were disturbed, and when.
+    /// Hosts that were restarted, frozen, thawed, isolated or reconnected, and when.
     pub disturbed: Vec<(usize, Time)>,
-    /// Hosts whose datagrams get nowhere.
+    /// Hosts that exchange datagrams only with each other.
     pub cut_off_hosts: BTreeSet<usize>,
-    /// Hosts that do nothing now.
+    /// Hosts that currently process nothing.
     pub frozen: BTreeSet<usize>,
     pub counts: BTreeMap<&'static str, Counts>,
     pub datagrams: usize,
     pub hosts: Vec<Host>,
-    /// Replicas that say that they leave.
+    /// Replicas whose responses say that they are leaving.
     pub leaving: BTreeSet<UpstreamId>,
-    /// What each replica names now.
+    /// Limit in requests per second that each replica currently names.
     pub limits: BTreeMap<UpstreamId, f64>,
-    /// Replicas that refuse requests, and for how long they want none then.
+    /// Replicas that refuse requests, and the backoff that they ask for.
     pub refusing: BTreeMap<UpstreamId, Duration>,
-    /// Backoffs that hosts were asked for: host, replica, from when, until when.
+    /// Backoffs that replicas asked hosts for: host, replica, start and end.
     pub backoffs: Vec<(usize, UpstreamId, Time, Time)>,
-    /// Part of the datagrams that is lost.
+    /// Share of the datagrams that is lost.
     pub datagram_loss: f64,
     pub now: Time,
     pub received: Vec<ReceivedRequest>,
-    /// Bytes of questions for tokens and of answers to them.
+    /// Bytes of token requests and of their answers.
     pub token_bytes: usize,
     arrivals: BTreeMap<(usize, RequestId), (Time, &'static str)>,
     scheduled: BTreeMap<(Time, u64), ScheduledEvent>,
-    /// When a host got an answer first that said that its replica leaves.
+    /// When a host first received a response that said that the replica is leaving.
     leave_known_since: BTreeMap<(usize, UpstreamId), Time>,
     next_number: u64,
     replicas: usize,
@@ -160,7 +163,7 @@
         host
     }
 
-    /// Starts a host anew; it knows nothing of before.
+    /// Restarts a host, which loses all its state.
     pub fn restart(&mut self, number: usize) {
         self.note_disturbance(number);
         let mut host = self.start(number, self.hosts.len());
@@ -180,7 +183,7 @@
         });
     }
 
-    /// Stops a host, as if its processor stood still.
+    /// Freezes a host: it processes no event until it is thawed.
     pub fn freeze(&mut self, number: usize) {
         self.note_disturbance(number);
         self.frozen.insert(number);
@@ -197,7 +200,7 @@
         }
     }
 
-    /// Cuts some hosts off from the others.
+    /// Cuts hosts off from the others. The isolated hosts still reach each other.
     pub fn isolate(&mut self, hosts: &[usize]) {
         for host in hosts {
             self.note_disturbance(*host);
@@ -215,13 +218,14 @@
         self.disturbed.push((host, self.now));
     }
 
-    /// Whether a host is out of touch at a moment.
+    /// Whether a host was disturbed shortly before `at`.
     fn is_recovering(&self, host: usize, at: Time) -> bool {
         let mut own = self.disturbed.iter().filter(|(other, _)| *other == host);
         own.any(|(_, from)| at >= *from && at.since(*from) < RECOVERY_TIME)
     }
 
-    /// Lets time pass, with so many requests a second of each class over all hosts.
+    /// Runs the simulation for a while, with so many requests per second of each class over all
+    /// hosts.
     pub fn advance(&mut self, span: Duration, per_s: &[(&'static str, f64)]) {
         let end = self.now + span;
         while self.now < end {
@@ -264,7 +268,7 @@
         self.apply_actions(host);
     }
 
-    /// Does what is due before a moment.
+    /// Runs the events that are scheduled before `until`.
     fn run_scheduled(&mut self, until: Time) {
         while let Some(entry) = self.scheduled.first_entry() {
             let (at, _) = *entry.key();
@@ -446,13 +450,13 @@
         self.scheduled.insert((at, self.next_number), scheduled);
     }
 
-    /// Requests of one class.
+    /// Returns the outcomes of the requests of a class.
     pub fn counts_of(&self, class: &'static str) -> Counts {
         self.counts.get(class).cloned().unwrap_or_default()
     }
 
-    /// Requests that reached a replica from hosts that it had notified half a second before or
-    /// earlier.
+    /// Returns when a replica received requests from hosts that had known its limit for at least
+    /// half a second. Requests of recovering hosts are left out.
     pub fn request_times_under_limit(&self, upstream: &UpstreamId) -> Vec<Time> {
         let requests = self.received.iter().filter(|request| {
             let effective_from = request
@@ -466,8 +470,8 @@
         requests.map(|request| request.at).collect()
     }
 
-    /// Requests that reached a replica from hosts that it had notified so long before that it
-    /// leaves.
+    /// Counts the requests that a replica received from hosts later than `span` after it told them
+    /// that it is leaving.
     pub fn requests_after_leaving_notice(&self, upstream: &UpstreamId, span: Duration) -> usize {
         let requests = self.received.iter().filter(|request| {
             let since = self
@@ -478,8 +482,8 @@
         requests.count()
     }
 
-    /// The most requests that reached a replica from a host that it had asked for a backoff,
-    /// between half a second after that and its end.
+    /// Returns the maximum number of requests that a replica received during one backoff from the
+    /// host that it had asked for the backoff. The first half second of a backoff is left out.
     pub fn max_requests_in_backoff(&self) -> usize {
         let counts = self.backoffs.iter().map(|(host, upstream, from, until)| {
             let from = *from + Duration::from_millis(500);
@@ -492,14 +496,15 @@
         counts.max().unwrap_or_default()
     }
 
-    /// Requests that reached a replica from a moment on.
+    /// Counts the requests that a replica received from `from` on.
     pub fn requests_since(&self, upstream: &UpstreamId, from: Time) -> usize {
         let requests = self.received.iter();
         let requests = requests.filter(|request| request.upstream == *upstream);
         requests.filter(|request| request.at >= from).count()
     }
 
-    /// The most of them in some four seconds.
+    /// Returns the maximum number of requests under a limit that a replica received in any 4
+    /// seconds.
     pub fn max_requests_in_4_s(&self, upstream: &UpstreamId) -> usize {
         let times = self.request_times_under_limit(upstream);
         let span = Duration::from_secs(4);
--- a/crates/policy/tests/installation/host_costs.rs
+++ b/crates/policy/tests/installation/host_costs.rs
@@ -1,5 +1,5 @@
-//! What one host knows, keeps and sends by the size of its installation, in virtual time: ten
-//! upstreams and one request a second for each host.
+//! What one host stores and sends, by the size of the installation, in virtual time. Each host has
+//! ten upstreams and one request per second.
 
 use {
     crate::support::{Ask, Host, address, sent},
@@ -16,27 +16,28 @@
 
 const DOMAINS: [&str; 5] = ["north-a", "north-b", "north-c", "north-d", "north-e"];
 
-/// Bytes of a datagram's headers.
+/// IP and UDP headers of a datagram.
 const DATAGRAM_HEADER_BYTES: usize = 28;
 
 const HOSTS_TOKEN: &str = "hosts-of-the-test";
 
-/// Span in which messages are counted.
+/// Time during which messages are counted.
 const COUNTING_DURATION: Duration = Duration::from_secs(60);
 
-/// What a host costs; all of it must not grow with the installation.
+/// The costs of a host, none of which may grow with the installation.
 #[derive(Clone, Copy, Debug, Default)]
 struct Costs {
-    /// Upstreams that it knows.
+    /// Upstreams that the host knows.
     known_upstreams: usize,
-    /// Hosts that it exchanges notes with.
+    /// Hosts to which the host sends load notes.
     note_partners: usize,
     note_bytes_per_s: usize,
     notes_per_min: usize,
-    /// Datagrams by which it tells of one upstream that leaves, and of one crash.
+    /// Datagrams that announce one leaving upstream.
     leaving_datagrams: usize,
+    /// Datagrams that announce one crash.
     crash_datagrams: usize,
-    /// Datagrams by which it tells of a version.
+    /// Datagrams that announce a configuration version.
     version_datagrams: usize,
 }
 
@@ -64,7 +65,8 @@
     peers.collect()
 }
 
-/// An upstream of an installation: every twentieth is a replica of the plain service.
+/// An upstream of an installation. Every twentieth upstream is a service replica, the others are
+/// engines.
 fn upstream(number: usize) -> (UpstreamId, Upstream) {
     let failure_domain = DOMAINS[number / 20 % DOMAINS.len()].parse().unwrap();
     let address = address(number);
@@ -104,7 +106,7 @@
     }
 }
 
-/// Those of so many upstreams that the hosts of the first failure domain know.
+/// Returns the upstreams that hosts of the first failure domain know, out of `count` upstreams.
 fn known_upstreams_of(count: usize) -> BTreeMap<UpstreamId, Upstream> {
     let all: Vec<(UpstreamId, Upstream)> = (0..count).map(upstream).collect();
     let mut census = UpstreamCensus::default();
@@ -118,7 +120,7 @@
     upstreams.collect()
 }
 
-/// A host of an installation of so many hosts.
+/// Returns a host of an installation with `hosts` hosts.
 fn host(hosts: usize) -> Host {
     let mut host = Host::new(0);
     host.read_directory(known_upstreams_of(10 * hosts), &[]);
@@ -131,7 +133,7 @@
     host
 }
 
-/// Counts the notes that a host wants sent, and lets those who get them answer.
+/// Counts the load notes that a host sends, and delivers an answer from each recipient.
 fn exchange_notes(host: &mut Host, costs: &mut Costs, bytes: &mut usize) {
     let mut sent: Vec<(SocketAddr, LoadNote)> = Vec::new();
     for action in std::mem::take(&mut host.actions) {
@@ -155,13 +157,13 @@
     }
 }
 
-/// The host that listens at an address.
+/// Returns the host that listens at an address.
 fn host_at(listens: SocketAddr) -> HostId {
     let number = (0..).find(|number| address(*number) == listens);
     format!("host-{}", number.unwrap()).parse().unwrap()
 }
 
-/// Sends one request a second for a while.
+/// Sends one request per second, and counts the notes meanwhile.
 fn serve_requests(host: &mut Host, costs: &mut Costs) {
     let mut bytes = 0;
     for second in 0..COUNTING_DURATION.as_secs() {
@@ -181,7 +183,7 @@
     costs.note_bytes_per_s = bytes / COUNTING_DURATION.as_secs() as usize;
 }
 
-/// Datagrams that are sent in the next second.
+/// Counts the datagrams sent in the next two seconds.
 fn count_datagrams(host: &mut Host, count: impl Fn(&Action) -> usize) -> usize {
     host.pass(2_000);
     let as_of = host.now;
@@ -257,8 +259,8 @@
     costs
 }
 
-/// Guards against a host whose state, messages or work grow with the installation: beyond some
-/// size it has no time left for requests.
+/// Guards against a host whose state, messages or work grow with the installation: from some size
+/// on the host has no time left for requests.
 #[test]
 fn the_costs_of_a_host_do_not_grow_with_the_installation() {
     let sizes = [100, 300, 985, 1_970];
@@ -277,7 +279,7 @@
         panic!("four sizes")
     };
     for ((name, cost), (_, double_cost)) in single.by_name().into_iter().zip(double.by_name()) {
-        // Sizes of groups and sets vary by chance, as names decide.
+        // The names decide the sizes of the host groups and working sets, so these sizes vary.
         assert!(
             double_cost as f64 <= 1.25 * cost as f64,
             "{name} grows\n{table}"
--- a/crates/policy/tests/installation/main.rs
+++ b/crates/policy/tests/installation/main.rs
@@ -1,4 +1,5 @@
-//! The decisions of a host in an installation, without a network.
+//! Tests of the decisions of the hosts in an installation. They use no network and run in virtual
+//! time.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -18,8 +19,6 @@
 mod placement;
 mod prompt_transfers;
 mod reach;
-mod upstream_limits;
-
 mod refusals;
 mod retries_of_many;
 mod served_replica;
@@ -29,6 +28,7 @@
 mod speeds;
 mod support;
 mod unreachable;
+mod upstream_limits;
 mod upstreams;
 mod urgency;
 mod usage;
--- a/crates/policy/tests/installation/upstream_limits.rs
+++ b/crates/policy/tests/installation/upstream_limits.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name a limit for the requests of all hosts together.
+//! Upstreams that name a rate limit, which applies to the requests of all hosts together.
 
 use {
     crate::{
@@ -11,19 +11,19 @@
     types::{AdvertisedLimit, prelude::*},
 };
 
-/// Requests in four seconds that a limit allows, by the installations' bound.
+/// Requests in 4 seconds that a limit allows: one and a half times the limit, and 5 more.
 fn max_allowed_in_4_s(per_s: f64) -> usize {
     (1.5 * 4.0 * per_s + 5.0) as usize
 }
 
-/// Bytes a second that a host may send for control.
+/// Bytes per second that a host may send for coordination with other hosts.
 const CONTROL_BYTES_PER_S: usize = 3_000;
 
 const fn seconds(s: u64) -> Duration {
     Duration::from_secs(s)
 }
 
-/// Hosts before replicas, all of which name a limit from the fourth second on.
+/// Returns a fleet whose replicas all name a limit after the first 3 seconds.
 fn limited_fleet(hosts: usize, replicas: usize, per_s: f64, load: &[(&'static str, f64)]) -> Fleet {
     let mut fleet = Fleet::new(hosts, replicas, 1);
     fleet.advance(seconds(3), load);
@@ -44,18 +44,19 @@
     }
 }
 
-/// Requests that reached replicas after a moment.
+/// Counts the requests that all replicas received from `from` on.
 fn count_requests_since(fleet: &Fleet, from: Time) -> usize {
     let requests = fleet.received.iter();
     requests.filter(|request| request.at >= from).count()
 }
 
+/// An upstream names a limit, or none, in a response.
 fn respond_with_limit(host: &mut Host, upstream: &str, limit: Option<f64>) -> Vec<Action> {
     let sent = host.now;
     respond_with_limit_as_of(host, upstream, limit, sent)
 }
 
-/// An upstream names a limit, or none, in the answer to a request sent at a moment.
+/// An upstream names a limit, or none, in the response to a request sent at `sent`.
 fn respond_with_limit_as_of(
     host: &mut Host,
     upstream: &str,
@@ -89,9 +90,10 @@
     assert_eq!(counts.refused, 0);
 }
 
-/// Guards against a limit that is forgotten while the upstream's entry lapses and returns.
+/// Guards against a limit that is forgotten while the directory entry of the upstream expires and
+/// returns.
 #[test]
-fn a_limit_holds_after_the_upstreams_entry_has_lapsed_and_returned() {
+fn a_limit_holds_after_the_upstreams_entry_expired_and_returned() {
     let mut host = Host::new(0);
     let mut only = upstreams();
     only.retain(|id, _| id.name() == "shop-1");
@@ -114,7 +116,7 @@
     );
 }
 
-/// Guards against a limit that is kept by each host alone.
+/// Guards against hosts that each apply the whole limit to their own requests.
 #[test]
 fn any_number_of_hosts_keeps_small_and_large_limits() {
     for (hosts, span) in [(6, 12), (24, 10), (66, 8)] {
@@ -149,7 +151,7 @@
     assert_limits_kept(&fleet, 4, 5.0);
 }
 
-/// Guards against hosts that ask each other for tokens without end.
+/// Guards against hosts that keep requesting tokens from each other while some are unreachable.
 #[test]
 fn token_messages_are_bounded_during_a_partition() {
     let load = [("question", 10.0), ("lookup", 50.0)];
@@ -187,10 +189,13 @@
     );
     assert!(served + 2 >= sent, "{served} of {sent} urgent ones");
     let other = fleet.counts_of("lookup");
-    let mut held = other.refusal_delays[before[1].refusal_delays.len()..].to_vec();
-    held.sort_unstable();
-    let median = held[held.len() / 2];
-    assert!(median < Duration::from_millis(1_000), "held for {median:?}");
+    let mut delays = other.refusal_delays[before[1].refusal_delays.len()..].to_vec();
+    delays.sort_unstable();
+    let median = delays[delays.len() / 2];
+    assert!(
+        median < Duration::from_millis(1_000),
+        "refused after {median:?}"
+    );
     assert_limits_kept(&fleet, 3, 1.5);
 }
 
@@ -215,7 +220,8 @@
     assert_limits_kept(&fleet, 1, 10.0);
 }
 
-/// Guards against two keepers that spend a limit twice.
+/// Guards against two token issuers, one on each side of the partition, that both issue the whole
+/// limit.
 #[test]
 fn partitioned_hosts_divide_a_limit() {
     let load = [("lookup", 60.0)];
@@ -342,7 +348,7 @@
     assert_eq!(limit_change(&actions), Some((None, NoticeSource::Own)));
 }
 
-/// A series of disturbances, and the limits meanwhile.
+/// A random series of disturbances of a fleet whose replicas name limits.
 #[derive(Clone, Debug)]
 struct DisturbanceSeries {
     hosts: usize,
@@ -350,6 +356,7 @@
     per_s: f64,
     replicas: usize,
     seed: u64,
+    /// Kind and host of each disturbance.
     steps: Vec<(u8, usize)>,
 }
 
