--- a/crates/policy/tests/installation/attempts.rs
+++ b/crates/policy/tests/installation/attempts.rs
@@ -1,4 +1,4 @@
-//! When a request is sent again, and when it must not be.
+//! When a request is retried, and when it must not be retried.
 
 use {
     crate::support::{self, Ask, Host, lookup, order, refused, sent},
@@ -6,8 +6,8 @@
     types::prelude::*,
 };
 
-/// Symptom: an order runs twice. Events: the upstream's connection breaks after
-/// the request was written. Cause: it is sent again although it may have run.
+/// Guards against a request that runs twice: the connection to the upstream breaks after the
+/// request was written, and the request is retried although it may have run.
 #[test]
 fn never_retries_a_request_that_may_have_run_and_must_not_run_twice() {
     let mut host = Host::new(0);
@@ -18,8 +18,8 @@
     assert_eq!(refused(&actions).unwrap().verdict, Verdict::MayHaveRun);
 }
 
-/// One that provably did not run goes to another upstream, also if its class
-/// allows one attempt only.
+/// A request that provably did not run is retried on another upstream, even if its class allows one
+/// attempt only.
 #[test]
 fn retries_an_unsent_request_on_another_upstream() {
     let mut host = Host::new(0);
@@ -44,9 +44,8 @@
     assert!(refused(&actions).is_some());
 }
 
-/// Symptom: a lookup fails after one answer with an error, though its class allows
-/// two attempts. Events: the first upstream cannot be connected, the second one
-/// fails. Cause: an attempt that never left counts.
+/// Guards against a request that fails after one error response although its class allows two
+/// attempts: an attempt counts although the connection to its upstream failed.
 #[test]
 fn an_unsent_attempt_does_not_count_against_the_class_limit() {
     let mut host = Host::new(0);
@@ -63,14 +62,14 @@
     assert_eq!(sent(&actions), None);
 }
 
-/// Symptom: a stream that broke holds its caller until its time is over. Events: no
-/// other engine can be connected. Cause: attempts that never left do not count.
+/// Guards against a broken stream that keeps its caller waiting until the time limit: no other
+/// engine can be connected, and unsent attempts do not count against the limit of the class.
 #[test]
 fn gives_up_a_broken_stream_after_several_unreachable_engines() {
     let mut host = Host::new(0);
     let draft = || Ask::prompt("draft", "shop-key", &[(1, 500), (2, 100)]);
     for _ in 0..60 {
-        // Requests that leave plenty of retries.
+        // Raises the retry budget, which is a share of the requests.
         host.ask(draft());
     }
     let (id, actions) = host.ask(draft());
@@ -87,8 +86,8 @@
     panic!("the stream is still retried");
 }
 
-/// Repeats that some hosts make which list so many hosts, while every attempt of
-/// each of their requests fails.
+/// Counts the retries of several hosts, each of which knows `listed` hosts, while
+/// every attempt fails.
 fn retries(hosts: u64, listed: usize, requests: usize) -> usize {
     let mut retries = 0;
     for number in 0..hosts {
@@ -113,11 +112,10 @@
     retries
 }
 
-/// Symptom: upstreams get far more arrivals than requests while they fail.
-/// Events: every attempt fails for a while, on a small and on a large
-/// installation, half of whose hosts start anew meanwhile. Cause: each host
-/// repeats each request, or takes a part of the budget that rests on how many
-/// hosts it observes.
+/// Guards against retries that multiply the load on failing upstreams: every attempt fails for a
+/// while, on a small and on a large installation, half of whose hosts restart meanwhile. The budget
+/// is exceeded if each host retries each request, or if the share of a host depends on the number
+/// of hosts that it observes.
 #[test]
 fn retries_of_all_hosts_stay_within_the_budget() {
     for (hosts, listed, requests) in [(14, 7, 50), (120, 68, 10)] {
@@ -135,8 +133,8 @@
     }
 }
 
-/// Times in milliseconds of requests and of repeats, of 14 hosts that get 20 requests a
-/// second each for 10 s and then 4. Every attempt fails from 7.5 s on.
+/// Returns the times in milliseconds of the requests and of the retries of 14 hosts. Each host gets
+/// 20 requests per second for 10 s, and then 4 per second. Every attempt fails from 7.5 s on.
 fn run_falling_load() -> (Vec<u64>, Vec<u64>) {
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for seed in 0..14 {
@@ -154,7 +152,8 @@
     (requests, retries)
 }
 
-/// Whether a request is sent again, if its first attempt fails.
+/// Sends a request, lets its first attempt fail if `fails` is set, and returns whether the request
+/// is retried.
 fn retries_after_failure(host: &mut Host, fails: bool) -> bool {
     let (id, actions) = host.ask(lookup());
     let Some(first) = sent(&actions) else {
@@ -173,10 +172,10 @@
     second.is_some()
 }
 
-/// Symptom: in a window of 10 s more is sent again than the installation allows: 2,321
-/// times, 2,303 allowed. Events: a burst ends while upstreams refuse much, and all hosts
-/// spend all of their budgets. Cause: each host's own window ends with its last repeat and
-/// still holds the burst, which a later window of 10 s no longer has.
+/// Guards against more retries in a window of 10 s than the installation allows (2,321 instead of
+/// 2,303): a burst ends while upstreams refuse many requests, and all hosts spend their whole
+/// budgets. The window of a host ends with its last retry and still contains the burst, which a
+/// later window of 10 s does not.
 #[test]
 fn retries_stay_within_the_budget_of_every_window_when_the_load_falls() {
     let (requests, retries) = run_falling_load();
@@ -197,8 +196,8 @@
     assert!(retries.len() > 200, "only {} retries", retries.len());
 }
 
-/// Symptom: a caller loses the rest of a stream although its class allows it to
-/// go on elsewhere. Events: the engine breaks off after the first events.
+/// Guards against a stream that breaks after its first events and is not resumed on another engine
+/// although its class allows that.
 #[test]
 fn resumes_a_broken_stream_on_another_engine() {
     let mut host = Host::new(0);
@@ -213,7 +212,7 @@
     assert!(refused(&actions).is_some());
 }
 
-/// One whose class does not allow it is cut, and not run again.
+/// If the class does not allow a second run, a broken stream ends and is not run again.
 #[test]
 fn does_not_resume_a_stream_that_must_not_run_twice() {
     let mut host = Host::new(0);
@@ -224,11 +223,10 @@
     assert!(refused(&actions).is_some());
 }
 
-/// Symptom: one in eleven requests of a more urgent class gets nothing in five seconds of an
-/// overload, while long prompts of a less urgent one begin. Events: full engines refuse; the
-/// long ones are sent on until nothing is left of the host's retries; then a more urgent one
-/// is refused by the first engine that it meets. Cause: all classes spend one budget, who
-/// comes first.
+/// Guards against more urgent requests that get no answer in an overload (1 in 11 over 5 seconds)
+/// while long prompts of a less urgent class start: full engines refuse, the retries of the long
+/// prompts spend the budget of the host, and a more urgent request that its first engine refuses is
+/// not retried. That happens if all classes share one budget in the order of arrival.
 #[test]
 fn a_more_urgent_request_is_retried_after_less_urgent_ones_spent_the_budget() {
     let mut host = Host::new(0);
--- a/crates/policy/tests/installation/crashes.rs
+++ b/crates/policy/tests/installation/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the upstreams that run them, and innocent ones beside them.
+//! Requests that crash the upstreams that run them, and harmless requests on the same upstreams.
 
 use {
     crate::support::{Ask, Host, address, engines, lookup, refused, sent, upstreams},
@@ -16,7 +16,8 @@
 /// Time for which a request is barred.
 const BAR_DURATION_S: u64 = 600;
 
-/// A stream that must not run twice, the same each time.
+/// A request with a streamed response that must not run twice. Requests with equal bodies are
+/// identical.
 fn request_with_body(body: &'static str) -> Ask {
     Ask {
         body: Some(body.to_string()),
@@ -24,23 +25,25 @@
     }
 }
 
+/// A request that crashes upstreams.
 fn fatal_request() -> Ask {
     request_with_body("fatal")
 }
 
-/// Sends a request that is sent on.
+/// Sends a request that the host passes to an upstream at once.
 fn send(host: &mut Host, ask: Ask) -> (RequestId, SendOrder) {
     let (request, actions) = host.ask(ask);
     (request, sent(&actions).unwrap())
 }
 
-/// The connection to an upstream breaks under a request.
+/// Breaks the connection to an upstream while it runs a request.
 fn break_connection(host: &mut Host, request: RequestId, order: &SendOrder) -> Vec<Action> {
     let (cause, verdict) = (FailureCause::Reset, Verdict::MayHaveRun);
     host.fail(order, request, cause, verdict, false)
 }
 
-/// Nobody listens at an upstream's address any more; whoever else is looked at listens.
+/// Reports that an upstream no longer accepts connections, and that the other upstreams which the
+/// host then checks do.
 fn stop_listening(host: &mut Host, upstream: &UpstreamId) -> Vec<Action> {
     let mut actions = report_listening(host, upstream, Listening::No);
     for other in listening_checks(&actions) {
@@ -56,7 +59,7 @@
     })
 }
 
-/// Upstreams that are to be looked at.
+/// Returns the upstreams whose address is to be checked.
 fn listening_checks(actions: &[Action]) -> Vec<UpstreamId> {
     let checked = actions.iter().filter_map(|action| match action {
         Action::CheckListening { upstream, .. } => Some(upstream.clone()),
@@ -65,8 +68,8 @@
     checked.collect()
 }
 
-/// A request comes, and the upstream that it is sent to ends under it. The directory lists
-/// enough others.
+/// Sends a request and crashes the upstream that runs it. The directory lists enough other
+/// upstreams.
 fn crash(host: &mut Host, ask: Ask) -> UpstreamId {
     let (request, order) = send(host, ask);
     break_connection(host, request, &order);
@@ -75,7 +78,7 @@
     order.upstream
 }
 
-/// The directory is read again, and lists whatever has not ended.
+/// Reads a directory that lists all upstreams that have not crashed.
 fn read_directory_without_crashed(host: &mut Host) {
     let mut left = engines(20);
     left.extend(upstreams());
@@ -84,7 +87,7 @@
     host.read_directory(left, &[]);
 }
 
-/// Upstreams that ended under a request at this host.
+/// Returns the upstreams that crashed while they ran a request of this host.
 fn crashed_upstreams(host: &Host) -> BTreeSet<UpstreamId> {
     let crashed = host.actions.iter().filter_map(|action| match action {
         Action::NoteCrash(crash) => Some(crash.upstream.clone()),
@@ -93,7 +96,7 @@
     crashed.collect()
 }
 
-/// One engine, and the replicas of the service.
+/// Returns one engine, and the replicas of the service.
 fn only_engine(number: usize) -> BTreeMap<UpstreamId, Upstream> {
     let name = format!("engine-{number}");
     let mut left = upstreams();
@@ -109,7 +112,8 @@
     announcements.collect()
 }
 
-/// Gives each host what the others announced so far; every second datagram to it is lost.
+/// Delivers to each host every second datagram of the crash announcements that the others sent; the
+/// remaining datagrams are lost.
 fn deliver_half_of_announcements(hosts: &mut [Host]) {
     for from in 0..hosts.len() {
         for (number, (note, to)) in crash_announcements(&hosts[from].actions)
@@ -130,15 +134,16 @@
     refused(&host.ask(ask).1)
 }
 
-/// Symptom: the fourth upstream ends. Events: three hosts see one end each under the same
-/// request; half of what they tell each other is lost. Cause: each knows only its own.
+/// Guards against a request that crashes a fourth upstream: three hosts observe one crash each
+/// under the same request, half of their announcements are lost, and each host counts only its own
+/// crash.
 #[test]
 fn hosts_that_each_observed_one_crash_bar_the_request_together() {
     let mut hosts: Vec<Host> = (0..5).map(Host::new).collect();
     for host in &mut hosts[..3] {
         host.read_directory(engines(20), &[]);
     }
-    // Each on an upstream of its own: the others have learned of no crash yet.
+    // Each host uses a different upstream, because the hosts have not exchanged crashes yet.
     for (number, host) in hosts[..3].iter_mut().enumerate() {
         host.read_directory(only_engine(number), &[]);
         crash(host, fatal_request());
@@ -156,7 +161,7 @@
             retry_after > Duration::from_secs(BAR_DURATION_S - 10),
             "{retry_after:?}"
         );
-        // The same of another team, and another one of this team.
+        // An identical request of another team and a different request of this team are not barred.
         let of_other = Ask {
             key: "shop-key",
             ..fatal_request()
@@ -166,9 +171,9 @@
     }
 }
 
-/// Symptom: harmless requests are refused for ten minutes. Events: an upstream resets
-/// connections, or loses answers, and lives on. Cause: a broken connection is taken for
-/// the upstream's end.
+/// Guards against harmless requests that are refused for ten minutes: an upstream resets
+/// connections or loses responses but keeps running, and the broken connections are taken for a
+/// crash.
 #[test]
 fn broken_connections_of_a_running_upstream_bar_no_request() {
     let mut host = Host::new(0);
@@ -179,7 +184,7 @@
         report_listening(&mut host, &order.upstream, Listening::Yes);
         let (request, order) = send(&mut host, fatal_request());
         break_connection(&mut host, request, &order);
-        // It refuses connections for a moment, and answers then.
+        // The upstream refuses connections for a moment, and then responds.
         stop_listening(&mut host, &order.upstream);
         host.pass(10);
         let (request, later) = send(&mut host, request_with_body("harmless"));
@@ -189,20 +194,20 @@
     assert_eq!(refusal(&mut host, fatal_request()), None);
 }
 
-/// Symptom: two hosts refuse requests of their callers that do no harm. Events: their
-/// failure domain is cut off from another one; connections are reset, and new ones refused.
-/// Cause: upstreams out of reach are taken for ended.
+/// Guards against hosts that refuse harmless requests during a partition: connections to another
+/// failure domain are reset and new ones refused, and its unreachable upstreams are taken for
+/// crashed.
 #[test]
 fn upstreams_behind_a_partition_have_not_crashed() {
     let mut host = Host::new(0);
     let mut used = Vec::new();
     for _ in 0..4 {
-        // Another one is chosen each time.
+        // Excludes the upstreams already used, so that another one is chosen.
         let leaving: Vec<&str> = used.iter().map(UpstreamId::name).collect();
         host.read_directory(engines(20), &leaving);
         let (request, order) = send(&mut host, fatal_request());
         let mut unchecked = listening_checks(&break_connection(&mut host, request, &order));
-        // Whoever is looked at refuses.
+        // All checked upstreams refuse connections.
         while let Some(upstream) = unchecked.pop() {
             unchecked.extend(listening_checks(&report_listening(
                 &mut host,
@@ -215,15 +220,15 @@
     assert!(crashed_upstreams(&host).is_empty());
 }
 
-/// Symptom: harmless requests stay refused for ten minutes. Events: upstreams refuse
-/// connections of one host, or of all, for some seconds. Cause: that they have ended is
-/// believed on, though their entries stay.
+/// Guards against harmless requests that stay refused for ten minutes: upstreams refuse the
+/// connections of one or of all hosts for some seconds, and stay recorded as crashed although the
+/// directory still lists them.
 #[test]
 fn an_upstream_that_stays_listed_has_not_crashed() {
     let mut host = Host::new(0);
     let mut used = Vec::new();
     for _ in 0..3 {
-        // Another one is chosen each time.
+        // Excludes the upstreams already used, so that another one is chosen.
         let leaving: Vec<&str> = used.iter().map(UpstreamId::name).collect();
         host.read_directory(engines(20), &leaving);
         let (request, order) = send(&mut host, fatal_request());
@@ -239,9 +244,9 @@
     assert_eq!(refusal(&mut host, fatal_request()), None);
 }
 
-/// Symptom: innocent callers are refused after a storm of crashes. Events: their streams
-/// run on three upstreams that a guilty request ends one after the other. Cause: all that
-/// was there counts as guilty.
+/// Guards against harmless requests that are refused after several crashes: they run on three
+/// upstreams that a fatal request crashes one after the other, and every request on a crashed
+/// upstream is held responsible.
 #[test]
 fn requests_that_share_the_upstreams_of_a_fatal_one_are_not_barred() {
     for is_weak in [false, true] {
@@ -272,7 +277,7 @@
         }
         let barred =
             ["innocent", "fatal"].map(|body| refusal(&mut host, request_with_body(body)).is_some());
-        // Where nothing tells the two apart one of them is barred, and not both.
+        // If nothing distinguishes the two requests, only one of them is barred.
         assert_eq!(barred.iter().filter(|barred| **barred).count(), 1);
         if is_weak {
             assert_eq!(barred, [false, true]);
@@ -280,9 +285,9 @@
     }
 }
 
-/// Symptom: a harmless request that is asked for all day is refused. Events: three replicas
-/// crash in an hour while one of many identical requests is there; all others are answered.
-/// Cause: crashes add up whatever happens between them.
+/// Guards against refusing a frequent harmless request: three replicas crash within an hour while
+/// one of many identical requests runs there, the other requests complete, and the crashes still
+/// add up.
 #[test]
 fn a_request_that_completed_is_cleared() {
     let mut host = Host::new(0);
@@ -294,9 +299,9 @@
     assert_eq!(refusal(&mut host, fatal_request()), None);
 }
 
-/// Symptom: a request that may be repeated ends four upstreams by itself. Events: each
-/// attempt of it ends one; the third end is known when the next attempt is chosen, or while
-/// it waits in the queue. Cause: only new requests are looked at.
+/// Guards against one retryable request that crashes four upstreams by itself: each of its attempts
+/// crashes one. The third crash is known when the next attempt is chosen, or while the request is
+/// queued, but only new requests are checked.
 #[test]
 fn a_barred_request_is_not_retried() {
     let repeatable = || Ask {
@@ -322,8 +327,8 @@
     assert_eq!(refusal.verdict, Verdict::MayHaveRun);
 }
 
-/// Symptom: a barred request still runs. Events: it waits for an upstream when another host
-/// tells of the third end. Cause: only newcomers are looked at.
+/// Guards against a barred request that still runs: it is queued when another host announces the
+/// third crash, and only new requests are checked.
 #[test]
 fn a_queued_request_is_refused_once_it_is_barred() {
     let mut observer = Host::new(1);
@@ -343,8 +348,9 @@
     assert_eq!(refused(&after).unwrap().reason.code(), "crashes_upstreams");
 }
 
-/// Symptom: a request stays refused after the upstreams were mended; or it takes three more
-/// of them each time that it is let through. Cause: the record ends too late, or whole.
+/// Guards against a request that stays refused after the upstreams were fixed, because its record
+/// ends too late, and against one that crashes three more upstreams whenever the bar ends, because
+/// the whole record is dropped.
 #[test]
 fn one_attempt_is_allowed_after_the_bar() {
     let mut host = Host::new(0);
@@ -360,9 +366,8 @@
     assert!(refusal(&mut host, fatal_request()).is_some());
 }
 
-/// Symptom: a guilty request is let through again. Events: its caller, or another one, has
-/// many different requests on upstreams that end. Cause: the record is bounded, and the
-/// oldest goes first.
+/// Guards against a fatal request that is let through again: many different requests run on
+/// upstreams that crash, and the bounded record evicts the oldest entries first.
 #[test]
 fn a_flood_of_other_requests_does_not_evict_a_barred_one() {
     let mut host = Host::new(0);
@@ -387,8 +392,8 @@
     assert!(refusal(&mut host, fatal_request()).is_some());
 }
 
-/// Symptom: callers of a planned stop are refused later. Events: upstreams that leave end
-/// while requests run. Cause: their end is taken for a crash.
+/// Guards against refused requests after a planned stop: leaving upstreams end while requests run,
+/// and their end is taken for a crash.
 #[test]
 fn the_end_of_a_leaving_upstream_is_not_a_crash() {
     let mut host = Host::new(0);
@@ -400,9 +405,9 @@
     assert!(crashed_upstreams(&host).is_empty());
 }
 
-/// Symptom: an upstream without power ends under a request, and nobody counts it. Events:
-/// connections to it break for want of an answer, nobody refuses new ones, and its entry
-/// lapses some seconds later. Cause: only a refused connection is a sign of its end.
+/// Guards against a crash that is not counted: an upstream loses power under a request, connections
+/// to it time out instead of being refused, and its directory entry expires some seconds later. A
+/// refused connection must not be the only sign of a crash.
 #[test]
 fn an_expired_directory_entry_is_a_sign_of_a_crash() {
     let mut host = Host::new(0);
@@ -416,10 +421,10 @@
     assert_eq!(crashed_upstreams(&host), BTreeSet::from([order.upstream]));
 }
 
-/// Symptom: a crash takes the hosts' links. Events: an upstream ends under all the requests
-/// that 381 hosts can have there. Cause: each is announced to all hosts at once, over and over.
-///
-/// Each crash is announced three times, and a host sends no more than 200 kB a second for it.
+/// Guards against crash announcements that saturate the links of the hosts: an upstream crashes
+/// under all the requests that 381 hosts can have there, and each crash is announced to all hosts
+/// at once, again and again. Each crash is announced three times, and a host sends at most 200 kB
+/// per second for it.
 #[test]
 fn crash_announcements_are_bounded() {
     let mut host = Host::new(0);
@@ -441,7 +446,7 @@
     });
     let sent: usize = sent.sum();
     assert!(sent <= 15 * 200_000, "{sent} bytes in 15 s");
-    // A host notified of all crashes tells nobody.
+    // A host that received all crashes announces none of them.
     let mut other = Host::new(1);
     for (note, _) in notes {
         other.handle(Event::CrashesReceived(note));
@@ -450,7 +455,7 @@
     assert!(crash_announcements(&other.actions).is_empty());
 }
 
-/// A stream that no other request is the same as.
+/// A fatal request with a body that no other request has.
 fn unique_request() -> Ask {
     Ask {
         body: None,
@@ -458,12 +463,13 @@
     }
 }
 
-/// Symptom: what many callers ask for all day is refused after a storm of crashes. Events:
-/// it waits on three upstreams that a guilty request ends, and so looks like it. Cause: that
-/// it has run a hundred times counts for nothing.
+/// Guards against refusing a frequent harmless request after several crashes: it is on three
+/// upstreams that a fatal request crashes, so the crashes alone do not distinguish the two, and its
+/// earlier completions count for nothing.
 #[test]
 fn a_request_that_completed_before_gets_fewer_points() {
-    // Whichever has the lower fingerprint.
+    // Several names, so that the fingerprint is lower than that of the fatal request for some and
+    // higher for others.
     for name in ["popular", "asked for by many", "usual"] {
         let mut host = Host::new(0);
         host.read_directory(engines(20), &[]);
@@ -486,9 +492,9 @@
     }
 }
 
-/// Symptom: what many callers ask for all day is refused, an hour after the first crash.
-/// Events: ordinary crashes of upstreams, now and then, each under one of them; it is cleared
-/// each time, and then announced again, or read from the store. Cause: old news count anew.
+/// Guards against refusing a frequent harmless request an hour after its first crash: upstreams
+/// occasionally crash under it, each completion clears the crash, and the same crash then counts
+/// anew when it is announced again or read from the store.
 #[test]
 fn crashes_announced_again_after_a_completion_do_not_count() {
     let mut host = Host::new(0);
@@ -520,10 +526,10 @@
     assert!(stored_crashes(&host.actions).is_empty());
 }
 
-/// Symptom: one host refuses what many callers ask for all day, and all others serve it.
-/// Events: it has just started, and learns of four ends under that request before it has seen
-/// one run; once it is barred there it never sees one. Cause: crashes are announced, and not that
-/// the request ran since.
+/// Guards against one host that refuses a frequent harmless request which all others serve: the
+/// host has just started and learns of four crashes under the request before it sees a completion.
+/// The bar then prevents any completion on this host, so completions have to be announced like
+/// crashes.
 #[test]
 fn a_host_learns_that_a_request_it_bars_completed_elsewhere() {
     let mut others: Vec<Host> = (1..5).map(Host::new).collect();
@@ -557,10 +563,9 @@
     stored.collect()
 }
 
-/// Symptom: each crash costs a call to the store from each host that had a request there.
-/// Events: an upstream ends under many requests, once. Cause: all of them are kept.
-///
-/// From the second crash of one request on, each is kept once, by the host that saw it.
+/// Guards against a store call from each host for each crash: an upstream crashes once under many
+/// requests, and all of these crashes are stored. Crashes are stored from the second crash of one
+/// request on, each once, by the host that observed it.
 #[test]
 fn crashes_of_a_request_are_stored_from_the_second_on() {
     let mut host = Host::new(0);
@@ -581,8 +586,8 @@
     assert_eq!(names(&all[1]), BTreeSet::from([third]));
 }
 
-/// Symptom: hosts of another failure domain go on sending a barred request. Events: domains
-/// are cut off from each other, and all reach the store. Cause: only datagrams tell of it.
+/// Guards against hosts of another failure domain that keep sending a barred request: the domains
+/// are partitioned but all reach the store, and crashes are announced by datagrams only.
 #[test]
 fn a_host_without_announcements_learns_of_crashes_from_the_store() {
     let mut observer = Host::new(0);
@@ -594,12 +599,12 @@
     let mut other = Host::new(1);
     other.handle(Event::CrashesListed(listed.clone()));
     assert!(refusal(&mut other, fatal_request()).is_some());
-    // What it was notified of is neither announced nor kept by it again.
+    // The host neither announces nor stores the crashes that it read from the store.
     other.pass(2_000);
     assert!(
         crash_announcements(&other.actions).is_empty() && stored_crashes(&other.actions).is_empty()
     );
-    // An upstream that is listed long after its supposed end had not ended.
+    // An upstream that is listed long after its supposed crash has not crashed.
     let mut late = Host::new(2);
     late.now = late.now.plus_ms(100_000);
     let as_of = late.now;
--- a/crates/policy/tests/installation/host_costs.rs
+++ b/crates/policy/tests/installation/host_costs.rs
@@ -134,7 +134,7 @@
 }
 
 /// Counts the load notes that a host sends, and delivers an answer from each recipient.
-fn exchange_notes(host: &mut Host, costs: &mut Costs, bytes: &mut usize) {
+fn count_and_answer_notes(host: &mut Host, costs: &mut Costs, bytes: &mut usize) {
     let mut sent: Vec<(SocketAddr, LoadNote)> = Vec::new();
     for action in std::mem::take(&mut host.actions) {
         if let Action::SendLoadNotes { notes } = action {
@@ -172,11 +172,11 @@
         let order = sent(&actions).unwrap();
         for _ in 0..8 {
             host.pass(100);
-            exchange_notes(host, costs, &mut bytes);
+            count_and_answer_notes(host, costs, &mut bytes);
         }
         host.finish(&order, request);
         host.pass(200);
-        exchange_notes(host, costs, &mut bytes);
+        count_and_answer_notes(host, costs, &mut bytes);
         let as_of = host.now;
         host.handle(Event::ConfigurationConfirmed { as_of });
     }
--- a/crates/policy/tests/installation/incarnations.rs
+++ b/crates/policy/tests/installation/incarnations.rs
@@ -1,5 +1,5 @@
-//! Upstreams that start again under their name: what was known of the earlier
-//! incarnation is gone with it.
+//! Upstreams that restart under their name: the state recorded for the earlier incarnation does not
+//! apply to the new one.
 
 use {
     crate::support::{Ask, Host, address, exchange_notes, sent, upstreams},
@@ -18,7 +18,7 @@
     Ask::prompt("draft", "shop-key", &parts)
 }
 
-/// The upstreams, one of them started at a later moment.
+/// Returns the upstreams, one of them restarted at `started_ms`.
 fn with_restarted(id: &UpstreamId, started_ms: u64) -> BTreeMap<UpstreamId, Upstream> {
     let mut upstreams = upstreams();
     let upstream = upstreams.remove(&id.clone().with_started_ms(None)).unwrap();
@@ -26,9 +26,9 @@
     upstreams
 }
 
-/// Symptom: a host believes that a prompt needs no reading, and its request is late.
-/// Events: an engine reads a document, crashes and starts again at once, so that its
-/// entry never goes. Cause: prompts are remembered by name.
+/// Guards against a late request that its host expects to need no prefill: an engine caches a
+/// document, crashes and restarts at once, so that its directory entry never disappears, and cached
+/// prompts are recorded by name only.
 #[test]
 fn a_restarted_engine_has_an_empty_prompt_cache() {
     let mut host = Host::new(0);
@@ -41,9 +41,8 @@
     assert_eq!(second.inputs.in_flight, 1);
 }
 
-/// Symptom: an engine looks busier than it is. Events: requests run on it when it
-/// crashes; they end only after it has started again. Cause: the end of an attempt is
-/// booked on whoever bears the name.
+/// Guards against an engine that appears busier than it is: requests run on it when it crashes and
+/// end only after its restart, and their end is counted for the new incarnation.
 #[test]
 fn earlier_requests_do_not_count_for_the_new_incarnation() {
     let mut host = Host::new(0);
@@ -67,8 +66,8 @@
     assert_eq!(running, 1, "the second attempt alone");
 }
 
-/// Symptom: a healthy upstream is avoided. Events: it fails three times, crashes, and
-/// starts again. Cause: failures are remembered by name.
+/// Guards against avoiding a healthy upstream: it fails three times, crashes and restarts, and
+/// failures are recorded by name only.
 #[test]
 fn earlier_failures_do_not_eject_the_new_incarnation() {
     let mut host = Host::new(0);
@@ -85,9 +84,9 @@
     assert!(!host.controller.ejected().contains(&restarted));
 }
 
-/// Symptom: a host sends prompts to an engine that has read none of them, or keeps away
-/// from it. Events: notes under way tell of the earlier incarnation. Cause: notes name
-/// upstreams without their start.
+/// Guards against a host that sends prompts to an engine without a warm cache, or avoids the
+/// engine: load notes in transit describe the earlier incarnation, and name upstreams without their
+/// start time.
 #[test]
 fn notes_about_an_earlier_incarnation_do_not_apply_to_the_later_one() {
     let mut hosts = [Host::new(0), Host::new(1)];
@@ -118,9 +117,9 @@
     assert_eq!(order.inputs.others_in_flight, 0);
 }
 
-/// Symptom: an upstream is listed twice after an outage of the store, and gets twice
-/// its part. Events: it starts again while the store is away. Cause: the earlier
-/// incarnation is taken for one whose entry has lapsed.
+/// Guards against an upstream that is listed twice after a store outage and gets twice its share:
+/// it restarts during the outage, and the earlier incarnation is kept as an upstream whose entry
+/// has just expired.
 #[test]
 fn an_earlier_incarnation_is_not_kept_as_an_expired_entry() {
     let mut host = Host::new(0);
--- a/crates/policy/tests/installation/load_notes.rs
+++ b/crates/policy/tests/installation/load_notes.rs
@@ -1,4 +1,5 @@
-//! What a host knows by the store and by the other hosts, and how old that is.
+//! What a host learns from the store and from the load notes of other hosts, and how old that
+//! information may be.
 
 use {
     crate::support::{self, Ask, Host, KEY_KNOWLEDGE, exchange_notes, lookup, refused, sent},
@@ -8,9 +9,8 @@
     types::prelude::*,
 };
 
-/// Symptom: a request runs long after its key was removed. Events: the host is
-/// cut off from the store, the key is removed, the caller sends on. Cause: the
-/// host takes its configuration for the newest however old it is.
+/// Guards against requests that run long after their key was removed: the host is cut off from the
+/// store when the key is removed, and treats its configuration as current regardless of its age.
 #[test]
 fn refuses_keys_when_its_configuration_may_be_outdated() {
     let mut host = Host::new(0);
@@ -26,9 +26,8 @@
     assert!(!host.controller.is_configuration_current(host.now));
 }
 
-/// Symptom: as above, after a machine was suspended. Events: the host is
-/// suspended for ten seconds and reads what waits in its sockets. Cause: a
-/// clock that stands still meanwhile makes its knowledge look fresh.
+/// Guards against the same after a suspension: the host is suspended for ten seconds and then reads
+/// what waits in its sockets. A clock that stops meanwhile makes the configuration look current.
 #[test]
 fn refuses_keys_right_after_a_freeze() {
     let mut host = Host::new(0);
@@ -57,7 +56,7 @@
     }
 }
 
-/// A host that the store turns away goes on by the word of one that it serves.
+/// A host that cannot use the store relies on the load note of a host that can.
 #[test]
 fn learns_from_another_host_that_its_configuration_is_the_newest() {
     let mut host = Host::new(0);
@@ -73,10 +72,9 @@
     assert!(sent(&host.ask(lookup()).1).is_some());
 }
 
-/// Symptom: a host takes a removed key after a freeze or a cut, although it
-/// counts suspended time. Events: a note waits in its socket while it is frozen,
-/// or answers an earlier start of it, or speaks of another version. Cause: the
-/// age in the note is counted from its arrival.
+/// Guards against accepting a removed key after a freeze or a partition: a load note waits in the
+/// socket while the host is frozen, answers an earlier incarnation of the host, or names another
+/// version, and its age is counted from its arrival.
 #[test]
 fn ignores_a_note_of_unknown_age() {
     let mut host = Host::new(0);
@@ -101,9 +99,9 @@
     }
 }
 
-/// Symptom: a host refuses every key although its neighbors know the newest
-/// configuration. Events: the store turns this host away, and the operator
-/// changes the configuration. Cause: only the store is asked for it.
+/// Guards against a host that refuses every key although its neighbors have the newest
+/// configuration: the store rejects the host, the configuration changes, and the host asks only the
+/// store for it.
 #[test]
 fn fetches_a_newer_configuration_from_another_host() {
     let mut host = Host::new(0);
@@ -138,7 +136,7 @@
     assert!(host.controller.is_configuration_current(host.now));
 }
 
-/// An upstream that another host knows to be leaving gets nothing new.
+/// An upstream that another host reports as leaving gets no new requests.
 #[test]
 fn learns_from_another_host_that_an_upstream_is_leaving() {
     let mut host = Host::new(0);
@@ -154,8 +152,8 @@
     }
 }
 
-/// Symptom: a host believes an engine to be loaded by a host that ended. Events:
-/// a host tells its load and is killed. Cause: its last note counts for ever.
+/// Guards against an engine that appears loaded by a host that was killed: the last load note of
+/// that host never expires.
 #[test]
 fn drops_the_load_of_a_host_that_stopped_sending_notes() {
     let mut host = Host::new(0);
@@ -203,8 +201,8 @@
     assert_eq!(home(&mut host), before);
 }
 
-/// Bytes that a host sends to the others in ten seconds, while its load changes
-/// all the time.
+/// Counts the bytes that a host sends to the others in ten seconds while its load changes all the
+/// time.
 fn note_bytes_in_10_s(hosts: usize) -> usize {
     let mut host = Host::new(0);
     host.list_hosts(hosts);
@@ -231,19 +229,18 @@
     bytes
 }
 
-/// Symptom: hosts of a large installation spend their links and processors on
-/// telling each other their load. Events: many hosts, each with a load that
-/// changes all the time. Cause: the work grows with the square of the hosts.
+/// Guards against load notes that saturate the links and processors of a large installation: there
+/// are many hosts with constantly changing load, and the traffic grows with the square of the
+/// number of hosts.
 #[test]
 fn notes_stay_within_the_control_traffic_budget() {
     assert!(note_bytes_in_10_s(7) <= 10 * 25_000);
     assert!(note_bytes_in_10_s(380) <= 10 * 3_000 + 380 * 200);
 }
 
-/// Symptom: a host that the store turns away refuses keys now and then, although
-/// another host knows that its configuration is the newest. Events: neither has
-/// anything to do, the other one asks the store every 1.8 s. Cause: their notes come
-/// once a second, and each counts from the note that it answers.
+/// Guards against an idle host that the store rejects and that refuses keys now and then, although
+/// another host confirms its configuration every 1.8 s: idle hosts exchange load notes once per
+/// second, and the confirmed age in a note counts from the note that it answers.
 #[test]
 fn an_idle_host_without_the_store_relies_on_one_neighbor() {
     const CONFIRMATION_INTERVAL_MS: u64 = 1_800;
