--- a/crates/policy/tests/installation/brittle_replicas.rs
+++ b/crates/policy/tests/installation/brittle_replicas.rs
@@ -54,7 +54,7 @@
 }
 
 /// Runs a load, given as a share of the capacity. Returns the crashes and the share of the requests
-/// that were served.
+/// that were served, without those of the last 2 seconds, which may still be running.
 fn run_load(world: &mut World, load: f64) -> (usize, f64) {
     let (from, crashes) = (world.now, world.falls());
     let hosts = world.hosts.len();
--- a/crates/policy/tests/installation/crashes.rs
+++ b/crates/policy/tests/installation/crashes.rs
@@ -257,7 +257,7 @@
             let (harmless, harmless_order) = send(&mut host, request_with_body("innocent"));
             assert_eq!(
                 harmless_order.upstream, order.upstream,
-                "both requests have the same home"
+                "both requests use one upstream"
             );
             if is_weak {
                 host.handle(Event::Progressed {
@@ -480,7 +480,7 @@
             let (fatal, order) = send(&mut host, fatal_request());
             assert_eq!(
                 popular_order.upstream, order.upstream,
-                "both requests have the same home"
+                "both requests use one upstream"
             );
             break_connection(&mut host, popular, &popular_order);
             break_connection(&mut host, fatal, &order);
--- a/crates/policy/tests/installation/incarnations.rs
+++ b/crates/policy/tests/installation/incarnations.rs
@@ -94,23 +94,23 @@
         host.pass(100);
     }
     exchange_notes(&mut hosts);
-    let home = sent(&hosts[0].ask(prompt()).1).unwrap().upstream;
+    let chosen = sent(&hosts[0].ask(prompt()).1).unwrap().upstream;
     hosts[0].pass(100);
-    hosts[1].read_directory(with_restarted(&home, 5_000), &[]);
+    hosts[1].read_directory(with_restarted(&chosen, 5_000), &[]);
     let advertised = hosts[0].take_notes();
     let (_, mut note) = advertised
         .into_iter()
         .find(|(to, _)| *to == address(1))
         .unwrap();
-    note.leaving = vec![home.clone()];
+    note.leaving = vec![chosen.clone()];
     note.reads = vec![PromptRead {
         chain: 1,
         tokens: Tokens::new(DOCUMENT_TOKENS),
-        upstream: home.clone(),
+        upstream: chosen.clone(),
     }];
     let from = address(0);
     hosts[1].handle(Event::LoadNoteReceived { from, note });
-    let restarted = home.with_started_ms(Some(5_000));
+    let restarted = chosen.with_started_ms(Some(5_000));
     let now = hosts[1].now;
     assert!(!hosts[1].controller.leaving(now).contains(&restarted));
     let order = sent(&hosts[1].ask(prompt()).1).unwrap();
--- a/crates/policy/tests/installation/load_notes.rs
+++ b/crates/policy/tests/installation/load_notes.rs
@@ -177,13 +177,13 @@
         version: None,
     };
     let parts = [(77, 50), (78, 50)];
-    let home = |host: &mut Host| {
+    let chosen_upstream = |host: &mut Host| {
         let (id, actions) = host.ask(Ask::prompt("question", "shop-key", &parts));
         let order = sent(&actions).unwrap();
         host.handle(Event::CallerGone { request: id });
         order.upstream
     };
-    let before = home(&mut host);
+    let before = chosen_upstream(&mut host);
     let loads = peer::UpstreamLoad {
         upstream: before.clone(),
         ..loaded.loads[0].clone()
@@ -194,11 +194,11 @@
     };
     let from = support::address(200);
     host.handle(Event::LoadNoteReceived { from, note });
-    assert_ne!(home(&mut host), before);
+    assert_ne!(chosen_upstream(&mut host), before);
     host.pass(Duration::from_secs(4).as_millis() as u64);
     let as_of = host.now;
     host.handle(Event::ConfigurationConfirmed { as_of });
-    assert_eq!(home(&mut host), before);
+    assert_eq!(chosen_upstream(&mut host), before);
 }
 
 /// Counts the bytes that a host sends to the others in ten seconds while its load changes all the
