--- a/crates/policy/tests/installation/attempts.rs
+++ b/crates/policy/tests/installation/attempts.rs
@@ -1,4 +1,4 @@
-//! When a request is sent again, and when it must not be.
+//! When a request is retried, and when it must not be retried.
 
 use {
     crate::support::{self, Ask, Host, lookup, order, refused, sent},
@@ -6,10 +6,10 @@
     types::prelude::*,
 };
 
-/// Symptom: an order runs twice. Events: the upstream's connection breaks after
-/// the request was written. Cause: it is sent again although it may have run.
+/// Guards against a request that runs twice: the connection to the upstream breaks after the
+/// request was written, and the request is retried although it may have run.
 #[test]
-fn never_repeats_a_request_that_may_have_run_and_must_not_run_twice() {
+fn never_retries_a_request_that_may_have_run_and_must_not_run_twice() {
     let mut host = Host::new(0);
     let (id, actions) = host.ask(order());
     let first = sent(&actions).unwrap();
@@ -18,10 +18,10 @@
     assert_eq!(refused(&actions).unwrap().verdict, Verdict::MayHaveRun);
 }
 
-/// One that provably did not run goes to another upstream, also if its class
-/// allows one attempt only.
+/// A request that provably did not run is retried on another upstream, even if its class allows one
+/// attempt only.
 #[test]
-fn sends_an_unsent_request_to_another_upstream() {
+fn retries_an_unsent_request_on_another_upstream() {
     let mut host = Host::new(0);
     let (id, actions) = host.ask(order());
     let first = sent(&actions).unwrap();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn repeats_an_idempotent_request_once_at_the_most() {
+fn retries_an_idempotent_request_at_most_once() {
     let mut host = Host::new(0);
     let (id, actions) = host.ask(lookup());
     let first = sent(&actions).unwrap();
@@ -44,11 +44,10 @@
     assert!(refused(&actions).is_some());
 }
 
-/// Symptom: a lookup fails after one answer with an error, though its class allows
-/// two attempts. Events: the first upstream cannot be connected, the second one
-/// fails. Cause: an attempt that never left counts.
+/// Guards against a request that fails after one error response although its class allows two
+/// attempts: an attempt counts although the connection to its upstream failed.
 #[test]
-fn an_unsent_attempt_does_not_count() {
+fn an_unsent_attempt_does_not_count_against_the_class_limit() {
     let mut host = Host::new(0);
     let (id, actions) = host.ask(lookup());
     let first = sent(&actions).unwrap();
@@ -63,14 +62,14 @@
     assert_eq!(sent(&actions), None);
 }
 
-/// Symptom: a stream that broke holds its caller until its time is over. Events: no
-/// other engine can be connected. Cause: attempts that never left do not count.
+/// Guards against a broken stream that keeps its caller waiting until the time limit: no other
+/// engine can be connected, and unsent attempts do not count against the limit of the class.
 #[test]
-fn gives_a_broken_stream_up_after_some_engines_out_of_reach() {
+fn gives_up_a_broken_stream_after_several_unreachable_engines() {
     let mut host = Host::new(0);
     let draft = || Ask::prompt("draft", "shop-key", &[(1, 500), (2, 100)]);
     for _ in 0..60 {
-        // Requests that leave plenty of retries.
+        // Raises the retry budget, which is a share of the requests.
         host.ask(draft());
     }
     let (id, actions) = host.ask(draft());
@@ -84,13 +83,13 @@
         }
         (cause, verdict) = (FailureCause::Connect, Verdict::NotRun);
     }
-    panic!("it is still sent");
+    panic!("the stream is still retried");
 }
 
-/// Repeats that some hosts make which list so many hosts, while every attempt of
-/// each of their requests fails.
-fn repeats(hosts: u64, listed: usize, requests: usize) -> usize {
-    let mut repeats = 0;
+/// Counts the retries of several hosts, each of which knows `listed` hosts, while
+/// every attempt fails.
+fn retries(hosts: u64, listed: usize, requests: usize) -> usize {
+    let mut retries = 0;
     for number in 0..hosts {
         let mut host = Host::new(number);
         host.list_hosts(listed);
@@ -104,41 +103,40 @@
             let failed = FailureCause::ErrorStatus;
             let actions = host.fail(&first, id, failed, Verdict::MayHaveRun, false);
             if let Some(second) = sent(&actions) {
-                repeats += 1;
+                retries += 1;
                 host.fail(&second, id, failed, Verdict::MayHaveRun, false);
             }
             host.pass(100);
         }
     }
-    repeats
+    retries
 }
 
-/// Symptom: upstreams get far more arrivals than requests while they fail.
-/// Events: every attempt fails for a while, on a small and on a large
-/// installation, half of whose hosts start anew meanwhile. Cause: each host
-/// repeats each request, or takes a part of the budget that rests on how many
-/// hosts it observes.
+/// Guards against retries that multiply the load on failing upstreams: every attempt fails for a
+/// while, on a small and on a large installation, half of whose hosts restart meanwhile. The budget
+/// is exceeded if each host retries each request, or if the share of a host depends on the number
+/// of hosts that it observes.
 #[test]
-fn repeats_of_all_hosts_stay_within_the_budget() {
+fn retries_of_all_hosts_stay_within_the_budget() {
     for (hosts, listed, requests) in [(14, 7, 50), (120, 68, 10)] {
-        let repeats = repeats(hosts, listed, requests);
-        let asked = hosts as usize * requests;
-        let budget = 0.2 * asked as f64 + f64::from(support::RETRY_EXTRA);
+        let retries = retries(hosts, listed, requests);
+        let request_count = hosts as usize * requests;
+        let budget = 0.2 * request_count as f64 + f64::from(support::RETRY_EXTRA);
         assert!(
-            repeats as f64 <= budget,
-            "{repeats} repeats, {budget} allowed"
+            retries as f64 <= budget,
+            "{retries} retries, {budget} allowed"
         );
         assert!(
-            repeats as f64 > 0.1 * asked as f64,
-            "only {repeats} repeats"
+            retries as f64 > 0.1 * request_count as f64,
+            "only {retries} retries"
         );
     }
 }
 
-/// Times in milliseconds of requests and of repeats, of 14 hosts that get 20 requests a
-/// second each for 10 s and then 4. Every attempt fails from 7.5 s on.
-fn falling_load() -> (Vec<u64>, Vec<u64>) {
-    let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+/// Returns the times in milliseconds of the requests and of the retries of 14 hosts. Each host gets
+/// 20 requests per second for 10 s, and then 4 per second. Every attempt fails from 7.5 s on.
+fn run_falling_load() -> (Vec<u64>, Vec<u64>) {
+    let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for seed in 0..14 {
         let mut host = Host::new(seed);
         host.list_hosts(14);
@@ -146,16 +144,17 @@
             host.now = Time::from_ms(at_ms);
             host.handle(Event::ConfigurationConfirmed { as_of: host.now });
             requests.push(at_ms);
-            if repeats_after_failure(&mut host, at_ms >= 7_500) {
-                repeats.push(at_ms);
+            if retries_after_failure(&mut host, at_ms >= 7_500) {
+                retries.push(at_ms);
             }
         }
     }
-    (requests, repeats)
+    (requests, retries)
 }
 
-/// Whether a request is sent again, if its first attempt fails.
-fn repeats_after_failure(host: &mut Host, fails: bool) -> bool {
+/// Sends a request, lets its first attempt fail if `fails` is set, and returns whether the request
+/// is retried.
+fn retries_after_failure(host: &mut Host, fails: bool) -> bool {
     let (id, actions) = host.ask(lookup());
     let Some(first) = sent(&actions) else {
         return false;
@@ -173,34 +172,34 @@
     second.is_some()
 }
 
-/// Symptom: in a window of 10 s more is sent again than the installation allows: 2,321
-/// times, 2,303 allowed. Events: a burst ends while upstreams refuse much, and all hosts
-/// spend all of their budgets. Cause: each host's own window ends with its last repeat and
-/// still holds the burst, which a later window of 10 s no longer has.
+/// Guards against more retries in a window of 10 s than the installation allows (2,321 instead of
+/// 2,303): a burst ends while upstreams refuse many requests, and all hosts spend their whole
+/// budgets. The window of a host ends with its last retry and still contains the burst, which a
+/// later window of 10 s does not.
 #[test]
-fn repeats_stay_within_the_budget_of_every_window_when_the_load_falls() {
-    let (requests, repeats) = falling_load();
+fn retries_stay_within_the_budget_of_every_window_when_the_load_falls() {
+    let (requests, retries) = run_falling_load();
     let within = |times: &[u64], from: u64| {
         let window = from..from + 10_000;
         times.iter().filter(|time| window.contains(*time)).count() as f64
     };
     for from in (0_u64..10_000).step_by(250) {
         let before = from.saturating_sub(5_000);
-        let asked = within(&requests, from).max(within(&requests, before));
-        let allowed = 0.2 * asked + f64::from(support::RETRY_EXTRA);
-        let repeats = within(&repeats, from);
+        let request_count = within(&requests, from).max(within(&requests, before));
+        let allowed = 0.2 * request_count + f64::from(support::RETRY_EXTRA);
+        let retries = within(&retries, from);
         assert!(
-            repeats <= allowed,
-            "{repeats} repeats from {from} ms on, {allowed} allowed"
+            retries <= allowed,
+            "{retries} retries from {from} ms on, {allowed} allowed"
         );
     }
-    assert!(repeats.len() > 200, "only {} repeats", repeats.len());
+    assert!(retries.len() > 200, "only {} retries", retries.len());
 }
 
-/// Symptom: a caller loses the rest of a stream although its class allows it to
-/// go on elsewhere. Events: the engine breaks off after the first events.
+/// Guards against a stream that breaks after its first events and is not resumed on another engine
+/// although its class allows that.
 #[test]
-fn goes_on_with_a_broken_stream_at_another_engine() {
+fn resumes_a_broken_stream_on_another_engine() {
     let mut host = Host::new(0);
     let (id, actions) = host.ask(Ask::prompt("draft", "shop-key", &[(1, 500), (2, 100)]));
     let first = sent(&actions).unwrap();
@@ -213,9 +212,9 @@
     assert!(refused(&actions).is_some());
 }
 
-/// One whose class does not allow it is cut, and not run again.
+/// If the class does not allow a second run, a broken stream ends and is not run again.
 #[test]
-fn does_not_go_on_with_a_stream_that_must_not_run_twice() {
+fn does_not_resume_a_stream_that_must_not_run_twice() {
     let mut host = Host::new(0);
     let (id, actions) = host.ask(Ask::prompt("question", "shop-key", &[(1, 500), (2, 100)]));
     let first = sent(&actions).unwrap();
@@ -224,13 +223,12 @@
     assert!(refused(&actions).is_some());
 }
 
-/// Symptom: one in eleven requests of a more urgent class gets nothing in five seconds of an
-/// overload, while long prompts of a less urgent one begin. Events: full engines refuse; the
-/// long ones are sent on until nothing is left of the host's retries; then a more urgent one
-/// is refused by the first engine that it meets. Cause: all classes spend one budget, who
-/// comes first.
+/// Guards against more urgent requests that get no answer in an overload (1 in 11 over 5 seconds)
+/// while long prompts of a less urgent class start: full engines refuse, the retries of the long
+/// prompts spend the budget of the host, and a more urgent request that its first engine refuses is
+/// not retried. That happens if all classes share one budget in the order of arrival.
 #[test]
-fn a_more_urgent_request_is_sent_on_when_less_urgent_ones_have_spent_the_budget() {
+fn a_more_urgent_request_is_retried_after_less_urgent_ones_spent_the_budget() {
     let mut host = Host::new(0);
     host.list_hosts(14);
     let (id, actions) = host.ask(Ask::prompt("question", "shop-key", &[(98, 100)]));
@@ -248,5 +246,5 @@
     let (id, actions) = host.ask(Ask::prompt("question", "shop-key", &[(99, 100)]));
     let first = sent(&actions).unwrap();
     let actions = host.fail(&first, id, FailureCause::Busy, Verdict::NotRun, false);
-    assert!(sent(&actions).is_some(), "nothing is left of the retries");
+    assert!(sent(&actions).is_some(), "the retry budget is spent");
 }
--- a/crates/policy/tests/installation/main.rs
+++ b/crates/policy/tests/installation/main.rs
@@ -1,17 +1,17 @@
-//! The decisions of a host in an installation, without a network.
+//! Tests of the decisions of the hosts in an installation. They use no network and run in virtual
+//! time.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod attempts;
-mod brittle;
-mod costs;
+mod brittle_replicas;
 mod crashes;
 mod early_refusal;
-mod engine_world;
+mod engine_simulation;
 mod fleet;
+mod host_costs;
 mod incarnations;
-mod knowledge;
-mod named_limits;
+mod load_notes;
 mod newer_configuration;
 mod notices;
 mod overload;
@@ -19,7 +19,6 @@
 mod placement;
 mod prompt_transfers;
 mod reach;
-
 mod refusals;
 mod retries_of_many;
 mod served_replica;
@@ -29,6 +28,7 @@
 mod speeds;
 mod support;
 mod unreachable;
+mod upstream_limits;
 mod upstreams;
 mod urgency;
 mod usage;
