--- a/crates/operator/src/caller.rs
+++ b/crates/operator/src/caller.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Longest time that a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(120);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Bytes of prompt that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
@@ -19,7 +19,7 @@
 
 /// What has come back of one answer so far.
 #[derive(Debug, Default)]
-struct Received {
+struct ReceivedResponse {
     code: Option<String>,
     ended: bool,
     first_token: Option<Instant>,
@@ -35,8 +35,12 @@
     /// Sends one request to a host and records what came back.
     pub(crate) async fn call(&self, address: SocketAddr, planned: &PlannedRequest) -> Record {
         let intended = self.start + planned.at;
-        let mut received = Received::default();
-        let outcome = timeout(PATIENCE, self.exchange(address, planned, &mut received)).await;
+        let mut received = ReceivedResponse::default();
+        let outcome = timeout(
+            RESPONSE_TIMEOUT,
+            self.exchange(address, planned, &mut received),
+        )
+        .await;
         let answered = matches!(outcome, Ok(Ok(())));
         self.record(planned, intended, &received, answered)
     }
@@ -45,7 +49,7 @@
         &self,
         planned: &PlannedRequest,
         intended: Instant,
-        received: &Received,
+        received: &ReceivedResponse,
         answered: bool,
     ) -> Record {
         let flow = &self.scenario.flows[planned.flow];
@@ -59,7 +63,7 @@
             (true, _) => Ending::Refused,
         };
         let span_ms = |at: Instant| at.saturating_duration_since(intended).as_secs_f64() * 1e3;
-        let whole = matches!(ending, Ending::Finished | Ending::Replayed);
+        let complete = matches!(ending, Ending::Finished | Ending::Replayed);
         Record {
             class: flow.class.clone(),
             code: received.code.clone(),
@@ -75,11 +79,11 @@
             tag: planned.tag.clone(),
             team: flow.team.clone(),
             tier: class.tier,
-            verdict: received.verdict.or(whole.then_some(Verdict::Ran)),
+            verdict: received.verdict.or(complete.then_some(Verdict::Ran)),
             wanted: if flow.service.is_some() {
                 1
             } else {
-                planned.output
+                planned.output_tokens
             },
         }
     }
@@ -88,23 +92,23 @@
         &self,
         address: SocketAddr,
         planned: &PlannedRequest,
-        received: &mut Received,
+        received: &mut ReceivedResponse,
     ) -> eyre::Result<()> {
         let request = self.request(address, planned)?;
         let (response, sender) = self.client.send(address, request).await?;
-        received.take_head(&response);
+        received.read_head(&response);
         let stream = response
             .headers()
             .get("content-type")
             .is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"));
         received.streamed = stream;
         if stream {
-            received.take_stream(response, &planned.tag).await?;
+            received.read_stream(response, &planned.tag).await?;
         } else {
             let body = response.into_body().collect().await?.to_bytes();
-            received.take_whole(&body, &planned.tag);
+            received.read_body(&body, &planned.tag);
         }
-        self.client.keep(address, sender);
+        self.client.return_idle(address, sender);
         Ok(())
     }
 
@@ -122,7 +126,7 @@
             ),
             None => (
                 "/v1/chat/completions".to_string(),
-                self.completion(flow, planned),
+                self.completion_body(flow, planned),
             ),
         };
         let mut request = Request::builder()
@@ -139,7 +143,7 @@
         Ok(request.body(Full::new(body.to_string().into()))?)
     }
 
-    fn completion(&self, flow: &Flow, planned: &PlannedRequest) -> Value {
+    fn completion_body(&self, flow: &Flow, planned: &PlannedRequest) -> Value {
         let prefix = format!("prefix {:016x} ", planned.prefix);
         let length = flow.prompt_tokens as usize * BYTES_PER_TOKEN;
         let content: String = prefix.chars().cycle().take(length).collect();
@@ -147,13 +151,13 @@
             "model": Fleet::MODEL,
             "messages": [{"role": "user", "content": content}],
             "stream": flow.stream,
-            "metadata": {"output_tokens": planned.output.to_string(), "tag": planned.tag},
+            "metadata": {"output_tokens": planned.output_tokens.to_string(), "tag": planned.tag},
         })
     }
 }
 
-impl Received {
-    fn take_head(&mut self, response: &Response<Incoming>) {
+impl ReceivedResponse {
+    fn read_head(&mut self, response: &Response<Incoming>) {
         self.status = response.status().as_u16();
         self.replayed = response.headers().contains_key(router::REPLAYED_HEADER);
         self.verdict = response
@@ -163,10 +167,10 @@
             .and_then(|text| text.parse().ok());
     }
 
-    fn take_whole(&mut self, body: &[u8], tag: &str) {
+    fn read_body(&mut self, body: &[u8], tag: &str) {
         let value: Value = serde_json::from_slice(body).unwrap_or_default();
         if self.status != 200 {
-            self.take_error(&value);
+            self.read_error(&value);
             return;
         }
         self.first_token = Some(Instant::now());
@@ -177,10 +181,10 @@
             return;
         }
         let content = value["choices"][0]["message"]["content"].as_str();
-        self.take_content(content.unwrap_or_default(), tag);
+        self.read_content(content.unwrap_or_default(), tag);
     }
 
-    fn take_error(&mut self, value: &Value) {
+    fn read_error(&mut self, value: &Value) {
         let error = &value["error"];
         self.code = error["code"].as_str().map(str::to_string);
         if let Some(verdict) = error["verdict"].as_str().and_then(|text| text.parse().ok()) {
@@ -189,7 +193,7 @@
     }
 
     /// Each word of the content names the request's tag and counts up from 0.
-    fn take_content(&mut self, content: &str, tag: &str) {
+    fn read_content(&mut self, content: &str, tag: &str) {
         for word in content.split_whitespace() {
             let expected = format!("{tag}:{}", self.tokens);
             self.foreign |= word != expected;
@@ -197,7 +201,7 @@
         }
     }
 
-    async fn take_stream(&mut self, response: Response<Incoming>, tag: &str) -> eyre::Result<()> {
+    async fn read_stream(&mut self, response: Response<Incoming>, tag: &str) -> eyre::Result<()> {
         use eventsource_stream::Eventsource;
         let mut events = BodyDataStream::new(response.into_body()).eventsource();
         while let Some(event) = events.next().await {
@@ -208,12 +212,12 @@
             }
             let value: Value = serde_json::from_str(&event.data)?;
             if event.event == "error" {
-                self.take_error(&value);
+                self.read_error(&value);
                 continue;
             }
             self.first_token.get_or_insert_with(Instant::now);
             let content = value["choices"][0]["delta"]["content"].as_str();
-            self.take_content(content.unwrap_or_default(), tag);
+            self.read_content(content.unwrap_or_default(), tag);
         }
         Ok(())
     }
--- a/crates/operator/src/demo_command.rs
+++ b/crates/operator/src/demo_command.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Scenario of the demo.
-const DEMO: &str = include_str!("../../../scenarios/demo.toml");
+const DEMO_SCENARIO: &str = include_str!("../../../scenarios/demo.toml");
 
 /// Options of `demo`.
 #[derive(Bpaf, Clone, Debug)]
@@ -19,7 +19,7 @@
 
 impl DemoCommand {
     pub(crate) async fn run(self) -> eyre::Result<()> {
-        let mut scenario = Scenario::from_toml(DEMO)?;
+        let mut scenario = Scenario::from_toml(DEMO_SCENARIO)?;
         let scale = self.for_s / scenario.duration_s;
         scenario.duration_s = self.for_s;
         for fault in &mut scenario.faults {
--- a/crates/operator/src/experiment.rs
+++ b/crates/operator/src/experiment.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 /// Base of the patches that racing operators submit.
-const RACE_PATH: &str = "/trial/max_slot_share";
+const RACE_PATCH_PATH: &str = "/trial/max_slot_share";
 
 /// Pause before a caller sends a request again with the same key.
-const RESEND_AFTER: Duration = Duration::from_millis(300);
+const RESEND_DELAY: Duration = Duration::from_millis(300);
 
 /// Progress bar of a run.
-const BAR: &str = "{bar:40} {pos}/{len} requests, {elapsed}";
+const PROGRESS_TEMPLATE: &str = "{bar:40} {pos}/{len} requests, {elapsed}";
 
 /// The result of one run of a scenario.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -26,71 +26,80 @@
 pub async fn run_experiment(
     scenario: &Scenario,
     load: f64,
-    show: bool,
+    show_progress: bool,
 ) -> eyre::Result<Experiment> {
     let scenario = Arc::new(scenario.clone());
     let fleet = Fleet::start(&scenario).await?;
     let planned = plan_requests(&scenario, load)?;
-    let bar = if show {
-        ProgressBar::new(planned.len() as u64).with_style(ProgressStyle::with_template(BAR)?)
+    let bar = if show_progress {
+        ProgressBar::new(planned.len() as u64)
+            .with_style(ProgressStyle::with_template(PROGRESS_TEMPLATE)?)
     } else {
         ProgressBar::hidden()
     };
-    let (addresses, balancer) = watch::channel(fleet.caller_addresses());
+    let (addresses, ready_addresses) = watch::channel(fleet.caller_addresses());
     let start = Instant::now();
     let caller = Caller {
         client: HttpClient::default(),
         scenario: Arc::clone(&scenario),
         start,
     };
-    let mut watched = Watched {
+    let mut observed = ObservedFleet {
         fleet,
         leaving: BTreeMap::new(),
         versions: vec![Vec::new(); scenario.fleet.hosts],
     };
-    let load = send_all(caller, planned, balancer, bar.clone());
-    let mut load = tokio::spawn(load);
-    let faults = watched.run_faults(&scenario, start, &addresses);
+    let sending = send_all(caller, planned, ready_addresses, bar.clone());
+    let mut sending = tokio::spawn(sending);
+    let faults = observed.run_faults(&scenario, start, &addresses);
     let records = tokio::select! {
-        records = &mut load => records?,
-        done = faults => {
-            done?;
-            load.await?
+        records = &mut sending => records?,
+        result = faults => {
+            result?;
+            sending.await?
         }
     };
     bar.finish_and_clear();
-    watched.note_versions();
-    let runs = watched.fleet.log.runs();
-    watched.fleet.stop().await?;
+    observed.record_versions();
+    let runs = observed.fleet.log.runs();
+    observed.fleet.stop().await?;
     Ok(Experiment {
         records,
         runs,
-        versions: watched.versions,
-        leaving: watched.leaving,
+        versions: observed.versions,
+        leaving: observed.leaving,
     })
 }
 
 async fn send_all(
     caller: Caller,
     planned: Vec<PlannedRequest>,
-    balancer: watch::Receiver<Vec<SocketAddr>>,
+    ready_addresses: watch::Receiver<Vec<SocketAddr>>,
     bar: ProgressBar,
 ) -> Vec<Record> {
     let mut calls = JoinSet::new();
     for (number, request) in planned.into_iter().enumerate() {
         sleep_until(caller.start + request.at).await;
         let caller = caller.clone();
-        let balancer = balancer.clone();
+        let ready_addresses = ready_addresses.clone();
         let bar = bar.clone();
         calls.spawn(async move {
-            let mut records = vec![caller.call(pick(&balancer, number), &request).await];
+            let mut records = vec![
+                caller
+                    .call(pick_address(&ready_addresses, number), &request)
+                    .await,
+            ];
             if request.resend {
-                sleep(RESEND_AFTER).await;
-                let again = PlannedRequest {
+                sleep(RESEND_DELAY).await;
+                let resent = PlannedRequest {
                     at: caller.start.elapsed(),
                     ..request
                 };
-                records.push(caller.call(pick(&balancer, number + 1), &again).await);
+                records.push(
+                    caller
+                        .call(pick_address(&ready_addresses, number + 1), &resent)
+                        .await,
+                );
             }
             bar.inc(1);
             records
@@ -104,19 +113,19 @@
 }
 
 /// The balancer: requests go to the ready hosts in turn.
-fn pick(balancer: &watch::Receiver<Vec<SocketAddr>>, number: usize) -> SocketAddr {
-    let addresses = balancer.borrow();
+fn pick_address(ready_addresses: &watch::Receiver<Vec<SocketAddr>>, number: usize) -> SocketAddr {
+    let addresses = ready_addresses.borrow();
     addresses[number % addresses.len()]
 }
 
 /// A fleet under faults, and what was seen of it.
-struct Watched {
+struct ObservedFleet {
     fleet: Fleet,
     leaving: BTreeMap<UpstreamId, LeavingSpan>,
     versions: Vec<Vec<ConfigVersion>>,
 }
 
-impl Watched {
+impl ObservedFleet {
     async fn run_faults(
         &mut self,
         scenario: &Scenario,
@@ -129,15 +138,15 @@
             steps.push((fault.at_s + fault.for_s, &fault.kind, false));
         }
         steps.sort_by(|a, b| a.0.total_cmp(&b.0));
-        for (at_s, kind, on) in steps {
+        for (at_s, kind, active) in steps {
             sleep_until(start + Duration::from_secs_f64(at_s)).await;
-            self.note_versions();
-            self.switch(scenario, kind, on, addresses).await?;
+            self.record_versions();
+            self.apply_fault(scenario, kind, active, addresses).await?;
         }
         Ok(())
     }
 
-    fn note_versions(&mut self) {
+    fn record_versions(&mut self) {
         for (seen, host) in self.versions.iter_mut().zip(&self.fleet.hosts) {
             if let Some(version) = host.as_ref().and_then(|host| host.status().version) {
                 seen.push(version);
@@ -145,11 +154,11 @@
         }
     }
 
-    async fn switch(
+    async fn apply_fault(
         &mut self,
         scenario: &Scenario,
         kind: &FaultKind,
-        on: bool,
+        active: bool,
         addresses: &watch::Sender<Vec<SocketAddr>>,
     ) -> eyre::Result<()> {
         match kind {
@@ -157,53 +166,55 @@
                 after_events,
                 upstream,
             } => {
-                let break_after_events = on.then_some(*after_events);
-                self.engine_faults(upstream, |faults| {
+                let break_after_events = active.then_some(*after_events);
+                self.set_engine_faults(upstream, |faults| {
                     faults.break_after_events = break_after_events;
                 })
             }
             FaultKind::EngineCrash { upstream } => {
-                self.engine_faults(upstream, |faults| faults.crashed = on)
+                self.set_engine_faults(upstream, |faults| faults.crashed = active)
             }
             FaultKind::EngineLeaves { upstream } => {
-                self.list_upstream(upstream, on);
+                self.set_upstream_leaving(upstream, active);
                 Ok(())
             }
             FaultKind::EngineSlow { factor, upstream } => {
-                let slow_factor = if on { *factor } else { 1.0 };
-                self.engine_faults(upstream, |faults| faults.slow_factor = slow_factor)
+                let slow_factor = if active { *factor } else { 1.0 };
+                self.set_engine_faults(upstream, |faults| faults.slow_factor = slow_factor)
             }
-            FaultKind::HostReplaced { host } if on => {
+            FaultKind::HostReplaced { host } if active => {
                 self.replace_host(scenario, *host, addresses).await
             }
-            FaultKind::OperatorsRace { operators } if on => self.race(*operators).await,
+            FaultKind::OperatorsRace { operators } if active => {
+                self.race_operators(*operators).await
+            }
             FaultKind::HostReplaced { .. } | FaultKind::OperatorsRace { .. } => Ok(()),
             FaultKind::ServiceResets { upstream } => {
                 let service = self.fleet.services.get(upstream);
                 let service = service.ok_or_else(|| eyre!("no replica {upstream}"))?;
                 service.set_faults(ServiceFaults {
-                    reset_after_run: on,
+                    reset_after_run: active,
                     ..ServiceFaults::default()
                 });
                 Ok(())
             }
             FaultKind::StoreDown => {
-                self.platform_faults(PlatformFaults {
-                    down: on,
+                self.set_platform_faults(PlatformFaults {
+                    down: active,
                     ..PlatformFaults::default()
                 });
                 Ok(())
             }
             FaultKind::StoreLosesAnswers { answers } => {
-                self.platform_faults(PlatformFaults {
-                    lose_answers: if on { *answers } else { 0 },
+                self.set_platform_faults(PlatformFaults {
+                    lose_answers: if active { *answers } else { 0 },
                     ..PlatformFaults::default()
                 });
                 Ok(())
             }
             FaultKind::StoreSlow { delay_ms } => {
-                self.platform_faults(PlatformFaults {
-                    delay_ms: if on { *delay_ms } else { 0 },
+                self.set_platform_faults(PlatformFaults {
+                    delay_ms: if active { *delay_ms } else { 0 },
                     ..PlatformFaults::default()
                 });
                 Ok(())
@@ -211,7 +222,7 @@
         }
     }
 
-    fn engine_faults(
+    fn set_engine_faults(
         &self,
         upstream: &UpstreamId,
         edit: impl FnOnce(&mut EngineFaults),
@@ -224,11 +235,11 @@
         Ok(())
     }
 
-    fn platform_faults(&self, faults: PlatformFaults) {
+    fn set_platform_faults(&self, faults: PlatformFaults) {
         self.fleet.platform.set_faults(faults);
     }
 
-    fn list_upstream(&mut self, upstream: &UpstreamId, leaving: bool) {
+    fn set_upstream_leaving(&mut self, upstream: &UpstreamId, leaving: bool) {
         let now_ms = self.fleet.log.now_ms();
         let state = if leaving {
             let span = LeavingSpan {
@@ -265,7 +276,7 @@
     }
 
     /// Several operators submit patches against one version; one is accepted.
-    async fn race(&self, operators: u32) -> eyre::Result<()> {
+    async fn race_operators(&self, operators: u32) -> eyre::Result<()> {
         let store = self.fleet.store();
         let base = store.newest_version().await?;
         let share = self.fleet.hosts.len() as f64;
@@ -274,7 +285,7 @@
             async move {
                 let value = (f64::from(number) + 1.0) / (f64::from(operators) + share);
                 let operations = serde_json::from_value(
-                    json!([{"op": "replace", "path": RACE_PATH, "value": value}]),
+                    json!([{"op": "replace", "path": RACE_PATCH_PATH, "value": value}]),
                 )?;
                 let patch = config::Patch {
                     author: format!("operator-{number}"),
--- a/crates/operator/src/explain_command.rs
+++ b/crates/operator/src/explain_command.rs
@@ -15,47 +15,47 @@
     since: Option<String>,
     /// Id of the request, and logs of hosts; standard input if none is named
     #[bpaf(positional("ID or FILE"))]
-    words: Vec<String>,
+    id_and_files: Vec<String>,
 }
 
 impl ExplainCommand {
     pub(crate) fn run(self) -> eyre::Result<()> {
-        if self.lists() {
-            return self.list(read_lines(&self.words)?);
+        if self.is_listing() {
+            return self.list(read_lines(&self.id_and_files)?);
         }
-        let Some((id, files)) = self.words.split_first() else {
+        let Some((id, files)) = self.id_and_files.split_first() else {
             bail!("expected the id of a request, or --since, --class or --reason");
         };
-        match Explanation::of(id, read_lines(files)?) {
+        match Explanation::from_lines(id, read_lines(files)?) {
             Some(explanation) => print(&format!("{explanation}\n")),
             None => bail!("no line of request {id} is in these logs"),
         }
     }
 
-    const fn lists(&self) -> bool {
+    const fn is_listing(&self) -> bool {
         self.class.is_some() || self.reason.is_some() || self.since.is_some()
     }
 
     fn list(&self, lines: Vec<LogLine>) -> eyre::Result<()> {
-        let fits =
+        let matches_filter =
             |wanted: &Option<String>, found: &Option<String>| wanted.is_none() || wanted == found;
         let mut failed: Vec<LogLine> = lines
             .into_iter()
             .filter(LogLine::is_failed_end)
-            .filter(|line| fits(&self.class, &line.class))
-            .filter(|line| fits(&self.reason, &line.reason))
+            .filter(|line| matches_filter(&self.class, &line.class))
+            .filter(|line| matches_filter(&self.reason, &line.reason))
             .filter(|line| self.since.as_ref().is_none_or(|since| line.ts >= *since))
             .collect();
         failed.sort_by(|a, b| a.ts.cmp(&b.ts));
         if failed.is_empty() {
             bail!("no failed request in these logs fits");
         }
-        print(&failed.iter().map(listed).collect::<String>())
+        print(&failed.iter().map(format_failed_request).collect::<String>())
     }
 }
 
 /// A failed request as one line of the list.
-fn listed(line: &LogLine) -> String {
+fn format_failed_request(line: &LogLine) -> String {
     let text = |value: &Option<String>| match value.as_deref() {
         None | Some("") => "-".to_string(),
         Some(value) => value.to_string(),
--- a/crates/operator/src/explanation.rs
+++ b/crates/operator/src/explanation.rs
@@ -61,8 +61,8 @@
     /// Whether it tells that a request did not get what it asked for.
     pub fn is_failed_end(&self) -> bool {
         let ended = self.msg == "request: ended";
-        let as_it_should = matches!(self.end.as_deref(), Some("finished" | "replayed"));
-        self.msg == "request: turned away" || (ended && !as_it_should)
+        let succeeded = matches!(self.end.as_deref(), Some("finished" | "replayed"));
+        self.msg == "request: turned away" || (ended && !succeeded)
     }
 }
 
@@ -77,7 +77,7 @@
 
 impl Explanation {
     /// Takes the lines of a request; `None` if there are none.
-    pub fn of(id: &str, lines: Vec<LogLine>) -> Option<Self> {
+    pub fn from_lines(id: &str, lines: Vec<LogLine>) -> Option<Self> {
         let mut lines: Vec<LogLine> = lines.into_iter().filter(|line| line.id == id).collect();
         lines.sort_by(|a, b| a.ts.cmp(&b.ts));
         (!lines.is_empty()).then_some(Self { lines })
@@ -94,7 +94,7 @@
     /// What decided the request's end, in a few sentences.
     pub fn summary(&self) -> String {
         if let Some(line) = self.last_with("request: turned away") {
-            return turned_away(line);
+            return explain_refusal(line);
         }
         let Some(end) = self.last_with("request: ended") else {
             return format!(
@@ -103,13 +103,13 @@
                 self.count("request: sent")
             );
         };
-        let mut sentences = vec![self.attempts(), ended(end)];
-        sentences.extend(why(end));
+        let mut sentences = vec![self.explain_attempts(), explain_end(end)];
+        sentences.extend(explain_reason(end));
         sentences.retain(|sentence| !sentence.is_empty());
         sentences.join(" ")
     }
 
-    fn attempts(&self) -> String {
+    fn explain_attempts(&self) -> String {
         let sent = self.lines.iter().filter(|line| line.msg == "request: sent");
         let failed = self.lines.iter().filter(|line| line.cause.is_some());
         let failed: Vec<&LogLine> = failed.collect();
@@ -117,7 +117,7 @@
         for (number, line) in sent.enumerate() {
             let mut sentence = format!(
                 "It was sent to {} after {} ms",
-                text(&line.upstream),
+                text_or_unknown(&line.upstream),
                 line.waited_ms.unwrap_or_default()
             );
             let waiting = line.backlog_tokens.unwrap_or_default()
@@ -131,7 +131,10 @@
                 } else {
                     ""
                 };
-                sentence += &format!("; that attempt failed ({}){part}", text(&failure.cause));
+                sentence += &format!(
+                    "; that attempt failed ({}){part}",
+                    text_or_unknown(&failure.cause)
+                );
             }
             sentences.push(sentence + ".");
         }
@@ -139,11 +142,11 @@
     }
 }
 
-fn text(value: &Option<String>) -> &str {
+fn text_or_unknown(value: &Option<String>) -> &str {
     value.as_deref().unwrap_or("unknown")
 }
 
-fn knowledge(line: &LogLine) -> String {
+fn describe_configuration(line: &LogLine) -> String {
     match (line.config_version, line.config_age_ms) {
         (Some(version), Some(age)) => format!(
             "the host had version {version} of the configuration, known to be the newest {age} ms \
@@ -154,20 +157,20 @@
     }
 }
 
-fn turned_away(line: &LogLine) -> String {
-    let reason = text(&line.reason);
+fn explain_refusal(line: &LogLine) -> String {
+    let reason = text_or_unknown(&line.reason);
     format!(
         "It was refused at once ({reason}), and did not run: {}.",
-        knowledge(line)
+        describe_configuration(line)
     )
 }
 
-fn ended(end: &LogLine) -> String {
+fn explain_end(end: &LogLine) -> String {
     let lasted = end.lasted_ms.unwrap_or_default();
     let mut sentence = format!(
         "It ended as {} after {lasted} ms, verdict {}",
-        text(&end.end),
-        text(&end.verdict)
+        text_or_unknown(&end.end),
+        text_or_unknown(&end.verdict)
     );
     if let Some(first) = end.first_token_ms {
         sentence += &format!(", with its first token after {first} ms");
@@ -176,14 +179,14 @@
 }
 
 /// What the reason of a refusal means, with the inputs that decided it.
-fn why(end: &LogLine) -> Option<String> {
+fn explain_reason(end: &LogLine) -> Option<String> {
     let reason = end.reason.as_deref()?;
     Some(match reason {
         "configuration_stale" => format!(
             "A key is not taken for valid while it may have been removed: {}.",
-            knowledge(end)
+            describe_configuration(end)
         ),
-        "unknown_key" => format!("No team has its key: {}.", knowledge(end)),
+        "unknown_key" => format!("No team has its key: {}.", describe_configuration(end)),
         "deadline_passed" | "deadline_unreachable" | "queue_full" => format!(
             "It waited for an upstream with room; {} requests were queued on the host.",
             end.queued.unwrap_or_default()
--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Longest wait for all hosts to have a configuration.
-const READY_WITHIN: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Pause of a draining host of an experiment, in place of the balancer's.
 const BALANCER_PAUSE_MS: u64 = 100;
@@ -74,8 +74,8 @@
         };
         let started = tokio::task::spawn_blocking(move || {
             let host = Host::start(settings, router::discard_logger())?;
-            if !host.wait_ready(READY_WITHIN) {
-                bail!("host got no configuration within {READY_WITHIN:?}");
+            if !host.wait_ready(READY_TIMEOUT) {
+                bail!("host got no configuration within {READY_TIMEOUT:?}");
             }
             Ok(host)
         });
--- a/crates/operator/src/flow.rs
+++ b/crates/operator/src/flow.rs
@@ -25,16 +25,16 @@
     #[serde(default)]
     pub keyed: bool,
     /// Median output length in tokens; the lengths are log-normal.
-    #[serde(default = "default_output")]
+    #[serde(default = "default_output_median_tokens")]
     pub output_median_tokens: f64,
     /// Spread of the output length: sigma of its logarithm.
-    #[serde(default = "default_sigma")]
+    #[serde(default = "default_output_sigma")]
     pub output_sigma: f64,
     /// Different prompt prefixes; 0 for a new one each time.
     #[serde(default)]
     pub prefixes: u32,
     /// Prompt length in tokens.
-    #[serde(default = "default_prompt")]
+    #[serde(default = "default_prompt_tokens")]
     pub prompt_tokens: u32,
     /// Arrivals a second.
     pub requests_per_s: Rate,
@@ -52,15 +52,15 @@
     pub team: TeamId,
 }
 
-fn default_output() -> f64 {
+fn default_output_median_tokens() -> f64 {
     60.0
 }
 
-fn default_sigma() -> f64 {
+fn default_output_sigma() -> f64 {
     0.5
 }
 
-fn default_prompt() -> u32 {
+fn default_prompt_tokens() -> u32 {
     200
 }
 
--- a/crates/operator/src/checks.rs
+++ b/crates/operator/src/guarantee_checks.rs
@@ -5,27 +5,27 @@
 use super::*;
 
 /// Time after which an upstream that is leaving gets nothing new.
-const LEAVING_WITHIN_MS: u64 = 3_000;
+const LEAVING_GRACE_MS: u64 = 3_000;
 
 /// Tiers whose requests are never shed for less urgent ones.
-const PRESSING_TIERS: usize = 2;
+const URGENT_TIERS: usize = 2;
 
 /// Less urgent requests that the floors against starvation may start in
 /// 2 seconds, on each host.
-const FLOOR_STARTS_PER_2_S: f64 = 11.0;
+const STARVATION_FLOOR_STARTS_PER_2_S: f64 = 11.0;
 
 /// Checks every promise that a history can show.
-pub fn check_promises(scenario: &Scenario, experiment: &Experiment) -> Vec<GuaranteeCheck> {
+pub fn check_guarantees(scenario: &Scenario, experiment: &Experiment) -> Vec<GuaranteeCheck> {
     let history = History::new(experiment);
     vec![
-        history.never_shed_for_less(scenario),
+        history.urgent_not_shed_for_less_urgent(scenario),
         history.every_class_served(),
         history.complete_answers(),
-        history.not_run_is_true(),
+        history.not_run_verdict_is_true(),
         history.at_most_once(),
-        history.leaving_gets_nothing(),
-        history.stop_cuts_nothing(scenario),
-        history.versions_never_fall(),
+        history.leaving_gets_no_new_work(),
+        history.planned_stop_cuts_nothing(scenario),
+        history.versions_never_decrease(),
     ]
 }
 
@@ -53,37 +53,37 @@
         }
     }
 
-    fn runs_of(&self, tag: &str) -> usize {
+    fn run_count(&self, tag: &str) -> usize {
         self.runs.get(tag).map_or(0, Vec::len)
     }
 
-    fn count<'b>(
+    fn check_records<'b>(
         name: &str,
-        cases: impl Iterator<Item = &'b Record>,
-        breaks: impl Fn(&Record) -> bool,
+        records: impl Iterator<Item = &'b Record>,
+        violates: impl Fn(&Record) -> bool,
     ) -> GuaranteeCheck {
-        let mut promise = GuaranteeCheck {
+        let mut check = GuaranteeCheck {
             broken: 0,
             checked: 0,
             name: name.to_string(),
         };
-        for record in cases {
-            promise.checked += 1;
-            promise.broken += u64::from(breaks(record));
+        for record in records {
+            check.checked += 1;
+            check.broken += u64::from(violates(record));
         }
-        promise
+        check
     }
 
     /// A pressing request was shed although less urgent ones were started
     /// while it waited, more than the floors allow.
-    fn never_shed_for_less(&self, scenario: &Scenario) -> GuaranteeCheck {
+    fn urgent_not_shed_for_less_urgent(&self, scenario: &Scenario) -> GuaranteeCheck {
         let hosts = scenario.fleet.hosts as f64;
-        let pressing = self
+        let urgent = self
             .experiment
             .records
             .iter()
-            .filter(|record| record.tier.index() < PRESSING_TIERS);
-        Self::count("urgent-never-shed-for-less", pressing, |record| {
+            .filter(|record| record.tier.index() < URGENT_TIERS);
+        Self::check_records("urgent-never-shed-for-less", urgent, |record| {
             let shed = matches!(
                 record.code.as_deref(),
                 Some("queue_full" | "deadline_passed" | "deadline_unreachable" | "host_busy")
@@ -92,14 +92,14 @@
                 return false;
             }
             let waited_s = (record.ended_ms - record.intended_ms) / 1e3;
-            let allowed = hosts * FLOOR_STARTS_PER_2_S * (1.0 + waited_s / 2.0);
+            let allowed = hosts * STARVATION_FLOOR_STARTS_PER_2_S * (1.0 + waited_s / 2.0);
             let started = self.experiment.runs.iter().filter(|run| {
                 let at_ms = run.started_ms as f64;
-                let less = self
+                let is_less_urgent = self
                     .tiers
                     .get(run.tag.as_str())
                     .is_some_and(|tier| record.tier.is_more_urgent_than(*tier));
-                less && at_ms >= record.intended_ms && at_ms <= record.ended_ms
+                is_less_urgent && at_ms >= record.intended_ms && at_ms <= record.ended_ms
             });
             started.count() as f64 > allowed
         })
@@ -109,8 +109,8 @@
     fn every_class_served(&self) -> GuaranteeCheck {
         let mut served: BTreeMap<&ClassId, bool> = BTreeMap::new();
         for record in &self.experiment.records {
-            let whole = matches!(record.ending, Ending::Finished | Ending::Replayed);
-            *served.entry(&record.class).or_default() |= whole;
+            let complete = matches!(record.ending, Ending::Finished | Ending::Replayed);
+            *served.entry(&record.class).or_default() |= complete;
         }
         GuaranteeCheck {
             broken: served.values().filter(|served| !**served).count() as u64,
@@ -126,12 +126,12 @@
             .records
             .iter()
             .filter(|record| matches!(record.ending, Ending::Finished | Ending::Replayed));
-        Self::count("complete-own-answer", ended, |record| !record.is_whole())
+        Self::check_records("complete-own-answer", ended, |record| !record.is_complete())
     }
 
     /// A request was answered `not-run` and had run. Only tags with one request
     /// show it.
-    fn not_run_is_true(&self) -> GuaranteeCheck {
+    fn not_run_verdict_is_true(&self) -> GuaranteeCheck {
         let mut requests: HashMap<&str, u32> = HashMap::default();
         for record in &self.experiment.records {
             *requests.entry(&record.tag).or_default() += 1;
@@ -139,58 +139,61 @@
         let answered = self.experiment.records.iter().filter(|record| {
             record.verdict == Some(Verdict::NotRun) && requests[record.tag.as_str()] == 1
         });
-        Self::count("not-run-is-true", answered, |record| {
-            self.runs_of(&record.tag) > 0
+        Self::check_records("not-run-is-true", answered, |record| {
+            self.run_count(&record.tag) > 0
         })
     }
 
     /// A request that may run once at most ran more often.
     fn at_most_once(&self) -> GuaranteeCheck {
-        let once = self.experiment.records.iter().filter(|record| record.once);
-        Self::count("at-most-once", once, |record| self.runs_of(&record.tag) > 1)
+        let at_most_once = self.experiment.records.iter().filter(|record| record.once);
+        Self::check_records("at-most-once", at_most_once, |record| {
+            self.run_count(&record.tag) > 1
+        })
     }
 
     /// An upstream got new work after it had been leaving for a while.
-    fn leaving_gets_nothing(&self) -> GuaranteeCheck {
-        let mut promise = GuaranteeCheck {
+    fn leaving_gets_no_new_work(&self) -> GuaranteeCheck {
+        let mut check = GuaranteeCheck {
             broken: 0,
             checked: 0,
             name: "leaving-gets-no-new-work".to_string(),
         };
         for (upstream, span) in &self.experiment.leaving {
-            promise.checked += 1;
+            check.checked += 1;
             let late = self.experiment.runs.iter().any(|run| {
-                run.upstream == upstream.name() && span.holds_at(run.received_ms, LEAVING_WITHIN_MS)
+                run.upstream == upstream.name()
+                    && span.is_leaving_at(run.received_ms, LEAVING_GRACE_MS)
             });
-            promise.broken += u64::from(late);
+            check.broken += u64::from(late);
         }
-        promise
+        check
     }
 
     /// A request was cut or lost in a run whose only faults are planned stops.
-    fn stop_cuts_nothing(&self, scenario: &Scenario) -> GuaranteeCheck {
+    fn planned_stop_cuts_nothing(&self, scenario: &Scenario) -> GuaranteeCheck {
         let is_stop = |fault: &Fault| matches!(fault.kind, FaultKind::HostReplaced { .. });
         let stops_only = scenario.faults.iter().all(is_stop);
         let any = scenario.faults.iter().any(is_stop);
         let records = self.experiment.records.iter().filter(|_| stops_only && any);
-        Self::count("planned-stop-cuts-nothing", records, |record| {
+        Self::check_records("planned-stop-cuts-nothing", records, |record| {
             matches!(record.ending, Ending::Broken | Ending::Lost)
         })
     }
 
     /// A host was seen with an older version after a newer one.
-    fn versions_never_fall(&self) -> GuaranteeCheck {
-        let mut promise = GuaranteeCheck {
+    fn versions_never_decrease(&self) -> GuaranteeCheck {
+        let mut check = GuaranteeCheck {
             broken: 0,
             checked: 0,
             name: "versions-never-fall".to_string(),
         };
         for versions in &self.experiment.versions {
             for pair in versions.windows(2) {
-                promise.checked += 1;
-                promise.broken += u64::from(pair[1] < pair[0]);
+                check.checked += 1;
+                check.broken += u64::from(pair[1] < pair[0]);
             }
         }
-        promise
+        check
     }
 }
--- a/crates/operator/src/history_report.rs
+++ b/crates/operator/src/history_report.rs
@@ -6,7 +6,7 @@
 /// The report on a run, from what callers saw and what upstreams ran.
 pub fn history_report(scenario: &Scenario, experiment: &Experiment) -> Report {
     let mut report = Report {
-        promises: check_promises(scenario, experiment),
+        promises: check_guarantees(scenario, experiment),
         ..Report::default()
     };
     for record in &experiment.records {
@@ -23,7 +23,7 @@
         .filter_map(|class| class_report(class, &experiment.records))
         .collect();
     report.classes.sort_by_key(|class| class.tier);
-    add_work(&mut report, scenario, experiment);
+    add_goodput_and_waste(&mut report, scenario, experiment);
     report
 }
 
@@ -41,7 +41,10 @@
             .filter(|record| record.ending == ending)
             .count() as u64
     };
-    let met = records.iter().filter(|record| record.met(class)).count() as u64;
+    let met = records
+        .iter()
+        .filter(|record| record.meets_targets(class))
+        .count() as u64;
     let total = records.len() as u64;
     let attainment = met as f64 / total as f64;
     let burn_rate = (1.0 - attainment) / (1.0 - OBJECTIVE);
@@ -78,33 +81,33 @@
 
 /// Adds goodput and wasted work: every token that an upstream computed is
 /// delivered in a whole answer, or wasted for a cause.
-fn add_work(report: &mut Report, scenario: &Scenario, experiment: &Experiment) {
-    let mut by_tag: HashMap<&str, Vec<&Run>> = HashMap::default();
+fn add_goodput_and_waste(report: &mut Report, scenario: &Scenario, experiment: &Experiment) {
+    let mut runs_by_tag: HashMap<&str, Vec<&Run>> = HashMap::default();
     for run in &experiment.runs {
-        by_tag.entry(&run.tag).or_default().push(run);
+        runs_by_tag.entry(&run.tag).or_default().push(run);
     }
-    let mut good = 0;
-    let mut computed = 0;
+    let mut goodput_tokens = 0;
+    let mut computed_tokens = 0;
     let mut seen: HashSet<&str> = HashSet::default();
     for record in &experiment.records {
         if !seen.insert(&record.tag) {
             continue;
         }
-        let runs = by_tag
+        let runs = runs_by_tag
             .get(record.tag.as_str())
             .map_or(&[][..], Vec::as_slice);
         let tokens: u64 = runs.iter().map(|run| u64::from(run.tokens)).sum();
-        computed += tokens;
-        let delivered = if record.is_whole() {
+        computed_tokens += tokens;
+        let delivered = if record.is_complete() {
             u64::from(record.wanted)
         } else {
             0
         };
         let met = scenario
             .class(&record.class)
-            .is_ok_and(|class| record.met(class));
+            .is_ok_and(|class| record.meets_targets(class));
         if met {
-            good += delivered;
+            goodput_tokens += delivered;
         }
         let cause = match record.ending {
             Ending::Finished | Ending::Replayed => WasteCause::Repeated,
@@ -115,7 +118,7 @@
         *report.wasted_by_cause.entry(cause).or_default() += wasted;
     }
     let wasted: u64 = report.wasted_by_cause.values().sum();
-    report.goodput_share = good as f64 / computed.max(1) as f64;
-    report.goodput_tokens_per_s = good as f64 / scenario.duration_s;
-    report.wasted_share = wasted as f64 / computed.max(1) as f64;
+    report.goodput_share = goodput_tokens as f64 / computed_tokens.max(1) as f64;
+    report.goodput_tokens_per_s = goodput_tokens as f64 / scenario.duration_s;
+    report.wasted_share = wasted as f64 / computed_tokens.max(1) as f64;
 }
--- a/crates/operator/src/http_client.rs
+++ b/crates/operator/src/http_client.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Idle connections kept for each address.
-const MAX_IDLE: usize = 256;
+const MAX_IDLE_PER_ADDRESS: usize = 256;
 
 type Sender = SendRequest<Full<Bytes>>;
 
@@ -19,7 +19,7 @@
         request: Request<Full<Bytes>>,
     ) -> eyre::Result<(Response<Incoming>, SendRequest<Full<Bytes>>)> {
         let mut request = request;
-        while let Some(mut sender) = self.take(address) {
+        while let Some(mut sender) = self.take_idle(address) {
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, sender)),
                 Err(mut error) => match error.take_message() {
@@ -48,11 +48,11 @@
         let (response, sender) = self.send(address, request).await?;
         let status = response.status();
         let body = response.into_body().collect().await?.to_bytes();
-        self.keep(address, sender);
+        self.return_idle(address, sender);
         Ok((status, body))
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Sender> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let senders = idle.get_mut(&address)?;
         while let Some(sender) = senders.pop() {
@@ -64,10 +64,10 @@
     }
 
     /// Keeps a connection whose answer has been read to its end.
-    pub fn keep(&self, address: SocketAddr, sender: SendRequest<Full<Bytes>>) {
+    pub fn return_idle(&self, address: SocketAddr, sender: SendRequest<Full<Bytes>>) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let senders = idle.entry(address).or_default();
-        if senders.len() < MAX_IDLE {
+        if senders.len() < MAX_IDLE_PER_ADDRESS {
             senders.push(sender);
         }
     }
--- a/crates/operator/src/leaving_span.rs
+++ b/crates/operator/src/leaving_span.rs
@@ -12,8 +12,8 @@
 
 impl LeavingSpan {
     /// Whether it was leaving at a moment, and had been for `longer_ms`.
-    pub fn holds_at(self, at_ms: u64, longer_ms: u64) -> bool {
+    pub fn is_leaving_at(self, at_ms: u64, grace_ms: u64) -> bool {
         let ended = self.until_ms.is_some_and(|until_ms| at_ms >= until_ms);
-        !ended && at_ms > self.from_ms + longer_ms
+        !ended && at_ms > self.from_ms + grace_ms
     }
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -51,7 +51,6 @@
 };
 
 mod caller;
-mod checks;
 mod command;
 mod compare_command;
 mod config_command;
@@ -63,6 +62,7 @@
 mod fleet;
 mod fleet_options;
 mod flow;
+mod guarantee_checks;
 mod history_report;
 mod http_client;
 mod leaving_span;
@@ -78,7 +78,6 @@
 
 pub use {
     caller::Caller,
-    checks::check_promises,
     command::{Command, command},
     experiment::{Experiment, run_experiment},
     explanation::{Explanation, LogLine},
@@ -86,6 +85,7 @@
     fleet::Fleet,
     fleet_options::FleetOptions,
     flow::{Burst, Flow},
+    guarantee_checks::check_guarantees,
     history_report::history_report,
     http_client::HttpClient,
     leaving_span::LeavingSpan,
--- a/crates/operator/src/load_command.rs
+++ b/crates/operator/src/load_command.rs
@@ -31,9 +31,9 @@
         let mut scenario = Scenario::from_toml(&read(&self.file)?)
             .wrap_err_with(|| format!("{} is not valid", self.file.display()))?;
         if let Some(file) = &self.faults {
-            let timeline: Timeline = toml::from_str(&read(file)?)
+            let faults_file: FaultsFile = toml::from_str(&read(file)?)
                 .wrap_err_with(|| format!("{} is not valid", file.display()))?;
-            scenario.faults.extend(timeline.faults);
+            scenario.faults.extend(faults_file.faults);
         }
         if let Some(seed) = self.seed {
             scenario.seed = seed;
@@ -50,7 +50,7 @@
 /// Faults in a file of their own.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Timeline {
+struct FaultsFile {
     faults: Vec<Fault>,
 }
 
@@ -82,8 +82,8 @@
     let broken: Vec<&str> = report
         .promises
         .iter()
-        .filter(|promise| promise.broken > 0)
-        .map(|promise| promise.name.as_str())
+        .filter(|check| check.broken > 0)
+        .map(|check| check.name.as_str())
         .collect();
     if !broken.is_empty() {
         bail!("promises broken: {}", broken.join(", "));
--- a/crates/operator/src/plan.rs
+++ b/crates/operator/src/plan.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 /// Longest output that a scenario asks for, in tokens.
-const MAX_OUTPUT: f64 = 2_000.0;
+const MAX_OUTPUT_TOKENS: f64 = 2_000.0;
 
 /// One request to be sent at a set moment.
 #[derive(Clone, Debug)]
 pub(crate) struct PlannedRequest {
     pub(crate) at: Duration,
     pub(crate) flow: usize,
-    pub(crate) output: u32,
+    pub(crate) output_tokens: u32,
     pub(crate) prefix: u64,
     pub(crate) resend: bool,
     pub(crate) tag: String,
@@ -25,7 +25,7 @@
             continue;
         }
         let gaps = Exp::new(peak_per_s).wrap_err("rate of a flow")?;
-        let outputs = LogNormal::new(flow.output_median_tokens.ln(), flow.output_sigma)
+        let output_lengths = LogNormal::new(flow.output_median_tokens.ln(), flow.output_sigma)
             .wrap_err("output length of a flow")?;
         let mut at_s = 0.0;
         let mut number = 0;
@@ -44,7 +44,9 @@
             planned.push(PlannedRequest {
                 at: Duration::from_secs_f64(at_s),
                 flow: index,
-                output: outputs.sample(&mut rng).clamp(1.0, MAX_OUTPUT) as u32,
+                output_tokens: output_lengths
+                    .sample(&mut rng)
+                    .clamp(1.0, MAX_OUTPUT_TOKENS) as u32,
                 prefix: match flow.prefixes {
                     0 => rng.random(),
                     prefixes => u64::from(rng.random_range(0..prefixes)),
--- a/crates/operator/src/record.rs
+++ b/crates/operator/src/record.rs
@@ -58,7 +58,7 @@
 impl Record {
     /// Whether it finished within the targets of its class. An answer that came
     /// as a whole has the time of both targets together.
-    pub fn met(&self, class: &ScenarioClass) -> bool {
+    pub fn meets_targets(&self, class: &ScenarioClass) -> bool {
         let Some(first_token_ms) = self.first_token_ms else {
             return false;
         };
@@ -76,7 +76,7 @@
     }
 
     /// Whether the answer is whole and is this request's own.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         let finished = matches!(self.ending, Ending::Finished | Ending::Replayed);
         finished && !self.foreign && self.received == self.wanted
     }
--- a/crates/operator/src/render.rs
+++ b/crates/operator/src/render.rs
@@ -24,7 +24,7 @@
 }
 
 #[derive(tabled::Tabled)]
-struct PromiseRow {
+struct GuaranteeRow {
     promise: String,
     checked: u64,
     broken: u64,
@@ -77,10 +77,10 @@
         },
     );
     if !report.promises.is_empty() {
-        let promises = report.promises.iter().map(|promise| PromiseRow {
-            broken: promise.broken,
-            checked: promise.checked,
-            promise: promise.name.clone(),
+        let promises = report.promises.iter().map(|check| GuaranteeRow {
+            broken: check.broken,
+            checked: check.checked,
+            promise: check.name.clone(),
         });
         text += &tabled::Table::new(promises).to_string();
         text += "\n";
--- a/crates/operator/src/scenario_class.rs
+++ b/crates/operator/src/scenario_class.rs
@@ -13,12 +13,12 @@
     /// Id.
     pub id: ClassId,
     /// Whether a request may run twice without harm.
-    #[serde(default = "yes")]
+    #[serde(default = "default_idempotent")]
     pub idempotent: bool,
     /// Tier.
     pub tier: Tier,
 }
 
-fn yes() -> bool {
+fn default_idempotent() -> bool {
     true
 }
--- a/crates/operator/src/scenario_team.rs
+++ b/crates/operator/src/scenario_team.rs
@@ -9,20 +9,20 @@
     /// Id.
     pub id: TeamId,
     /// Requests queued or running at one moment, on each host.
-    #[serde(default = "many")]
+    #[serde(default = "default_max_concurrent")]
     pub max_concurrent: u32,
     /// Requests a second, on each host.
-    #[serde(default = "fast")]
+    #[serde(default = "default_max_requests_per_s")]
     pub max_requests_per_s: Rate,
     /// What it pays for.
     pub plan: Plan,
 }
 
-fn many() -> u32 {
+fn default_max_concurrent() -> u32 {
     10_000
 }
 
-fn fast() -> Rate {
+fn default_max_requests_per_s() -> Rate {
     Rate::per_second(100_000.0).unwrap_or_default()
 }
 
--- a/crates/operator/tests/experiments.rs
+++ b/crates/operator/tests/experiments.rs
@@ -6,7 +6,7 @@
 
 use operator::{Fault, FaultKind, Scenario, history_report, run_experiment};
 
-fn short(faults: Vec<Fault>, seed: u64) -> Scenario {
+fn short_scenario(faults: Vec<Fault>, seed: u64) -> Scenario {
     let text = include_str!("../../../scenarios/demo.toml");
     let mut scenario = Scenario::from_toml(text).unwrap();
     scenario.duration_s = 4.0;
@@ -20,36 +20,36 @@
     Fault { at_s, for_s, kind }
 }
 
-async fn keeps_promises(scenario: &Scenario, must_check: &[&str]) {
+async fn assert_guarantees_hold(scenario: &Scenario, required_checks: &[&str]) {
     let experiment = run_experiment(scenario, 1.0, false).await.unwrap();
     let report = history_report(scenario, &experiment);
-    for promise in &report.promises {
-        assert_eq!(promise.broken, 0, "seed {}: {promise:?}", scenario.seed);
+    for check in &report.promises {
+        assert_eq!(check.broken, 0, "seed {}: {check:?}", scenario.seed);
     }
-    for name in must_check {
-        let promise = report.promises.iter().find(|promise| promise.name == *name);
-        assert!(promise.unwrap().checked > 0, "{name} was not checked");
+    for name in required_checks {
+        let check = report.promises.iter().find(|check| check.name == *name);
+        assert!(check.unwrap().checked > 0, "{name} was not checked");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_run_without_faults_keeps_its_promises() {
-    let must = ["complete-own-answer", "at-most-once", "every-class-served"];
-    keeps_promises(&short(Vec::new(), 1), &must).await;
+async fn run_without_faults_keeps_every_guarantee() {
+    let required_checks = ["complete-own-answer", "at-most-once", "every-class-served"];
+    assert_guarantees_hold(&short_scenario(Vec::new(), 1), &required_checks).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn replaced_hosts_cut_nothing() {
+async fn replaced_hosts_cut_no_request() {
     let faults = vec![
         fault(0.5, 0.0, FaultKind::HostReplaced { host: 0 }),
         fault(1.5, 0.0, FaultKind::HostReplaced { host: 1 }),
         fault(2.5, 0.0, FaultKind::HostReplaced { host: 2 }),
     ];
-    keeps_promises(&short(faults, 2), &["planned-stop-cuts-nothing"]).await;
+    assert_guarantees_hold(&short_scenario(faults, 2), &["planned-stop-cuts-nothing"]).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn faults_of_upstreams_and_platform_together_break_no_promise() {
+async fn combined_upstream_and_platform_faults_keep_every_guarantee() {
     let engine = |number: u32| format!("engine-{number}").parse().unwrap();
     let faults = vec![
         fault(
@@ -85,12 +85,12 @@
         ),
         fault(3.4, 0.0, FaultKind::OperatorsRace { operators: 4 }),
     ];
-    let must = [
+    let required_checks = [
         "at-most-once",
         "leaving-gets-no-new-work",
         "versions-never-fall",
     ];
     for seed in [3, 4] {
-        keeps_promises(&short(faults.clone(), seed), &must).await;
+        assert_guarantees_hold(&short_scenario(faults.clone(), seed), &required_checks).await;
     }
 }
--- a/crates/operator/tests/checkers.rs
+++ b/crates/operator/tests/guarantee_checks.rs
@@ -5,7 +5,7 @@
 
 use {
     operator::{
-        Ending, Experiment, Fault, FaultKind, LeavingSpan, Record, Scenario, check_promises,
+        Ending, Experiment, Fault, FaultKind, LeavingSpan, Record, Scenario, check_guarantees,
     },
     router::GuaranteeCheck,
     standin::Run,
@@ -50,7 +50,7 @@
     }
 }
 
-fn sound() -> Experiment {
+fn valid_experiment() -> Experiment {
     Experiment {
         records: vec![
             record("q", "question", 0),
@@ -75,35 +75,32 @@
 }
 
 /// The promise with a name, for a history with a planted fault.
-fn checked(name: &str, plant: impl FnOnce(&mut Experiment, &mut Scenario)) -> GuaranteeCheck {
+fn check_guarantee(
+    name: &str,
+    inject_fault: impl FnOnce(&mut Experiment, &mut Scenario),
+) -> GuaranteeCheck {
     let mut scenario = scenario();
-    let mut experiment = sound();
-    plant(&mut experiment, &mut scenario);
-    let promises = check_promises(&scenario, &experiment);
-    promises
-        .into_iter()
-        .find(|promise| promise.name == name)
-        .unwrap()
+    let mut experiment = valid_experiment();
+    inject_fault(&mut experiment, &mut scenario);
+    let checks = check_guarantees(&scenario, &experiment);
+    checks.into_iter().find(|check| check.name == name).unwrap()
 }
 
-fn found(name: &str, plant: impl FnOnce(&mut Experiment, &mut Scenario)) {
-    let promise = checked(name, plant);
-    assert!(promise.checked > 0, "{name} checks nothing");
-    assert_eq!(promise.broken, 1, "{name} finds nothing");
+fn assert_violation_found(name: &str, inject_fault: impl FnOnce(&mut Experiment, &mut Scenario)) {
+    let check = check_guarantee(name, inject_fault);
+    assert!(check.checked > 0, "{name} checks nothing");
+    assert_eq!(check.broken, 1, "{name} finds nothing");
 }
 
 #[test]
-fn a_sound_history_breaks_nothing() {
-    let promises = check_promises(&scenario(), &sound());
-    assert_eq!(
-        promises.iter().map(|promise| promise.broken).sum::<u64>(),
-        0
-    );
+fn valid_history_has_no_violation() {
+    let checks = check_guarantees(&scenario(), &valid_experiment());
+    assert_eq!(checks.iter().map(|check| check.broken).sum::<u64>(), 0);
 }
 
 #[test]
-fn a_shed_alert_with_less_urgent_work_started_is_found() {
-    found("urgent-never-shed-for-less", |experiment, _| {
+fn urgent_request_shed_while_less_urgent_work_starts_is_found() {
+    assert_violation_found("urgent-never-shed-for-less", |experiment, _| {
         experiment.records[0].ending = Ending::Refused;
         experiment.records[0].code = Some("queue_full".to_string());
         for _ in 0..100 {
@@ -113,44 +110,44 @@
 }
 
 #[test]
-fn a_starved_class_is_found() {
-    found("every-class-served", |experiment, _| {
+fn starved_class_is_found() {
+    assert_violation_found("every-class-served", |experiment, _| {
         experiment.records[2].ending = Ending::Refused;
     });
 }
 
 #[test]
-fn a_cut_answer_that_ended_well_is_found() {
-    found("complete-own-answer", |experiment, _| {
+fn truncated_response_reported_as_finished_is_found() {
+    assert_violation_found("complete-own-answer", |experiment, _| {
         experiment.records[0].received = 4;
     });
 }
 
 #[test]
-fn another_callers_answer_is_found() {
-    found("complete-own-answer", |experiment, _| {
+fn response_of_another_request_is_found() {
+    assert_violation_found("complete-own-answer", |experiment, _| {
         experiment.records[0].foreign = true;
     });
 }
 
 #[test]
-fn a_false_not_run_is_found() {
-    found("not-run-is-true", |experiment, _| {
+fn false_not_run_verdict_is_found() {
+    assert_violation_found("not-run-is-true", |experiment, _| {
         experiment.records[0].ending = Ending::Refused;
         experiment.records[0].verdict = Some(Verdict::NotRun);
     });
 }
 
 #[test]
-fn a_second_run_of_an_order_is_found() {
-    found("at-most-once", |experiment, _| {
+fn second_run_of_a_non_idempotent_request_is_found() {
+    assert_violation_found("at-most-once", |experiment, _| {
         experiment.runs.push(run("o", "orders-1", 200));
     });
 }
 
 #[test]
 fn new_work_on_a_leaving_engine_is_found() {
-    found("leaving-gets-no-new-work", |experiment, _| {
+    assert_violation_found("leaving-gets-no-new-work", |experiment, _| {
         experiment.runs.push(run("x", "engine-3", 3_200));
     });
 }
@@ -159,20 +156,20 @@
 /// Sequence: an engine is asked to leave, later to stay, and gets work again.
 /// Cause: the checker knew only when it was asked to leave.
 #[test]
-fn work_on_an_engine_that_was_asked_to_stay_is_no_fault() {
-    let promise = checked("leaving-gets-no-new-work", |experiment, _| {
-        let stays = span(Some(5_000));
+fn new_work_after_leaving_was_revoked_is_allowed() {
+    let check = check_guarantee("leaving-gets-no-new-work", |experiment, _| {
+        let revoked = span(Some(5_000));
         experiment
             .leaving
-            .insert("engine-3".parse().unwrap(), stays);
+            .insert("engine-3".parse().unwrap(), revoked);
         experiment.runs.push(run("x", "engine-3", 6_000));
     });
-    assert_eq!((promise.checked, promise.broken), (1, 0));
+    assert_eq!((check.checked, check.broken), (1, 0));
 }
 
 #[test]
-fn a_request_that_a_planned_stop_cut_is_found() {
-    found("planned-stop-cuts-nothing", |experiment, scenario| {
+fn request_cut_by_a_planned_stop_is_found() {
+    assert_violation_found("planned-stop-cuts-nothing", |experiment, scenario| {
         scenario.faults = vec![Fault {
             at_s: 0.2,
             for_s: 0.0,
@@ -183,8 +180,8 @@
 }
 
 #[test]
-fn a_version_that_fell_is_found() {
-    found("versions-never-fall", |experiment, _| {
+fn decreasing_version_is_found() {
+    assert_violation_found("versions-never-fall", |experiment, _| {
         experiment.versions[0].push(ConfigVersion::new(1));
     });
 }
--- a/crates/standin/src/batch.rs
+++ b/crates/standin/src/batch.rs
@@ -1,85 +1,85 @@
 use super::*;
 
 #[derive(Debug, Default)]
-struct Seats {
+struct BatchState {
     next_seq: u64,
     running: u32,
-    waiting: BTreeMap<(u8, u64), oneshot::Sender<Place>>,
+    waiting: BTreeMap<(u8, u64), oneshot::Sender<BatchSlot>>,
 }
 
 /// The running batch of an engine and the queue before it, by priority.
 #[derive(Clone, Debug)]
 pub(crate) struct Batch {
     queue_bound: u32,
-    seats: Arc<Mutex<Seats>>,
+    state: Arc<Mutex<BatchState>>,
     slots: u32,
 }
 
 /// A slot in the batch; dropping it lets the next request in.
 #[derive(Debug)]
-pub(crate) struct Place {
-    seats: Arc<Mutex<Seats>>,
+pub(crate) struct BatchSlot {
+    state: Arc<Mutex<BatchState>>,
 }
 
 impl Batch {
     pub(crate) fn new(slots: u32, queue_bound: u32) -> Self {
         Self {
             queue_bound,
-            seats: Arc::default(),
+            state: Arc::default(),
             slots,
         }
     }
 
     pub(crate) fn running(&self) -> u32 {
-        lock(&self.seats).running
+        lock(&self.state).running
     }
 
     pub(crate) fn waiting(&self) -> u32 {
-        lock(&self.seats).waiting.len() as u32
+        lock(&self.state).waiting.len() as u32
     }
 
     /// Takes a place in the queue; `None` if it is full.
-    pub(crate) fn join(&self, priority: u8) -> Option<oneshot::Receiver<Place>> {
+    pub(crate) fn request_slot(&self, priority: u8) -> Option<oneshot::Receiver<BatchSlot>> {
         let (sender, receiver) = oneshot::channel();
-        let mut seats = lock(&self.seats);
-        if seats.running < self.slots {
-            seats.running += 1;
-            let _ = sender.send(Place {
-                seats: Arc::clone(&self.seats),
+        let mut state = lock(&self.state);
+        if state.running < self.slots {
+            state.running += 1;
+            let _ = sender.send(BatchSlot {
+                state: Arc::clone(&self.state),
             });
             return Some(receiver);
         }
-        if seats.waiting.len() >= self.queue_bound as usize {
+        if state.waiting.len() >= self.queue_bound as usize {
             return None;
         }
-        let seq = seats.next_seq;
-        seats.next_seq += 1;
-        seats.waiting.insert((priority, seq), sender);
+        let seq = state.next_seq;
+        state.next_seq += 1;
+        state.waiting.insert((priority, seq), sender);
         Some(receiver)
     }
 }
 
-impl Drop for Place {
+impl Drop for BatchSlot {
     fn drop(&mut self) {
         let next = {
-            let mut seats = lock(&self.seats);
-            while seats
+            let mut state = lock(&self.state);
+            while state
                 .waiting
                 .first_entry()
                 .is_some_and(|entry| entry.get().is_closed())
             {
-                seats.waiting.pop_first();
+                state.waiting.pop_first();
             }
-            let next = seats.waiting.pop_first();
+            let next = state.waiting.pop_first();
             if next.is_none() {
-                seats.running -= 1;
+                state.running -= 1;
             }
             next
         };
         // Outside the lock: a receiver that has just gone drops the place here.
         if let Some((_, sender)) = next {
-            let _ = sender.send(Place {
-                seats: Arc::clone(&self.seats),
+            let _ = sender.send(BatchSlot {
+                state: Arc::clone(&self.state),
             });
         }
     }
--- a/crates/standin/src/cursor.rs
+++ b/crates/standin/src/cursor.rs
@@ -2,29 +2,35 @@
 
 /// Where a stream stands.
 pub(crate) struct Cursor {
-    pub(crate) break_at: Option<u32>,
+    pub(crate) break_after_events: Option<u32>,
     pub(crate) crash: watch::Receiver<u64>,
     pub(crate) ended: bool,
     pub(crate) events: u32,
     pub(crate) generation: Arc<Generation>,
     pub(crate) progress: watch::Receiver<u32>,
-    pub(crate) _reader: Reader,
+    pub(crate) _reader: ReaderGuard,
     pub(crate) sent: u32,
-    pub(crate) truncate_at: Option<u32>,
+    pub(crate) truncate_after_events: Option<u32>,
 }
 
 impl Cursor {
-    pub(crate) async fn next(&mut self) -> Option<Result<Bytes, Broken>> {
+    pub(crate) async fn next(&mut self) -> Option<Result<Bytes, ConnectionCut>> {
         if self.ended {
             return None;
         }
-        if self.truncate_at.is_some_and(|limit| self.events >= limit) {
+        if self
+            .truncate_after_events
+            .is_some_and(|limit| self.events >= limit)
+        {
             return None;
         }
-        if self.break_at.is_some_and(|limit| self.events >= limit) {
+        if self
+            .break_after_events
+            .is_some_and(|limit| self.events >= limit)
+        {
             return self.cut();
         }
-        if self.sent >= self.generation.output {
+        if self.sent >= self.generation.output_tokens {
             self.ended = true;
             return Some(Ok(Bytes::from_static(b"data: [DONE]\n\n")));
         }
@@ -36,14 +42,14 @@
         let Some(done) = done else {
             return self.cut();
         };
-        let upto = done.min(sent + self.generation.tokens_per_event);
-        self.sent = upto;
+        let end = done.min(sent + self.generation.tokens_per_event);
+        self.sent = end;
         self.events += 1;
-        Some(Ok(self.generation.event(sent, upto).into()))
+        Some(Ok(self.generation.event(sent, end).into()))
     }
 
-    fn cut(&mut self) -> Option<Result<Bytes, Broken>> {
+    fn cut(&mut self) -> Option<Result<Bytes, ConnectionCut>> {
         self.ended = true;
-        Some(Err(Broken))
+        Some(Err(ConnectionCut))
     }
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 /// How long an answer that nobody reads is kept for resumption.
-const LINGER: Duration = Duration::from_millis(2_000);
+const UNREAD_RETENTION: Duration = Duration::from_millis(2_000);
 
 struct EngineState {
     batch: Batch,
     cache: Mutex<PrefixCache>,
-    crash: watch::Sender<u64>,
+    crash_count: watch::Sender<u64>,
     faults: Mutex<EngineFaults>,
     generations: Mutex<HashMap<String, Arc<Generation>>>,
     log: RunLog,
@@ -35,7 +35,7 @@
         let state = Arc::new(EngineState {
             batch: Batch::new(options.slots, options.queue_bound),
             cache: Mutex::default(),
-            crash: watch::Sender::new(0),
+            crash_count: watch::Sender::new(0),
             faults: Mutex::default(),
             generations: Mutex::default(),
             log,
@@ -44,9 +44,9 @@
             options,
             tasks: Mutex::default(),
         });
-        let served = Arc::clone(&state);
-        let handler = move |request| -> BoxFuture<'static, Answer> {
-            Box::pin(handle(Arc::clone(&served), request))
+        let handler_state = Arc::clone(&state);
+        let handler = move |request| -> BoxFuture<'static, HandlerResult> {
+            Box::pin(handle(Arc::clone(&handler_state), request))
         };
         let mut server = Server::start(address, handler).await?;
         server.spawn(publish_load(Arc::clone(&state)));
@@ -80,7 +80,7 @@
     let crashed = faults.crashed;
     *lock(&state.faults) = faults;
     if crashed {
-        state.crash.send_modify(|crashes| *crashes += 1);
+        state.crash_count.send_modify(|count| *count += 1);
         for generation in lock(&state.generations).drain() {
             generation.1.cancelled.notify_one();
         }
@@ -100,56 +100,56 @@
     }
 }
 
-async fn handle(state: Arc<EngineState>, request: Request<Incoming>) -> Answer {
+async fn handle(state: Arc<EngineState>, request: Request<Incoming>) -> HandlerResult {
     let path = request.uri().path().to_string();
     if path == "/standin/faults" {
         return Ok(match read_json(request).await {
             Ok(faults) => {
                 set_faults(&state, faults);
-                empty(StatusCode::OK)
+                empty_response(StatusCode::OK)
             }
             Err(response) => response,
         });
     }
     let faults = lock(&state.faults).clone();
     if faults.crashed {
-        return Err(Broken);
+        return Err(ConnectionCut);
     }
     if faults.silent {
         std::future::pending::<()>().await;
     }
     match (request.method(), path.as_str()) {
-        (&Method::GET, "/health") => Ok(empty(StatusCode::OK)),
-        (&Method::GET, "/load") => Ok(load(&state)),
-        (&Method::GET, "/standin/runs") => Ok(answer_json(&state.log.runs())),
+        (&Method::GET, "/health") => Ok(empty_response(StatusCode::OK)),
+        (&Method::GET, "/load") => Ok(load_response(&state)),
+        (&Method::GET, "/standin/runs") => Ok(json_response(&state.log.runs())),
         (&Method::POST, "/v1/chat/completions" | "/v1/completions") => {
-            start(state, faults, request).await
+            start_generation(state, faults, request).await
         }
         (&Method::GET, path) if path.starts_with("/v1/streams/") => {
-            Ok(resume(&state, path, &request))
+            Ok(resume_stream(&state, path, &request))
         }
         (&Method::POST, path) if path.starts_with("/v1/cancel/") => {
             let attempt = path.trim_start_matches("/v1/cancel/");
             if let Some(generation) = lock(&state.generations).remove(attempt) {
                 generation.cancelled.notify_one();
             }
-            Ok(empty(StatusCode::OK))
+            Ok(empty_response(StatusCode::OK))
         }
-        _ => Ok(empty(StatusCode::NOT_FOUND)),
+        _ => Ok(empty_response(StatusCode::NOT_FOUND)),
     }
 }
 
-fn load(state: &EngineState) -> Response<Body> {
+fn load_response(state: &EngineState) -> Response<Body> {
     let (at, mut report) = *lock(&state.report);
     report.age_ms = at.elapsed().as_millis() as u64;
-    answer_json(&report)
+    json_response(&report)
 }
 
-async fn start(
+async fn start_generation(
     state: Arc<EngineState>,
     faults: EngineFaults,
     request: Request<Incoming>,
-) -> Answer {
+) -> HandlerResult {
     let header = |name: &str| {
         let value = request.headers().get(name)?.to_str().ok()?;
         Some(value.to_string())
@@ -160,18 +160,18 @@
         .unwrap_or(u8::MAX);
     let body = read_body(request).await?;
     if faults.reset_before_run {
-        return Err(Broken);
+        return Err(ConnectionCut);
     }
     let Some(wanted) = EngineRequest::from_body(&body) else {
-        return Ok(empty(StatusCode::BAD_REQUEST));
+        return Ok(empty_response(StatusCode::BAD_REQUEST));
     };
-    let place = match state.batch.join(priority) {
-        Some(place) if !faults.refuse => place,
-        _ => return Ok(refused()),
+    let slot = match state.batch.request_slot(priority) {
+        Some(slot) if !faults.refuse => slot,
+        _ => return Ok(refusal()),
     };
     let generation = Arc::new(Generation {
         cancelled: Notify::new(),
-        output: wanted.output,
+        output_tokens: wanted.output_tokens,
         progress: watch::Sender::new(0),
         readers: Mutex::new(0),
         tag: wanted.tag.clone(),
@@ -181,12 +181,12 @@
         lock(&state.generations).insert(attempt.clone(), Arc::clone(&generation));
     }
     let stream = wanted.stream;
-    let reader = Reader::new(&generation);
+    let reader = ReaderGuard::new(&generation);
     let task = generate(
         Arc::clone(&state),
         Arc::clone(&generation),
         wanted,
-        place,
+        slot,
         attempt,
     );
     {
@@ -195,13 +195,13 @@
         while tasks.try_join_next().is_some() {}
     }
     if stream {
-        return Ok(stream_answer(&state, generation, reader, 0, &faults));
+        return Ok(stream_response(&state, generation, reader, 0, &faults));
     }
-    whole_answer(&state, &generation).await
+    full_response(&state, &generation).await
 }
 
-fn refused() -> Response<Body> {
-    let mut response = empty(StatusCode::TOO_MANY_REQUESTS);
+fn refusal() -> Response<Body> {
+    let mut response = empty_response(StatusCode::TOO_MANY_REQUESTS);
     response.headers_mut().insert(
         NOT_RUN_HEADER,
         hyper::header::HeaderValue::from_static("true"),
@@ -215,20 +215,23 @@
     state: Arc<EngineState>,
     generation: Arc<Generation>,
     wanted: EngineRequest,
-    place: oneshot::Receiver<Place>,
+    slot: oneshot::Receiver<BatchSlot>,
     attempt: Option<String>,
 ) {
     let received_ms = state.log.now_ms();
     let work = async {
-        let Ok(_place) = place.await else { return };
+        let Ok(_slot) = slot.await else { return };
         let run = state
             .log
             .start(&state.name, &wanted.tag, attempt.clone(), received_ms);
-        sleep(prefill(&state, &wanted)).await;
+        sleep(prefill_time(&state, &wanted)).await;
         let mut next = Instant::now();
         let mut done = 0;
-        while done < wanted.output {
-            let tokens = state.options.tokens_per_event.min(wanted.output - done);
+        while done < wanted.output_tokens {
+            let tokens = state
+                .options
+                .tokens_per_event
+                .min(wanted.output_tokens - done);
             next += token_time(&state) * tokens;
             sleep_until(next).await;
             done += tokens;
@@ -240,25 +243,25 @@
     tokio::select! {
         () = work => {}
         () = generation.cancelled.notified() => {}
-        () = abandoned(&generation) => {}
+        () = wait_until_abandoned(&generation) => {}
     }
-    sleep(LINGER).await;
+    sleep(UNREAD_RETENTION).await;
     if let Some(attempt) = attempt {
         lock(&state.generations).remove(&attempt);
     }
 }
 
 /// Returns once nobody has read an answer for a while.
-async fn abandoned(generation: &Generation) {
-    let mut unread = 0;
-    while unread < 2 {
-        sleep(LINGER / 2).await;
+async fn wait_until_abandoned(generation: &Generation) {
+    let mut unread_checks = 0;
+    while unread_checks < 2 {
+        sleep(UNREAD_RETENTION / 2).await;
         let readers = *lock(&generation.readers);
-        unread = if readers == 0 { unread + 1 } else { 0 };
+        unread_checks = if readers == 0 { unread_checks + 1 } else { 0 };
     }
 }
 
-fn prefill(state: &EngineState, wanted: &EngineRequest) -> Duration {
+fn prefill_time(state: &EngineState, wanted: &EngineRequest) -> Duration {
     let cached = lock(&state.cache).touch(&wanted.prefix, state.options.cached_prefixes);
     let tokens = if cached {
         wanted.prompt_tokens / 10
@@ -275,32 +278,32 @@
     Duration::from_micros(state.options.token_time_us).mul_f64(factor)
 }
 
-async fn whole_answer(state: &EngineState, generation: &Arc<Generation>) -> Answer {
+async fn full_response(state: &EngineState, generation: &Arc<Generation>) -> HandlerResult {
     let mut progress = generation.progress.subscribe();
-    let mut crash = state.crash.subscribe();
+    let mut crash = state.crash_count.subscribe();
     crash.mark_unchanged();
-    let reader = Reader::new(generation);
+    let reader = ReaderGuard::new(generation);
     tokio::select! {
-        done = progress.wait_for(|done| *done >= generation.output) => {
+        done = progress.wait_for(|done| *done >= generation.output_tokens) => {
             if done.is_err() {
-                return Err(Broken);
+                return Err(ConnectionCut);
             }
         }
-        _ = crash.changed() => return Err(Broken),
+        _ = crash.changed() => return Err(ConnectionCut),
     }
     drop(reader);
-    Ok(answer_json(&json!({
+    Ok(json_response(&json!({
         "object": "chat.completion",
         "choices": [{
             "index": 0,
             "finish_reason": "stop",
             "message": {"role": "assistant", "content": generation.text()},
         }],
-        "usage": {"completion_tokens": generation.output},
+        "usage": {"completion_tokens": generation.output_tokens},
     })))
 }
 
-fn resume(state: &EngineState, path: &str, request: &Request<Incoming>) -> Response<Body> {
+fn resume_stream(state: &EngineState, path: &str, request: &Request<Incoming>) -> Response<Body> {
     let attempt = path.trim_start_matches("/v1/streams/");
     let last_event = request
         .headers()
@@ -309,10 +312,10 @@
         .and_then(|text| text.parse().ok());
     let generation = lock(&state.generations).get(attempt).cloned();
     let (Some(generation), Some(last_event)) = (generation, last_event) else {
-        return empty(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     };
-    let reader = Reader::new(&generation);
-    stream_answer(
+    let reader = ReaderGuard::new(&generation);
+    stream_response(
         state,
         generation,
         reader,
@@ -321,17 +324,17 @@
     )
 }
 
-fn stream_answer(
+fn stream_response(
     state: &EngineState,
     generation: Arc<Generation>,
-    reader: Reader,
+    reader: ReaderGuard,
     sent: u32,
     faults: &EngineFaults,
 ) -> Response<Body> {
-    let mut crash = state.crash.subscribe();
+    let mut crash = state.crash_count.subscribe();
     crash.mark_unchanged();
     let cursor = Cursor {
-        break_at: faults.break_after_events,
+        break_after_events: faults.break_after_events,
         crash,
         ended: false,
         events: 0,
@@ -339,7 +342,7 @@
         generation,
         _reader: reader,
         sent,
-        truncate_at: faults.truncate_after_events,
+        truncate_after_events: faults.truncate_after_events,
     };
     let frames = stream::unfold(cursor, |mut cursor| async move {
         let frame = cursor.next().await?;
--- a/crates/standin/src/engine_request.rs
+++ b/crates/standin/src/engine_request.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Output tokens of a request that says nothing.
-const DEFAULT_OUTPUT: u32 = 64;
+const DEFAULT_OUTPUT_TOKENS: u32 = 64;
 
 /// Bytes of prompt that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
@@ -16,7 +16,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Wire {
+struct RequestBody {
     max_tokens: Option<u32>,
     #[serde(default)]
     messages: Value,
@@ -32,7 +32,7 @@
 /// tells how long the answer is to be, which no router may look at.
 #[derive(Debug)]
 pub(crate) struct EngineRequest {
-    pub(crate) output: u32,
+    pub(crate) output_tokens: u32,
     pub(crate) prefix: Vec<u8>,
     pub(crate) prompt_tokens: u64,
     pub(crate) stream: bool,
@@ -41,20 +41,20 @@
 
 impl EngineRequest {
     pub(crate) fn from_body(body: &[u8]) -> Option<Self> {
-        let wire: Wire = serde_json::from_slice(body).ok()?;
-        let prompt = format!("{}{}", wire.messages, wire.prompt).into_bytes();
-        let wanted = wire.metadata.output_tokens.as_deref();
-        let output = wanted
+        let request: RequestBody = serde_json::from_slice(body).ok()?;
+        let prompt = format!("{}{}", request.messages, request.prompt).into_bytes();
+        let wanted = request.metadata.output_tokens.as_deref();
+        let output_tokens = wanted
             .and_then(|text| text.parse().ok())
-            .unwrap_or(DEFAULT_OUTPUT)
-            .min(wire.max_tokens.unwrap_or(u32::MAX))
+            .unwrap_or(DEFAULT_OUTPUT_TOKENS)
+            .min(request.max_tokens.unwrap_or(u32::MAX))
             .max(1);
         Some(Self {
-            output,
+            output_tokens,
             prefix: prompt[..prompt.len().min(PREFIX_BYTES)].to_vec(),
             prompt_tokens: (prompt.len() / BYTES_PER_TOKEN) as u64,
-            stream: wire.stream,
-            tag: wire.metadata.tag.unwrap_or_default(),
+            stream: request.stream,
+            tag: request.metadata.tag.unwrap_or_default(),
         })
     }
 }
--- a/crates/standin/src/free_address.rs
+++ b/crates/standin/src/free_address.rs
@@ -4,19 +4,19 @@
 ///
 /// What goes wrong with those: a test looks for a free port, a connection of
 /// another test is given it, and the host that is to listen there does not start.
-const PORTS: Range<u16> = 20_000..32_000;
+const PORT_RANGE: Range<u16> = 20_000..32_000;
 
 /// Ports between those that two processes begin with.
-const PORTS_EACH: u32 = 400;
+const PORTS_PER_PROCESS: u32 = 400;
 
 /// An address on this machine that is free, and that nobody else in this process
 /// is given: for a program that must learn where to listen.
 pub fn free_address() -> SocketAddr {
-    static TAKEN: AtomicU32 = AtomicU32::new(0);
-    let first = std::process::id().wrapping_mul(PORTS_EACH);
+    static NEXT_OFFSET: AtomicU32 = AtomicU32::new(0);
+    let first = std::process::id().wrapping_mul(PORTS_PER_PROCESS);
     loop {
-        let number = first.wrapping_add(TAKEN.fetch_add(1, Ordering::Relaxed));
-        let port = PORTS.start + (number % PORTS.len() as u32) as u16;
+        let number = first.wrapping_add(NEXT_OFFSET.fetch_add(1, Ordering::Relaxed));
+        let port = PORT_RANGE.start + (number % PORT_RANGE.len() as u32) as u16;
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         let free = std::net::TcpListener::bind(address).is_ok()
             && std::net::UdpSocket::bind(address).is_ok();
--- a/crates/standin/src/generation.rs
+++ b/crates/standin/src/generation.rs
@@ -6,7 +6,7 @@
 pub(crate) struct Generation {
     /// Asked to stop.
     pub(crate) cancelled: Notify,
-    pub(crate) output: u32,
+    pub(crate) output_tokens: u32,
     /// Tokens computed so far.
     pub(crate) progress: watch::Sender<u32>,
     pub(crate) tag: String,
@@ -17,20 +17,20 @@
 
 impl Generation {
     /// The event that ends at token `upto`.
-    pub(crate) fn event(&self, from: u32, upto: u32) -> String {
-        let content: String = (from..upto)
+    pub(crate) fn event(&self, start: u32, end: u32) -> String {
+        let content: String = (start..end)
             .map(|index| format!("{}:{index} ", self.tag))
             .collect();
         let data = json!({
             "object": "chat.completion.chunk",
             "choices": [{"index": 0, "delta": {"content": content}}],
         });
-        format!("id: {upto}\ndata: {data}\n\n")
+        format!("id: {end}\ndata: {data}\n\n")
     }
 
     /// The whole text.
     pub(crate) fn text(&self) -> String {
-        (0..self.output)
+        (0..self.output_tokens)
             .map(|index| format!("{}:{index} ", self.tag))
             .collect()
     }
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -3,39 +3,39 @@
 use super::*;
 
 /// Largest body that a stand-in reads.
-const MAX_BODY: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// The connection is to be cut without an answer.
 #[derive(Debug)]
-pub(crate) struct Broken;
+pub(crate) struct ConnectionCut;
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for ConnectionCut {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the stand-in cuts the connection")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for ConnectionCut {}
 
-pub(crate) type Body = UnsyncBoxBody<Bytes, Broken>;
+pub(crate) type Body = UnsyncBoxBody<Bytes, ConnectionCut>;
 
-pub(crate) type Answer = Result<Response<Body>, Broken>;
+pub(crate) type HandlerResult = Result<Response<Body>, ConnectionCut>;
 
-pub(crate) fn full(bytes: impl Into<Bytes>) -> Body {
+pub(crate) fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
 }
 
-pub(crate) fn empty(status: StatusCode) -> Response<Body> {
-    let mut response = Response::new(full(Bytes::new()));
+pub(crate) fn empty_response(status: StatusCode) -> Response<Body> {
+    let mut response = Response::new(full_body(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-pub(crate) fn answer_json<T: Serialize>(value: &T) -> Response<Body> {
+pub(crate) fn json_response<T: Serialize>(value: &T) -> Response<Body> {
     let text = serde_json::to_vec(value).expect("answers have only text keys");
-    let mut response = Response::new(full(text));
+    let mut response = Response::new(full_body(text));
     response.headers_mut().insert(
         "content-type",
         hyper::header::HeaderValue::from_static("application/json"),
@@ -43,9 +43,9 @@
     response
 }
 
-pub(crate) async fn read_body(request: Request<Incoming>) -> Result<Bytes, Broken> {
-    let body = Limited::new(request.into_body(), MAX_BODY);
-    Ok(body.collect().await.map_err(|_| Broken)?.to_bytes())
+pub(crate) async fn read_body(request: Request<Incoming>) -> Result<Bytes, ConnectionCut> {
+    let body = Limited::new(request.into_body(), MAX_BODY_BYTES);
+    Ok(body.collect().await.map_err(|_| ConnectionCut)?.to_bytes())
 }
 
 pub(crate) async fn read_json<T: DeserializeOwned>(
@@ -53,9 +53,9 @@
 ) -> Result<T, Response<Body>> {
     let body = read_body(request)
         .await
-        .map_err(|_| empty(StatusCode::BAD_REQUEST))?;
+        .map_err(|_| empty_response(StatusCode::BAD_REQUEST))?;
     serde_json::from_slice(&body).map_err(|error| {
-        let mut response = answer_json(&json!({"error": error.to_string()}));
+        let mut response = json_response(&json!({"error": error.to_string()}));
         *response.status_mut() = StatusCode::BAD_REQUEST;
         response
     })
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -53,7 +53,7 @@
 mod platform_faults;
 mod platform_standin;
 mod prefix_cache;
-mod reader;
+mod reader_guard;
 mod run;
 mod run_log;
 mod server;
@@ -69,12 +69,15 @@
 };
 
 use {
-    batch::{Batch, Place},
+    batch::{Batch, BatchSlot},
     cursor::Cursor,
     engine_request::EngineRequest,
     generation::Generation,
-    http::{Answer, Body, Broken, answer_json, empty, full, lock, read_body, read_json},
+    http::{
+        Body, ConnectionCut, HandlerResult, empty_response, full_body, json_response, lock,
+        read_body, read_json,
+    },
     prefix_cache::PrefixCache,
-    reader::Reader,
+    reader_guard::ReaderGuard,
     table::Table,
 };
--- a/crates/standin/src/platform_standin.rs
+++ b/crates/standin/src/platform_standin.rs
@@ -20,9 +20,9 @@
     /// Starts an empty platform.
     pub async fn start(address: SocketAddr) -> io::Result<Self> {
         let state = Arc::new(PlatformState::default());
-        let served = Arc::clone(&state);
-        let handler = move |request| -> BoxFuture<'static, Answer> {
-            Box::pin(handle(Arc::clone(&served), request))
+        let handler_state = Arc::clone(&state);
+        let handler = move |request| -> BoxFuture<'static, HandlerResult> {
+            Box::pin(handle(Arc::clone(&handler_state), request))
         };
         let server = Server::start(address, handler).await?;
         Ok(Self { server, state })
@@ -66,13 +66,13 @@
     }
 }
 
-async fn handle(state: Arc<PlatformState>, request: Request<Incoming>) -> Answer {
+async fn handle(state: Arc<PlatformState>, request: Request<Incoming>) -> HandlerResult {
     let path = request.uri().path().to_string();
     if path == "/standin/faults" {
         return Ok(match read_json(request).await {
             Ok(faults) => {
                 *lock(&state.faults) = faults;
-                empty(StatusCode::OK)
+                empty_response(StatusCode::OK)
             }
             Err(response) => response,
         });
@@ -80,42 +80,42 @@
     let faults = lock(&state.faults).clone();
     sleep(Duration::from_millis(faults.delay_ms)).await;
     if faults.down {
-        return Ok(empty(StatusCode::SERVICE_UNAVAILABLE));
+        return Ok(empty_response(StatusCode::SERVICE_UNAVAILABLE));
     }
     match (request.method(), path.as_str()) {
-        (&Method::GET, "/hosts") => Ok(hosts(&state, &request)),
+        (&Method::GET, "/hosts") => Ok(hosts_response(&state, &request)),
         (&Method::POST, "/standin/hosts") => Ok(match read_json(request).await {
             Ok(hosts) => {
                 *lock(&state.hosts) = hosts;
-                empty(StatusCode::OK)
+                empty_response(StatusCode::OK)
             }
             Err(response) => response,
         }),
         (&Method::POST, "/table/read") => Ok(match read_json::<TableRead>(request).await {
             Ok(read) => {
                 *lock(&state.reads) += 1;
-                answer_json(&lock(&state.table).read(&read))
+                json_response(&lock(&state.table).read(&read))
             }
             Err(response) => response,
         }),
-        (&Method::POST, "/table/write") => write(&state, request).await,
+        (&Method::POST, "/table/write") => write_table(&state, request).await,
         (&Method::PUT, path) if path.starts_with("/objects/") => {
             let body = read_body(request).await?;
             lock(&state.objects).insert(path.to_string(), body);
-            Ok(empty(StatusCode::OK))
+            Ok(empty_response(StatusCode::OK))
         }
         (&Method::GET, path) if path.starts_with("/objects/") => {
             Ok(match lock(&state.objects).get(path) {
-                Some(body) => Response::new(full(body.clone())),
-                None => empty(StatusCode::NOT_FOUND),
+                Some(body) => Response::new(full_body(body.clone())),
+                None => empty_response(StatusCode::NOT_FOUND),
             })
         }
-        _ => Ok(empty(StatusCode::NOT_FOUND)),
+        _ => Ok(empty_response(StatusCode::NOT_FOUND)),
     }
 }
 
-fn hosts(state: &PlatformState, request: &Request<Incoming>) -> Response<Body> {
-    let mut response = answer_json(&*lock(&state.hosts));
+fn hosts_response(state: &PlatformState, request: &Request<Incoming>) -> Response<Body> {
+    let mut response = json_response(&*lock(&state.hosts));
     let list = serde_json::to_string(&*lock(&state.hosts)).unwrap_or_default();
     let tag = Fingerprint::of_request("", "", list.as_bytes()).to_string();
     if request
@@ -123,7 +123,7 @@
         .get("if-none-match")
         .is_some_and(|known| *known == *tag)
     {
-        return empty(StatusCode::NOT_MODIFIED);
+        return empty_response(StatusCode::NOT_MODIFIED);
     }
     if let Ok(tag) = hyper::header::HeaderValue::from_str(&tag) {
         response.headers_mut().insert("etag", tag);
@@ -131,23 +131,26 @@
     response
 }
 
-async fn write(state: &PlatformState, request: Request<Incoming>) -> Answer {
+async fn write_table(state: &PlatformState, request: Request<Incoming>) -> HandlerResult {
     let batch: TableBatch = match read_json(request).await {
         Ok(batch) => batch,
         Err(response) => return Ok(response),
     };
-    if take_one(&state.faults, |faults| &mut faults.lose_writes) {
-        return Err(Broken);
+    if consume_one(&state.faults, |faults| &mut faults.lose_writes) {
+        return Err(ConnectionCut);
     }
     let results = lock(&state.table).write(batch);
     *lock(&state.writes) += 1;
-    if take_one(&state.faults, |faults| &mut faults.lose_answers) {
-        return Err(Broken);
+    if consume_one(&state.faults, |faults| &mut faults.lose_answers) {
+        return Err(ConnectionCut);
     }
-    Ok(answer_json(&results))
+    Ok(json_response(&results))
 }
 
-fn take_one(faults: &Mutex<PlatformFaults>, counter: fn(&mut PlatformFaults) -> &mut u32) -> bool {
+fn consume_one(
+    faults: &Mutex<PlatformFaults>,
+    counter: fn(&mut PlatformFaults) -> &mut u32,
+) -> bool {
     let mut faults = lock(faults);
     let counter = counter(&mut faults);
     let any = *counter > 0;
--- a/crates/standin/src/prefix_cache.rs
+++ b/crates/standin/src/prefix_cache.rs
@@ -9,14 +9,14 @@
 impl PrefixCache {
     /// Whether a prefix was cached; it is afterwards.
     pub(crate) fn touch(&mut self, prefix: &[u8], capacity: usize) -> bool {
-        let place = self.recent.iter().position(|cached| cached == prefix);
-        if let Some(place) = place {
-            self.recent.remove(place);
+        let position = self.recent.iter().position(|cached| cached == prefix);
+        if let Some(position) = position {
+            self.recent.remove(position);
         }
         self.recent.push_back(prefix.to_vec());
         while self.recent.len() > capacity {
             self.recent.pop_front();
         }
-        place.is_some()
+        position.is_some()
     }
 }
--- a/crates/standin/src/reader.rs
+++ b/crates/standin/src/reader_guard.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 /// Counts a stream among the readers of an answer while it lives.
-pub(crate) struct Reader {
+pub(crate) struct ReaderGuard {
     generation: Arc<Generation>,
 }
 
-impl Reader {
+impl ReaderGuard {
     pub(crate) fn new(generation: &Arc<Generation>) -> Self {
         *lock(&generation.readers) += 1;
         Self {
@@ -14,7 +14,7 @@
     }
 }
 
-impl Drop for Reader {
+impl Drop for ReaderGuard {
     fn drop(&mut self) {
         *lock(&self.generation.readers) -= 1;
     }
--- a/crates/standin/src/run_log.rs
+++ b/crates/standin/src/run_log.rs
@@ -3,14 +3,14 @@
 /// Every run of several stand-ins, for history checking.
 #[derive(Clone, Debug)]
 pub struct RunLog {
-    began: Instant,
+    created_at: Instant,
     runs: Arc<Mutex<Vec<Run>>>,
 }
 
 impl Default for RunLog {
     fn default() -> Self {
         Self {
-            began: Instant::now(),
+            created_at: Instant::now(),
             runs: Arc::default(),
         }
     }
@@ -29,7 +29,7 @@
 
     /// Milliseconds since the log began.
     pub fn now_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.created_at.elapsed().as_millis() as u64
     }
 
     pub(crate) fn start(
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -12,7 +12,11 @@
     /// Listens on an address and answers every request with `handler`.
     pub(crate) async fn start<F>(address: SocketAddr, handler: F) -> io::Result<Self>
     where
-        F: Fn(Request<Incoming>) -> BoxFuture<'static, Answer> + Clone + Send + Sync + 'static,
+        F: Fn(Request<Incoming>) -> BoxFuture<'static, HandlerResult>
+            + Clone
+            + Send
+            + Sync
+            + 'static,
     {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -39,7 +43,7 @@
 
 async fn accept<F>(listener: TcpListener, handler: F)
 where
-    F: Fn(Request<Incoming>) -> BoxFuture<'static, Answer> + Clone + Send + Sync + 'static,
+    F: Fn(Request<Incoming>) -> BoxFuture<'static, HandlerResult> + Clone + Send + Sync + 'static,
 {
     let mut connections = JoinSet::new();
     loop {
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -26,9 +26,9 @@
             log,
             name: name.to_string(),
         });
-        let served = Arc::clone(&state);
-        let handler = move |request| -> BoxFuture<'static, Answer> {
-            Box::pin(handle(Arc::clone(&served), request))
+        let handler_state = Arc::clone(&state);
+        let handler = move |request| -> BoxFuture<'static, HandlerResult> {
+            Box::pin(handle(Arc::clone(&handler_state), request))
         };
         let server = Server::start(address, handler).await?;
         Ok(Self { server, state })
@@ -50,25 +50,25 @@
     }
 }
 
-async fn handle(state: Arc<ServiceState>, request: Request<Incoming>) -> Answer {
+async fn handle(state: Arc<ServiceState>, request: Request<Incoming>) -> HandlerResult {
     match request.uri().path() {
-        "/health" => return Ok(empty(StatusCode::OK)),
-        "/standin/runs" => return Ok(answer_json(&state.log.runs())),
+        "/health" => return Ok(empty_response(StatusCode::OK)),
+        "/standin/runs" => return Ok(json_response(&state.log.runs())),
         "/standin/faults" => {
             return Ok(match read_json(request).await {
                 Ok(faults) => {
                     *lock(&state.faults) = faults;
-                    empty(StatusCode::OK)
+                    empty_response(StatusCode::OK)
                 }
                 Err(response) => response,
             });
         }
         _ => {}
     }
-    run(&state, request).await
+    run_request(&state, request).await
 }
 
-async fn run(state: &ServiceState, request: Request<Incoming>) -> Answer {
+async fn run_request(state: &ServiceState, request: Request<Incoming>) -> HandlerResult {
     let faults = lock(&state.faults).clone();
     let attempt = request
         .headers()
@@ -78,10 +78,10 @@
     let body = read_body(request).await?;
     let wanted: ServiceRequest = serde_json::from_slice(&body).unwrap_or_default();
     if faults.reset_before_run {
-        return Err(Broken);
+        return Err(ConnectionCut);
     }
     if faults.refuse {
-        let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
+        let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
         response.headers_mut().insert(
             NOT_RUN_HEADER,
             hyper::header::HeaderValue::from_static("true"),
@@ -95,19 +95,19 @@
     state.log.add_tokens(run, 1);
     state.log.finish(run);
     if faults.reset_after_run {
-        return Err(Broken);
+        return Err(ConnectionCut);
     }
-    Ok(answer(&wanted.tag, &faults))
+    Ok(response(&wanted.tag, &faults))
 }
 
-fn answer(tag: &str, faults: &ServiceFaults) -> Response<Body> {
+fn response(tag: &str, faults: &ServiceFaults) -> Response<Body> {
     let text = json!({"done": true, "tag": tag}).to_string();
     if faults.half_answer {
         let half = Bytes::from(text[..text.len() / 2].to_string());
-        let frames = stream::iter([Ok(Frame::data(half)), Err(Broken)]);
+        let frames = stream::iter([Ok(Frame::data(half)), Err(ConnectionCut)]);
         return Response::new(StreamBody::new(frames).boxed_unsync());
     }
-    let mut response = answer_json(&json!({"done": true, "tag": tag}));
+    let mut response = json_response(&json!({"done": true, "tag": tag}));
     if let Some(status) = faults
         .status
         .and_then(|code| StatusCode::from_u16(code).ok())
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -17,15 +17,21 @@
     /// Judges every condition of a call before it carries the first write out,
     /// as a table may: each operation must be on another row.
     pub(crate) fn write(&mut self, batch: TableBatch) -> TableResults {
-        let fits: Vec<bool> = batch.operations.iter().map(|op| self.fits(op)).collect();
-        let all = fits.iter().all(|fits| *fits);
+        let condition_holds: Vec<bool> = batch
+            .operations
+            .iter()
+            .map(|op| self.condition_holds(op))
+            .collect();
+        let all = condition_holds
+            .iter()
+            .all(|condition_holds| *condition_holds);
         let results = batch
             .operations
             .into_iter()
-            .zip(fits)
-            .map(|(operation, fits)| {
+            .zip(condition_holds)
+            .map(|(operation, condition_holds)| {
                 let key = operation.key().to_string();
-                let applied = fits && (all || !batch.atomic);
+                let applied = condition_holds && (all || !batch.atomic);
                 if applied {
                     self.apply(operation);
                 }
@@ -38,7 +44,7 @@
         TableResults { results }
     }
 
-    fn fits(&self, operation: &TableOperation) -> bool {
+    fn condition_holds(&self, operation: &TableOperation) -> bool {
         let row = self.rows.get(operation.key());
         match operation {
             TableOperation::Insert { .. } => row.is_none(),
