--- a/crates/operator/src/caller.rs
+++ b/crates/operator/src/caller.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-/// Longest time that a caller waits for an answer.
+/// Maximum time that a caller waits for the end of a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Bytes of prompt that count as one token.
+/// Number of prompt bytes that engine stand-ins count as one token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Sends the requests of a scenario as callers would, and keeps what came back.
+/// Sends the requests of a scenario as callers do and records the responses.
 #[derive(Clone)]
 pub struct Caller {
-    /// Connections to hosts.
+    /// HTTP client with idle connections to the hosts.
     pub client: HttpClient,
-    /// The scenario.
+    /// Scenario that the requests belong to.
     pub scenario: Arc<Scenario>,
     /// Start of the run.
     pub start: Instant,
 }
 
-/// What has come back of one answer so far.
+/// The part of a response that has arrived so far.
 #[derive(Debug, Default)]
 struct ReceivedResponse {
     code: Option<String>,
@@ -32,7 +32,7 @@
 }
 
 impl Caller {
-    /// Sends one request to a host and records what came back.
+    /// Sends one request to a host and records the response.
     pub(crate) async fn call(&self, address: SocketAddr, planned: &PlannedRequest) -> Record {
         let intended = self.start + planned.at;
         let mut received = ReceivedResponse::default();
@@ -53,7 +53,10 @@
         answered: bool,
     ) -> Record {
         let flow = &self.scenario.flows[planned.flow];
-        let class = self.scenario.class(&flow.class).expect("checked before");
+        let class = self
+            .scenario
+            .class(&flow.class)
+            .expect("the scenario is validated");
         let ending = match (answered, received.status) {
             (false, 200) => Ending::Broken,
             (false, _) => Ending::Lost,
@@ -192,7 +195,8 @@
         }
     }
 
-    /// Each word of the content names the request's tag and counts up from 0.
+    /// Checks and counts the words of the content. Engine stand-ins send one word per
+    /// token: the tag of the request and the index of the token, counted from 0.
     fn read_content(&mut self, content: &str, tag: &str) {
         for word in content.split_whitespace() {
             let expected = format!("{tag}:{}", self.tokens);
@@ -205,7 +209,7 @@
         use eventsource_stream::Eventsource;
         let mut events = BodyDataStream::new(response.into_body()).eventsource();
         while let Some(event) = events.next().await {
-            let event = event.map_err(|error| eyre!("stream broke: {error}"))?;
+            let event = event.map_err(|error| eyre!("stream was interrupted: {error}"))?;
             if event.data == "[DONE]" {
                 self.ended = true;
                 continue;
--- a/crates/operator/src/command.rs
+++ b/crates/operator/src/command.rs
@@ -4,31 +4,31 @@
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, version)]
 pub enum Command {
-    /// Put two reports side by side
+    /// Compare two reports
     #[bpaf(command)]
     Compare(#[bpaf(external(compare_command::compare_command))] CompareCommand),
     /// Read and change the shared configuration
     #[bpaf(command)]
     Config(#[bpaf(external(config_command::config_command))] ConfigCommand),
-    /// Run the whole router on embedded stand-ins and report
+    /// Run the demo scenario with embedded stand-ins and print a report
     #[bpaf(command)]
     Demo(#[bpaf(external(demo_command::demo_command))] DemoCommand),
-    /// Say from the hosts' logs what decided the end of a request
+    /// Explain from the hosts' logs how a request ended and why
     #[bpaf(command)]
     Explain(#[bpaf(external(explain_command::explain_command))] ExplainCommand),
-    /// Run a scenario on embedded stand-ins and report
+    /// Run a scenario with embedded stand-ins and print a report
     #[bpaf(command)]
     Load(#[bpaf(external(load_command::load_command))] LoadCommand),
-    /// Show a running host's report on service-level burn
+    /// Show a running host's report on service levels and burn rates
     #[bpaf(command)]
     Report(#[bpaf(external(report_command::report_command))] ReportCommand),
-    /// Run one stand-in as a process of its own
+    /// Run one stand-in as a separate process
     #[bpaf(command)]
     Standin(#[bpaf(external(standin_command::standin_command))] StandinCommand),
 }
 
 impl Command {
-    /// Carries the command out.
+    /// Runs the command.
     pub async fn run(self) -> eyre::Result<()> {
         match self {
             Self::Compare(command) => command.run(),
--- a/crates/operator/src/config_command.rs
+++ b/crates/operator/src/config_command.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Longest time of one call to the platform.
+/// Timeout of one call to the platform.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What to do with the configuration.
+/// Subcommands of `config`.
 #[derive(Bpaf, Clone, Debug)]
 pub enum ConfigCommand {
-    /// Check a document and say what is wrong with it
+    /// Validate a document and print what is wrong with it
     #[bpaf(command)]
     Check {
         /// Document, as JSON
@@ -30,13 +30,13 @@
         #[bpaf(argument("ADDRESS"))]
         platform: SocketAddr,
     },
-    /// Print who changed what, newest last
+    /// Print the changes and their authors, newest last
     #[bpaf(command)]
     History {
         /// Address of the platform
         #[bpaf(argument("ADDRESS"))]
         platform: SocketAddr,
-        /// Versions to print
+        /// Number of versions to print
         #[bpaf(argument("NUMBER"), fallback(20), display_fallback)]
         last: u64,
     },
@@ -46,31 +46,31 @@
         /// Address of the platform
         #[bpaf(argument("ADDRESS"))]
         platform: SocketAddr,
-        /// Who makes the change
+        /// Author of the change
         #[bpaf(argument("NAME"))]
         author: String,
         /// Version that the patch was made against
         #[bpaf(argument("VERSION"))]
         base: ConfigVersion,
-        /// Check the result, change nothing
+        /// Validate the result without changing anything
         dry_run: bool,
-        /// Id of the patch, to submit it once more after a lost answer
+        /// Id of the patch; pass the same id to retry after a lost response
         #[bpaf(argument("ID"))]
         id: Option<String>,
         /// Operations, as JSON Patch (RFC 6902)
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Make a new version with the content of an old one
+    /// Create a new version with the content of an old one
     #[bpaf(command)]
     Rollback {
         /// Address of the platform
         #[bpaf(argument("ADDRESS"))]
         platform: SocketAddr,
-        /// Who makes the change
+        /// Author of the change
         #[bpaf(argument("NAME"))]
         author: String,
-        /// Version whose content is wanted
+        /// Version whose content to restore
         #[bpaf(positional("VERSION"))]
         version: ConfigVersion,
     },
@@ -156,8 +156,9 @@
     Ok(())
 }
 
-/// Says the id before it submits, so that it is known should the answer be
-/// lost together with this process.
+/// Submits a patch, or only validates the patch with `dry_run`. The id is printed
+/// before the submission, so that the operator can retry with the same id if this
+/// process ends before the response arrives.
 async fn submit(store: &ConfigStore, patch: &config::Patch, dry_run: bool) -> eyre::Result<()> {
     if dry_run {
         let current = store.read().await?;
--- a/crates/operator/src/demo_command.rs
+++ b/crates/operator/src/demo_command.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// Scenario of the demo.
+/// Scenario of the demo, as TOML.
 const DEMO_SCENARIO: &str = include_str!("../../../scenarios/demo.toml");
 
 /// Options of `demo`.
 #[derive(Bpaf, Clone, Debug)]
 pub struct DemoCommand {
-    /// Length of the load in seconds
+    /// Duration of the load in seconds
     #[bpaf(argument("SECONDS"), fallback(10.0), display_fallback)]
     for_s: f64,
-    /// Write the report as JSON
+    /// Write the report to a file as JSON
     #[bpaf(argument("FILE"))]
     json: Option<PathBuf>,
-    /// Draw attainment as SVG
+    /// Draw the attainment by class to a file as SVG
     #[bpaf(argument("FILE"))]
     svg: Option<PathBuf>,
 }
--- a/crates/operator/src/experiment.rs
+++ b/crates/operator/src/experiment.rs
@@ -1,28 +1,31 @@
 use super::*;
 
-/// Base of the patches that racing operators submit.
+/// JSON pointer to the value that the patches of racing operators replace.
 const RACE_PATCH_PATH: &str = "/trial/max_slot_share";
 
-/// Pause before a caller sends a request again with the same key.
+/// Delay between a response and the resending of its request with the same
+/// idempotency key.
 const RESEND_DELAY: Duration = Duration::from_millis(300);
 
-/// Progress bar of a run.
+/// Template of the progress bar.
 const PROGRESS_TEMPLATE: &str = "{bar:40} {pos}/{len} requests, {elapsed}";
 
-/// The result of one run of a scenario.
+/// The observations from one run of a scenario.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Experiment {
-    /// What callers saw.
+    /// What callers received, one record per request sent.
     pub records: Vec<Record>,
-    /// What upstreams ran.
+    /// Runs of requests on the upstreams.
     pub runs: Vec<Run>,
-    /// Versions of the configuration that each host was seen to have in force.
+    /// For each host, the configuration versions in force at the observed moments,
+    /// in order of time.
     pub versions: Vec<Vec<ConfigVersion>>,
-    /// When each upstream was asked to leave.
+    /// When each upstream was asked to leave and to stay.
     pub leaving: BTreeMap<UpstreamId, LeavingSpan>,
 }
 
-/// Runs a scenario at a multiple of its load, on a fleet of its own.
+/// Starts a fleet and runs a scenario on it, with all arrival rates multiplied by
+/// `load`.
 pub async fn run_experiment(
     scenario: &Scenario,
     load: f64,
@@ -112,13 +115,13 @@
     records
 }
 
-/// The balancer: requests go to the ready hosts in turn.
+/// Picks a host round-robin among the ready hosts, as a load balancer does.
 fn pick_address(ready_addresses: &watch::Receiver<Vec<SocketAddr>>, number: usize) -> SocketAddr {
     let addresses = ready_addresses.borrow();
     addresses[number % addresses.len()]
 }
 
-/// A fleet under faults, and what was seen of it.
+/// A fleet to which faults are applied, with the observations made on the way.
 struct ObservedFleet {
     fleet: Fleet,
     leaving: BTreeMap<UpstreamId, LeavingSpan>,
@@ -191,7 +194,8 @@
             FaultKind::HostReplaced { .. } | FaultKind::OperatorsRace { .. } => Ok(()),
             FaultKind::ServiceResets { upstream } => {
                 let service = self.fleet.services.get(upstream);
-                let service = service.ok_or_else(|| eyre!("no replica {upstream}"))?;
+                let service =
+                    service.ok_or_else(|| eyre!("fleet has no service replica {upstream}"))?;
                 service.set_faults(ServiceFaults {
                     reset_after_run: active,
                     ..ServiceFaults::default()
@@ -228,7 +232,7 @@
         edit: impl FnOnce(&mut EngineFaults),
     ) -> eyre::Result<()> {
         let engine = self.fleet.engines.get(upstream);
-        let engine = engine.ok_or_else(|| eyre!("no engine {upstream}"))?;
+        let engine = engine.ok_or_else(|| eyre!("fleet has no engine {upstream}"))?;
         let mut faults = EngineFaults::default();
         edit(&mut faults);
         engine.set_faults(faults);
@@ -257,8 +261,8 @@
         self.fleet.platform.list_upstream(upstream.clone(), state);
     }
 
-    /// Drains a host, as the balancer sees it, and starts another in its
-    /// place.
+    /// Starts a replacement for a host, sends new requests to the replacement, then
+    /// drains and stops the old host.
     async fn replace_host(
         &mut self,
         scenario: &Scenario,
@@ -266,7 +270,7 @@
         addresses: &watch::Sender<Vec<SocketAddr>>,
     ) -> eyre::Result<()> {
         let old = self.fleet.hosts.get_mut(number).and_then(Option::take);
-        let old = old.ok_or_else(|| eyre!("no host {number}"))?;
+        let old = old.ok_or_else(|| eyre!("fleet has no running host with number {number}"))?;
         let new = self.fleet.start_host(scenario, number).await?;
         self.fleet.hosts[number] = Some(new);
         self.fleet.list_hosts();
@@ -275,7 +279,8 @@
         Ok(())
     }
 
-    /// Several operators submit patches against one version; one is accepted.
+    /// Submits several patches against the same version concurrently and fails
+    /// unless exactly one is accepted.
     async fn race_operators(&self, operators: u32) -> eyre::Result<()> {
         let store = self.fleet.store();
         let base = store.newest_version().await?;
--- a/crates/operator/src/explain_command.rs
+++ b/crates/operator/src/explain_command.rs
@@ -3,17 +3,18 @@
 /// Options of `explain`.
 #[derive(Bpaf, Clone, Debug)]
 pub struct ExplainCommand {
-    /// List failed requests in place of explaining one; those of this class
+    /// List failed requests of this class instead of explaining one request
     #[bpaf(argument("CLASS"))]
     class: Option<String>,
-    /// List failed requests in place of explaining one; those of this reason
+    /// List failed requests with this reason instead of explaining one request
     #[bpaf(argument("REASON"))]
     reason: Option<String>,
-    /// List failed requests in place of explaining one; those from this time on,
-    /// as RFC 3339
+    /// List failed requests since this time (RFC 3339) instead of explaining one
+    /// request
     #[bpaf(argument("TIME"))]
     since: Option<String>,
-    /// Id of the request, and logs of hosts; standard input if none is named
+    /// Id of the request, if one is to be explained, and log files of hosts; without
+    /// files, logs are read from standard input
     #[bpaf(positional("ID or FILE"))]
     id_and_files: Vec<String>,
 }
@@ -54,7 +55,7 @@
     }
 }
 
-/// A failed request as one line of the list.
+/// Formats a failed request as one line of the list.
 fn format_failed_request(line: &LogLine) -> String {
     let text = |value: &Option<String>| match value.as_deref() {
         None | Some("") => "-".to_string(),
@@ -65,7 +66,8 @@
     format!("{ts} {host} {id} {class} {end} {reason}\n")
 }
 
-/// Prints, unless the reader has seen enough and closed the pipe.
+/// Prints the text. A closed pipe is no error, because a reader such as `head` closes
+/// the pipe early.
 fn print(text: &str) -> eyre::Result<()> {
     match std::io::stdout().write_all(text.as_bytes()) {
         Err(error) if error.kind() == std::io::ErrorKind::BrokenPipe => Ok(()),
@@ -73,8 +75,8 @@
     }
 }
 
-/// Lines of the files, or of standard input; what is not of a host is passed
-/// over.
+/// Reads the log lines from the files, or from standard input without files. Lines
+/// that are not from a host's log are skipped.
 fn read_lines(files: &[String]) -> eyre::Result<Vec<LogLine>> {
     if files.is_empty() {
         return parse_lines(std::io::stdin().lock());
--- a/crates/operator/src/explanation.rs
+++ b/crates/operator/src/explanation.rs
@@ -1,64 +1,65 @@
-//! What the hosts' logs say of one request.
+//! Explains the outcome of one request from the logs of the hosts.
 
 use super::*;
 
-/// One line of a host's log. Fields that a line does not have are empty.
+/// One line of a host's log. Fields that are missing in the line have their default
+/// values.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct LogLine {
     /// Number of the attempt.
     pub attempt: Option<u32>,
-    /// Prompt tokens that waited at the upstream for this host.
+    /// Prompt tokens of this host's requests that waited at the upstream.
     pub backlog_tokens: Option<u64>,
-    /// What went wrong with an attempt.
+    /// Why an attempt failed.
     pub cause: Option<String>,
-    /// Class.
+    /// Class of the request.
     pub class: Option<String>,
-    /// How long ago the configuration was known to be the newest.
+    /// Time since the configuration was last known to be the newest.
     pub config_age_ms: Option<u64>,
     /// Version of the configuration in force.
     pub config_version: Option<u64>,
-    /// Whether part of the answer had gone out.
+    /// Whether part of the response had been sent to the caller.
     pub delivered: Option<bool>,
-    /// In which way the request ended.
+    /// How the request ended.
     pub end: Option<String>,
-    /// Time to the first token.
+    /// Time from arrival to the first token.
     pub first_token_ms: Option<u64>,
     /// The host that wrote the line.
     pub host: String,
-    /// The request.
+    /// Id of the request.
     pub id: String,
-    /// Time from arrival to the end.
+    /// Time from arrival to the end of the request.
     pub lasted_ms: Option<u64>,
-    /// What the line is.
+    /// Log message, which tells the kind of event.
     pub msg: String,
-    /// Prompt tokens of other hosts that waited at the upstream.
+    /// Prompt tokens of other hosts' requests that waited at the upstream.
     pub others_backlog_tokens: Option<u64>,
     /// Requests queued on the host.
     pub queued: Option<u64>,
-    /// Why it was refused.
+    /// Why the request was refused.
     pub reason: Option<String>,
-    /// Team.
+    /// Team of the caller.
     pub team: Option<String>,
-    /// Wall clock of the host, as RFC 3339.
+    /// Time of the line by the host's wall clock, as RFC 3339.
     pub ts: String,
-    /// The upstream.
+    /// Upstream of the attempt.
     pub upstream: Option<String>,
-    /// Whether it may have run.
+    /// Verdict on whether the request may have run.
     pub verdict: Option<String>,
     /// Time from arrival to this attempt.
     pub waited_ms: Option<u64>,
 }
 
 impl LogLine {
-    /// Reads a line; `None` for one that is not of a host. What a log collector
-    /// puts before the JSON is passed over.
+    /// Parses a line; `None` for a line without a JSON object of a host's log. A
+    /// prefix that a log collector puts before the JSON is ignored.
     pub fn parse(text: &str) -> Option<Self> {
         let json = &text[text.find('{')?..];
         serde_json::from_str(json).ok()
     }
 
-    /// Whether it tells that a request did not get what it asked for.
+    /// Whether the line reports that a request was refused or failed.
     pub fn is_failed_end(&self) -> bool {
         let ended = self.msg == "request: ended";
         let succeeded = matches!(self.end.as_deref(), Some("finished" | "replayed"));
@@ -66,17 +67,17 @@
     }
 }
 
-/// All lines of one request, and what they say.
+/// All log lines of one request and the explanation that they give.
 ///
-/// Lines are ordered by the wall clocks of the hosts, which may differ; the
-/// lines of one host keep their order.
+/// Lines are ordered by the hosts' wall clocks, which may differ. Lines of one host
+/// with equal times keep their order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
     lines: Vec<LogLine>,
 }
 
 impl Explanation {
-    /// Takes the lines of a request; `None` if there are none.
+    /// Selects the lines of a request; `None` if the request has no line.
     pub fn from_lines(id: &str, lines: Vec<LogLine>) -> Option<Self> {
         let mut lines: Vec<LogLine> = lines.into_iter().filter(|line| line.id == id).collect();
         lines.sort_by(|a, b| a.ts.cmp(&b.ts));
@@ -91,7 +92,7 @@
         self.lines.iter().filter(|line| line.msg == msg).count()
     }
 
-    /// What decided the request's end, in a few sentences.
+    /// Describes in a few sentences how the request ended and why.
     pub fn summary(&self) -> String {
         if let Some(line) = self.last_with("request: turned away") {
             return explain_refusal(line);
@@ -178,7 +179,7 @@
     sentence + "."
 }
 
-/// What the reason of a refusal means, with the inputs that decided it.
+/// Explains the reason of a refusal and the values that led to the refusal.
 fn explain_reason(end: &LogLine) -> Option<String> {
     let reason = end.reason.as_deref()?;
     Some(match reason {
--- a/crates/operator/src/fault.rs
+++ b/crates/operator/src/fault.rs
@@ -1,71 +1,72 @@
 use super::*;
 
-/// What goes wrong.
+/// The kind of a fault, with its parameters.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", tag = "kind")]
 pub enum FaultKind {
-    /// An engine cuts each new stream once, after some events.
+    /// An engine cuts the connection of each new stream once, after a number of
+    /// events. The stream can be resumed.
     EngineBreaks {
-        /// Events before the cut.
+        /// Number of events before the connection is cut.
         after_events: u32,
         /// The engine.
         upstream: UpstreamId,
     },
-    /// An engine crashes and comes back empty.
+    /// An engine crashes and restarts without any of its work.
     EngineCrash {
         /// The engine.
         upstream: UpstreamId,
     },
-    /// An engine is asked to leave, by the platform's list.
+    /// An engine is listed as leaving by the platform.
     EngineLeaves {
         /// The engine.
         upstream: UpstreamId,
     },
-    /// An engine is slower.
+    /// An engine slows down.
     EngineSlow {
-        /// How many times.
+        /// Factor by which the time of each token is multiplied.
         factor: f64,
         /// The engine.
         upstream: UpstreamId,
     },
-    /// A host drains and is replaced by a new one.
+    /// A host is drained and replaced by a new host.
     HostReplaced {
-        /// Its number, from 0.
+        /// Number of the host, counted from 0.
         host: usize,
     },
-    /// Operators race to patch the configuration.
+    /// Several operators patch the same version of the configuration concurrently.
     OperatorsRace {
-        /// How many at once.
+        /// Number of operators.
         operators: u32,
     },
-    /// A service runs requests and cuts the connection.
+    /// A service replica runs requests, then cuts the connection without a response.
     ServiceResets {
-        /// The replica.
+        /// The service replica.
         upstream: UpstreamId,
     },
     /// The platform refuses every call.
     StoreDown,
-    /// The platform loses the answers of some writes.
+    /// The platform carries out some writes but loses the responses.
     StoreLosesAnswers {
-        /// How many.
+        /// Number of lost responses.
         answers: u32,
     },
-    /// The platform is slow.
+    /// The platform delays every call.
     StoreSlow {
-        /// Time of each call.
+        /// Delay of each call.
         delay_ms: u64,
     },
 }
 
-/// A fault on the run's timeline.
+/// A fault that occurs during a run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Fault {
     /// Start, in seconds from the start of the run.
     pub at_s: f64,
-    /// Length in seconds; it is switched off afterwards.
+    /// Duration in seconds, after which the fault ends.
     #[serde(default)]
     pub for_s: f64,
-    /// What goes wrong.
+    /// Kind of the fault.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -1,33 +1,35 @@
 use super::*;
 
-/// Longest wait for all hosts to have a configuration.
+/// Maximum time for a new host to receive its configuration.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause of a draining host of an experiment, in place of the balancer's.
+/// Time that a draining host waits for the load balancer to notice, shortened for
+/// experiments.
 const BALANCER_PAUSE_MS: u64 = 100;
 
-/// Token of operators in an experiment.
+/// Operator token and peer token of the hosts of an experiment.
 const OPERATOR_TOKEN: &str = "experiment-operator-token";
 
-/// A fleet with all its stand-ins in this process.
+/// Hosts with their stand-ins for engines, services and the platform, all in this
+/// process.
 pub struct Fleet {
-    /// Engines, by id.
+    /// Engine stand-ins by id.
     pub engines: BTreeMap<UpstreamId, EngineStandin>,
-    /// Entry hosts; `None` while one is being replaced.
+    /// Hosts by number; `None` while a host is being replaced.
     pub hosts: Vec<Option<Host<Serving>>>,
-    /// Every run on every upstream.
+    /// Log of every run on every upstream.
     pub log: RunLog,
-    /// The platform.
+    /// The platform stand-in.
     pub platform: PlatformStandin,
-    /// Replicas of services, by id.
+    /// Service replicas by id.
     pub services: BTreeMap<UpstreamId, ServiceStandin>,
 }
 
 impl Fleet {
-    /// The model that all engines of an experiment serve.
+    /// The model that all engines serve.
     pub const MODEL: &'static str = "small";
 
-    /// Starts stand-ins and hosts, and waits until all are ready.
+    /// Starts the stand-ins and the hosts and waits until all hosts are ready.
     pub async fn start(scenario: &Scenario) -> eyre::Result<Self> {
         let log = RunLog::default();
         let platform = PlatformStandin::start(any_port()).await?;
@@ -50,7 +52,7 @@
         Ok(fleet)
     }
 
-    /// Starts the host with a number and waits until it is ready.
+    /// Starts the host with the given number and waits until it is ready.
     pub async fn start_host(
         &self,
         scenario: &Scenario,
@@ -82,7 +84,7 @@
         started.await?
     }
 
-    /// Writes the hosts that run now into the platform's list.
+    /// Replaces the platform's host list by the hosts that run now.
     pub fn list_hosts(&self) {
         let hosts = self.hosts.iter().flatten().map(|host| {
             let status = host.status();
@@ -96,18 +98,19 @@
         self.platform.set_hosts(hosts.collect());
     }
 
-    /// The configuration in the platform's table.
+    /// Returns a client of the configuration store in the platform's table.
     pub fn store(&self) -> ConfigStore {
         store(self.platform.address())
     }
 
-    /// Where the hosts that take requests listen.
+    /// Addresses at which the running hosts accept requests of callers.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         let hosts = self.hosts.iter().flatten();
         hosts.map(Host::caller_address).collect()
     }
 
-    /// Stops all hosts in order, then the stand-ins; gives the hosts' reports.
+    /// Drains and stops all hosts concurrently, then the stand-ins. Returns the
+    /// hosts' reports.
     pub async fn stop(self) -> eyre::Result<Vec<Report>> {
         let hosts: Vec<_> = self.hosts.into_iter().flatten().collect();
         let stops = hosts.into_iter().map(stop_host);
@@ -123,7 +126,7 @@
     }
 }
 
-/// Drains and stops a host.
+/// Drains and stops a host and returns its report.
 pub(crate) async fn stop_host(host: Host<Serving>) -> eyre::Result<Report> {
     tokio::task::spawn_blocking(move || host.drain().stop()).await?
 }
@@ -227,14 +230,14 @@
         trial: scenario.fleet.trial.clone(),
         upstreams,
     };
-    // Through JSON once, so that it is validated as any other.
+    // The JSON round trip validates the document like any other configuration.
     Ok(Document::from_json(&document.to_json())?)
 }
 
-/// Health check of the stand-ins.
+/// Path of the stand-ins' health check.
 const HEALTH_PATH: &str = "/health";
 
-/// Upstreams that one request may be sent to.
+/// Maximum number of upstreams that one request may be sent to.
 const MAX_ATTEMPTS: u32 = 3;
 
 fn class_entry(class: &ScenarioClass) -> (ClassId, Class) {
--- a/crates/operator/src/fleet_options.rs
+++ b/crates/operator/src/fleet_options.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-/// The fleet of a scenario, all in one process.
+/// The fleet of a scenario: the hosts and the stand-ins for its upstreams.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetOptions {
-    /// Size and speed of each engine.
+    /// Capacity and speed of each engine.
     #[serde(default)]
     pub engine: EngineOptions,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Failure domains; hosts and upstreams are spread over them in turn.
+    /// Failure domains, to which hosts and upstreams are assigned round-robin.
     pub failure_domains: Vec<FailureDomainId>,
-    /// Entry hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Plain services by id, each with its replicas; not idempotent.
+    /// Number of replicas of each plain service. The services are not idempotent.
     #[serde(default)]
     pub services: BTreeMap<ServiceId, usize>,
-    /// Rules that keep trial traffic apart.
+    /// Limits on trial traffic.
     pub trial: TrialRules,
 }
--- a/crates/operator/src/flow.rs
+++ b/crates/operator/src/flow.rs
@@ -1,54 +1,54 @@
 use super::*;
 
-/// A span of time in which a flow is faster.
+/// A period in which the arrival rate of a flow is multiplied.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
     /// Start, in seconds from the start of the run.
     pub at_s: f64,
-    /// How many times faster.
+    /// Factor by which the arrival rate is multiplied.
     pub factor: f64,
-    /// Length in seconds.
+    /// Duration in seconds.
     pub for_s: f64,
 }
 
-/// Requests of one class and team that arrive at random.
+/// A stream of requests of one class and team with random arrivals.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Flow {
-    /// Spans in which it is faster.
+    /// Periods with a multiplied arrival rate.
     #[serde(default)]
     pub bursts: Vec<Burst>,
-    /// Class.
+    /// Class of the requests.
     pub class: ClassId,
     /// Whether each request has an idempotency key.
     #[serde(default)]
     pub keyed: bool,
-    /// Median output length in tokens; the lengths are log-normal.
+    /// Median output length in tokens. The lengths have a log-normal distribution.
     #[serde(default = "default_output_median_tokens")]
     pub output_median_tokens: f64,
-    /// Spread of the output length: sigma of its logarithm.
+    /// Standard deviation of the logarithm of the output length.
     #[serde(default = "default_output_sigma")]
     pub output_sigma: f64,
-    /// Different prompt prefixes; 0 for a new one each time.
+    /// Number of different prompt prefixes; 0 for a new prefix in each request.
     #[serde(default)]
     pub prefixes: u32,
     /// Prompt length in tokens.
     #[serde(default = "default_prompt_tokens")]
     pub prompt_tokens: u32,
-    /// Arrivals a second.
+    /// Arrivals per second outside bursts.
     pub requests_per_s: Rate,
-    /// Share of requests that the caller sends again with the same key, once
-    /// the first has been answered.
+    /// Share of requests that the caller sends a second time after the first
+    /// response, with the same idempotency key if the flow is `keyed`.
     #[serde(default)]
     pub resend_share: f64,
-    /// Plain service to be called; a model if there is none.
+    /// Plain service to call; `None` to call a model.
     #[serde(default)]
     pub service: Option<ServiceId>,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     #[serde(default = "default_stream")]
     pub stream: bool,
-    /// Team.
+    /// Team that sends the requests.
     pub team: TeamId,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl Flow {
-    /// How many times faster it is at a moment.
+    /// Factor of the arrival rate `at_s` seconds after the start of the run.
     pub fn factor_at(&self, at_s: f64) -> f64 {
         self.bursts
             .iter()
@@ -78,7 +78,7 @@
             .product()
     }
 
-    /// Its greatest rate, over all bursts.
+    /// Upper bound of the arrival rate, as if all bursts overlapped.
     pub fn peak_per_s(&self) -> f64 {
         let peak = self
             .bursts
--- a/crates/operator/src/guarantee_checks.rs
+++ b/crates/operator/src/guarantee_checks.rs
@@ -1,20 +1,21 @@
-//! Checks of the promises over a run's history: what callers saw, joined with
-//! what upstreams ran. A case counts as checked only where the history can
-//! show whether the promise held.
+//! Checks of the router's guarantees over the history of a run, which joins what
+//! callers received with what upstreams ran. A case counts as checked only if
+//! the history can show whether the guarantee held.
 
 use super::*;
 
-/// Time after which an upstream that is leaving gets nothing new.
+/// Time after which an upstream that was asked to leave receives no new work.
 const LEAVING_GRACE_MS: u64 = 3_000;
 
-/// Tiers whose requests are never shed for less urgent ones.
+/// Number of the most urgent tiers, whose requests are never shed in favor of
+/// less urgent ones.
 const URGENT_TIERS: usize = 2;
 
-/// Less urgent requests that the floors against starvation may start in
-/// 2 seconds, on each host.
+/// Less urgent requests that each host may start in 2 seconds because of the
+/// minimum service that protects less urgent tiers from starvation.
 const STARVATION_FLOOR_STARTS_PER_2_S: f64 = 11.0;
 
-/// Checks every promise that a history can show.
+/// Checks every guarantee that a history can confirm or refute.
 pub fn check_guarantees(scenario: &Scenario, experiment: &Experiment) -> Vec<GuaranteeCheck> {
     let history = History::new(experiment);
     vec![
@@ -74,8 +75,8 @@
         check
     }
 
-    /// A pressing request was shed although less urgent ones were started
-    /// while it waited, more than the floors allow.
+    /// Finds urgent requests that were shed while more less urgent requests
+    /// started than the minimum service against starvation allows.
     fn urgent_not_shed_for_less_urgent(&self, scenario: &Scenario) -> GuaranteeCheck {
         let hosts = scenario.fleet.hosts as f64;
         let urgent = self
@@ -105,7 +106,7 @@
         })
     }
 
-    /// A class that sent requests had none finished.
+    /// Finds classes that sent requests of which none finished.
     fn every_class_served(&self) -> GuaranteeCheck {
         let mut served: BTreeMap<&ClassId, bool> = BTreeMap::new();
         for record in &self.experiment.records {
@@ -119,7 +120,8 @@
         }
     }
 
-    /// An answer that ended well was not whole, or was another request's.
+    /// Finds responses that ended without an error but are incomplete or belong
+    /// to another request.
     fn complete_answers(&self) -> GuaranteeCheck {
         let ended = self
             .experiment
@@ -129,8 +131,9 @@
         Self::check_records("complete-own-answer", ended, |record| !record.is_complete())
     }
 
-    /// A request was answered `not-run` and had run. Only tags with one request
-    /// show it.
+    /// Finds requests with the verdict `not-run` that did run. Only tags with a
+    /// single request are checked, because a run of a shared tag may belong to
+    /// another request.
     fn not_run_verdict_is_true(&self) -> GuaranteeCheck {
         let mut requests: HashMap<&str, u32> = HashMap::default();
         for record in &self.experiment.records {
@@ -144,15 +147,16 @@
         })
     }
 
-    /// A request that may run once at most ran more often.
+    /// Finds requests that ran more than once although they may run at most once.
     fn at_most_once(&self) -> GuaranteeCheck {
-        let at_most_once = self.experiment.records.iter().filter(|record| record.once);
-        Self::check_records("at-most-once", at_most_once, |record| {
+        let at_most_once_records = self.experiment.records.iter().filter(|record| record.once);
+        Self::check_records("at-most-once", at_most_once_records, |record| {
             self.run_count(&record.tag) > 1
         })
     }
 
-    /// An upstream got new work after it had been leaving for a while.
+    /// Finds upstreams that received new work more than [`LEAVING_GRACE_MS`] after
+    /// they were asked to leave.
     fn leaving_gets_no_new_work(&self) -> GuaranteeCheck {
         let mut check = GuaranteeCheck {
             broken: 0,
@@ -170,7 +174,8 @@
         check
     }
 
-    /// A request was cut or lost in a run whose only faults are planned stops.
+    /// Finds requests that were interrupted or lost in a run whose only faults are
+    /// planned stops of hosts.
     fn planned_stop_cuts_nothing(&self, scenario: &Scenario) -> GuaranteeCheck {
         let is_stop = |fault: &Fault| matches!(fault.kind, FaultKind::HostReplaced { .. });
         let stops_only = scenario.faults.iter().all(is_stop);
@@ -181,7 +186,7 @@
         })
     }
 
-    /// A host was seen with an older version after a newer one.
+    /// Finds hosts that reported an older configuration version after a newer one.
     fn versions_never_decrease(&self) -> GuaranteeCheck {
         let mut check = GuaranteeCheck {
             broken: 0,
--- a/crates/operator/src/history_report.rs
+++ b/crates/operator/src/history_report.rs
@@ -1,9 +1,10 @@
 use super::*;
 
-/// Share of requests that should meet their targets, for the burn rate.
+/// Service-level objective for the burn rate: the share of requests that should meet
+/// their targets.
 const OBJECTIVE: f64 = 0.95;
 
-/// The report on a run, from what callers saw and what upstreams ran.
+/// Builds the report on a run from the records of callers and the runs on upstreams.
 pub fn history_report(scenario: &Scenario, experiment: &Experiment) -> Report {
     let mut report = Report {
         promises: check_guarantees(scenario, experiment),
@@ -66,10 +67,10 @@
     })
 }
 
-/// Longest time that the histogram keeps apart: ten minutes.
+/// Largest value that the histogram can tell apart: 10 minutes.
 const MAX_FIRST_TOKEN_US: u64 = 600_000_000;
 
-/// Times to the first token in microseconds.
+/// Builds a histogram of the times to the first token, in microseconds.
 fn first_token_histogram(records: &[&Record]) -> hdrhistogram::Histogram<u64> {
     let mut histogram = hdrhistogram::Histogram::new_with_max(MAX_FIRST_TOKEN_US, 3)
         .expect("the bounds and three significant digits are allowed");
@@ -79,8 +80,8 @@
     histogram
 }
 
-/// Adds goodput and wasted work: every token that an upstream computed is
-/// delivered in a whole answer, or wasted for a cause.
+/// Adds goodput and wasted work. Every token that an upstream computed counts either
+/// as delivered in a complete response or as wasted, by cause.
 fn add_goodput_and_waste(report: &mut Report, scenario: &Scenario, experiment: &Experiment) {
     let mut runs_by_tag: HashMap<&str, Vec<&Run>> = HashMap::default();
     for run in &experiment.runs {
--- a/crates/operator/src/http_client.rs
+++ b/crates/operator/src/http_client.rs
@@ -1,18 +1,19 @@
 use super::*;
 
-/// Idle connections kept for each address.
+/// Maximum number of idle connections kept for each address.
 const MAX_IDLE_PER_ADDRESS: usize = 256;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// A plain HTTP client with kept connections.
+/// An HTTP/1.1 client that reuses idle connections.
 #[derive(Clone, Debug, Default)]
 pub struct HttpClient {
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<Sender>>>>,
 }
 
 impl HttpClient {
-    /// Sends a request; the connection comes back with the answer.
+    /// Sends a request. Returns the response with its connection, which the caller
+    /// can give to [`Self::return_idle`] after the body has been read.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -33,13 +34,13 @@
             .wrap_err_with(|| format!("cannot connect to {address}"))?;
         stream.set_nodelay(true)?;
         let (mut sender, connection) = handshake(TokioIo::new(stream)).await?;
-        // Ends by itself when the sender is dropped or the far side closes.
+        // The task ends when the sender is dropped or the peer closes the connection.
         tokio::spawn(connection);
         let response = sender.send_request(request).await?;
         Ok((response, sender))
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     pub async fn exchange(
         &self,
         address: SocketAddr,
@@ -63,7 +64,8 @@
         None
     }
 
-    /// Keeps a connection whose answer has been read to its end.
+    /// Makes a connection available for reuse. The previous response must have been
+    /// read to its end.
     pub fn return_idle(&self, address: SocketAddr, sender: SendRequest<Full<Bytes>>) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let senders = idle.entry(address).or_default();
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,5 +1,5 @@
-//! Operator commands of rhubarbcove: experiments on embedded stand-ins, load,
-//! reports, configuration.
+//! The operator commands of rhubarbcove: experiments with stand-ins in the same
+//! process, load generation, reports and configuration changes.
 
 use {
     bpaf::Bpaf,
--- a/crates/operator/src/load_command.rs
+++ b/crates/operator/src/load_command.rs
@@ -3,22 +3,23 @@
 /// Options of `load`.
 #[derive(Bpaf, Clone, Debug)]
 pub struct LoadCommand {
-    /// Add the faults of another file, as TOML
+    /// Add the faults from a file, as TOML
     #[bpaf(argument("FILE"))]
     faults: Option<PathBuf>,
-    /// Write the report as JSON
+    /// Write the report to a file as JSON
     #[bpaf(argument("FILE"))]
     json: Option<PathBuf>,
     /// Multiply every arrival rate
     #[bpaf(argument("FACTOR"), fallback(1.0), display_fallback)]
     load: f64,
-    /// Run it so many times, each with the next seed; stops at a broken promise
+    /// Run the scenario this many times, increasing the seed by 1 each time; stop at
+    /// a broken guarantee
     #[bpaf(argument("NUMBER"), fallback(1), display_fallback)]
     runs: u64,
-    /// Use another seed than the scenario's
+    /// Override the seed of the scenario
     #[bpaf(argument("NUMBER"))]
     seed: Option<u64>,
-    /// Draw attainment as SVG
+    /// Draw the attainment by class to a file as SVG
     #[bpaf(argument("FILE"))]
     svg: Option<PathBuf>,
     /// Scenario, as TOML
@@ -47,7 +48,7 @@
     }
 }
 
-/// Faults in a file of their own.
+/// The file of `--faults`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FaultsFile {
@@ -58,7 +59,7 @@
     std::fs::read_to_string(file).wrap_err_with(|| format!("cannot read {}", file.display()))
 }
 
-/// Runs a scenario and reports; an error if a promise was broken.
+/// Runs a scenario and writes the report. Fails if a guarantee was broken.
 pub(crate) async fn run_and_report(
     scenario: &Scenario,
     load: f64,
--- a/crates/operator/src/main.rs
+++ b/crates/operator/src/main.rs
@@ -1,4 +1,4 @@
-//! `rhubarbcovectl`: the program for operators.
+//! `rhubarbcovectl`: the command-line program for operators.
 
 fn main() -> eyre::Result<()> {
     let command = operator::command().run();
--- a/crates/operator/src/plan.rs
+++ b/crates/operator/src/plan.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Longest output that a scenario asks for, in tokens.
+/// Maximum output length that a planned request asks for.
 const MAX_OUTPUT_TOKENS: f64 = 2_000.0;
 
-/// One request to be sent at a set moment.
+/// One request with its intended send time.
 #[derive(Clone, Debug)]
 pub(crate) struct PlannedRequest {
     pub(crate) at: Duration,
@@ -14,8 +14,8 @@
     pub(crate) tag: String,
 }
 
-/// Draws all requests of a scenario, in order of time. The same scenario and
-/// load give the same requests.
+/// Generates all requests of a scenario at random, in order of time. The result is
+/// the same for the same scenario, seed and load factor.
 pub(crate) fn plan_requests(scenario: &Scenario, load: f64) -> eyre::Result<Vec<PlannedRequest>> {
     let mut planned = Vec::new();
     for (index, flow) in scenario.flows.iter().enumerate() {
@@ -24,9 +24,9 @@
         if peak_per_s <= 0.0 {
             continue;
         }
-        let gaps = Exp::new(peak_per_s).wrap_err("rate of a flow")?;
+        let gaps = Exp::new(peak_per_s).wrap_err("invalid arrival rate of a flow")?;
         let output_lengths = LogNormal::new(flow.output_median_tokens.ln(), flow.output_sigma)
-            .wrap_err("output length of a flow")?;
+            .wrap_err("invalid output length of a flow")?;
         let mut at_s = 0.0;
         let mut number = 0;
         loop {
@@ -34,8 +34,8 @@
             if at_s >= scenario.duration_s {
                 break;
             }
-            // Thinning: an arrival at the peak rate is kept with the chance
-            // that the rate at its moment has.
+            // Thinning: arrivals are drawn at the peak rate, and each is kept with
+            // the probability `rate_per_s / peak_per_s`.
             let rate_per_s = flow.requests_per_s.get() * load * flow.factor_at(at_s);
             if rng.random::<f64>() >= rate_per_s / peak_per_s {
                 continue;
--- a/crates/operator/src/record.rs
+++ b/crates/operator/src/record.rs
@@ -1,63 +1,67 @@
 use super::*;
 
-/// In which way a request ended for its caller.
+/// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ending {
-    /// The stream ended with an error event, or broke off.
+    /// A response with status 200 was interrupted, contained an error event or ended
+    /// without the end mark of a stream.
     Broken,
-    /// The whole answer came.
+    /// The complete response arrived.
     Finished,
-    /// No usable answer at all, not even an error.
+    /// No response arrived, or an error response was interrupted.
     Lost,
-    /// An error answer came.
+    /// An error response arrived.
     Refused,
-    /// A stored answer came.
+    /// The stored response of an earlier request with the same key arrived.
     Replayed,
 }
 
-/// What a caller saw of one request. Times are in milliseconds; those of an
-/// event are counted from the start of the run, and spans from the moment at
-/// which the request was to be sent, so that a stall is not hidden.
+/// What a caller observed of one request. Points in time are counted from the
+/// start of the run. Durations are counted from the intended send time rather
+/// than the actual one, so that a stalled sender does not hide latency.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Record {
-    /// Class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Machine-readable code of an error.
+    /// Machine-readable error code; `None` without an error.
     pub code: Option<String>,
-    /// End of the answer.
+    /// When the response ended, counted from the start of the run.
     pub ended_ms: f64,
-    /// In which way it ended.
+    /// How the request ended.
     pub ending: Ending,
-    /// Time to the first token or to a whole answer.
+    /// Time to the first token, or to the complete response if it was not
+    /// streamed.
     pub first_token_ms: Option<f64>,
-    /// Whether the content is not what this request asked for.
+    /// Whether the response has content of another request.
     pub foreign: bool,
-    /// When it was to be sent.
+    /// Intended send time, counted from the start of the run.
     pub intended_ms: f64,
-    /// Whether it may run once at most.
+    /// Whether the request may run at most once.
     pub once: bool,
-    /// Tokens received.
+    /// Number of tokens received.
     pub received: u32,
-    /// Whether the answer came as a stream.
+    /// Whether the response was streamed.
     pub streamed: bool,
-    /// HTTP status.
+    /// HTTP status code; 0 if no response arrived.
     pub status: u16,
-    /// Tag by which upstreams count its runs.
+    /// Tag that upstreams record with each run of the request.
     pub tag: String,
-    /// Team.
+    /// Team of the caller.
     pub team: TeamId,
-    /// Tier.
+    /// Tier of the class.
     pub tier: Tier,
-    /// Verdict reported to the caller; `ran` for a whole stream.
+    /// Verdict reported to the caller; `ran` if the response is complete and
+    /// reports none.
     pub verdict: Option<Verdict>,
-    /// Tokens asked for; 1 for a service.
+    /// Number of tokens requested; 1 for a plain service.
     pub wanted: u32,
 }
 
 impl Record {
-    /// Whether it finished within the targets of its class. An answer that came
-    /// as a whole has the time of both targets together.
+    /// Whether the request finished within the targets of its class. A response that
+    /// was not streamed has to arrive within the sum of the first-token target and
+    /// all between-token targets.
     pub fn meets_targets(&self, class: &ScenarioClass) -> bool {
         let Some(first_token_ms) = self.first_token_ms else {
             return false;
@@ -75,7 +79,7 @@
         first_token_ms <= first_target_ms && (gaps == 0.0 || rest_ms <= rest_target_ms)
     }
 
-    /// Whether the answer is whole and is this request's own.
+    /// Whether the response is complete and belongs to this request.
     pub fn is_complete(&self) -> bool {
         let finished = matches!(self.ending, Ending::Finished | Ending::Replayed);
         finished && !self.foreign && self.received == self.wanted
--- a/crates/operator/src/render.rs
+++ b/crates/operator/src/render.rs
@@ -1,8 +1,8 @@
-//! Reports as a table and as a plot.
+//! Renders reports as tables and charts.
 
 use super::*;
 
-/// Size of a plot in pixels.
+/// Width and height of a chart in pixels.
 const PLOT_SIZE: (u32, u32) = (800, 400);
 
 #[derive(tabled::Tabled)]
@@ -30,7 +30,7 @@
     broken: u64,
 }
 
-/// A report as text.
+/// Renders a report as text with tables.
 pub(crate) fn render_table(report: &Report) -> String {
     let classes = report.classes.iter().map(|class| ClassRow {
         attainment: format!("{:.1} %", class.attainment * 100.0),
@@ -88,7 +88,7 @@
     text
 }
 
-/// Draws attainment by class as a bar chart.
+/// Draws the attainment by class as a bar chart in an SVG file.
 pub(crate) fn render_svg(report: &Report, file: &Path) -> eyre::Result<()> {
     let root = SVGBackend::new(file, PLOT_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
--- a/crates/operator/src/report_command.rs
+++ b/crates/operator/src/report_command.rs
@@ -5,7 +5,7 @@
 pub struct ReportCommand {
     /// Print JSON instead of a table
     json: bool,
-    /// Draw attainment as SVG
+    /// Draw the attainment by class to a file as SVG
     #[bpaf(argument("FILE"))]
     svg: Option<PathBuf>,
     /// Operator token of the host
@@ -27,7 +27,7 @@
         if status != StatusCode::OK {
             bail!("host answered {status}: {}", String::from_utf8_lossy(&body));
         }
-        let report: Report = serde_json::from_slice(&body).wrap_err("answer is not a report")?;
+        let report: Report = serde_json::from_slice(&body).wrap_err("response is not a report")?;
         if self.json {
             println!("{}", serde_json::to_string_pretty(&report)?);
         } else {
--- a/crates/operator/src/scenario.rs
+++ b/crates/operator/src/scenario.rs
@@ -1,32 +1,33 @@
 use super::*;
 
-/// An experiment: a fleet, its classes and teams, the load and the faults.
+/// The definition of an experiment: a fleet, its classes and teams, the load and
+/// the faults.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     /// Request classes.
     pub classes: Vec<ScenarioClass>,
-    /// Length of the load in seconds.
+    /// Duration of the load in seconds.
     pub duration_s: f64,
-    /// Faults on the run's timeline.
+    /// Faults that occur during the run.
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// The fleet.
+    /// Hosts and upstreams.
     pub fleet: FleetOptions,
-    /// The load.
+    /// Streams of requests that make up the load.
     pub flows: Vec<Flow>,
-    /// Name.
+    /// Name of the scenario.
     pub name: String,
-    /// Seed of all random choices of the load.
+    /// Seed of the random number generators of the load.
     pub seed: u64,
-    /// Teams.
+    /// Teams that send the load.
     pub teams: Vec<ScenarioTeam>,
 }
 
 impl Scenario {
-    /// Reads a scenario from TOML and checks it.
+    /// Parses and validates a scenario.
     pub fn from_toml(text: &str) -> eyre::Result<Self> {
-        let scenario: Self = toml::from_str(text).wrap_err("scenario cannot be read")?;
+        let scenario: Self = toml::from_str(text).wrap_err("scenario cannot be parsed")?;
         scenario.check()?;
         Ok(scenario)
     }
@@ -59,7 +60,7 @@
         Ok(())
     }
 
-    /// A class by its id.
+    /// Returns the class with an id.
     pub fn class(&self, id: &ClassId) -> eyre::Result<&ScenarioClass> {
         self.classes
             .iter()
@@ -67,7 +68,7 @@
             .ok_or_else(|| eyre!("scenario has no class {id}"))
     }
 
-    /// A team by its id.
+    /// Returns the team with an id.
     pub fn team(&self, id: &TeamId) -> eyre::Result<&ScenarioTeam> {
         self.teams
             .iter()
--- a/crates/operator/src/scenario_class.rs
+++ b/crates/operator/src/scenario_class.rs
@@ -6,16 +6,16 @@
 pub struct ScenarioClass {
     /// Target for the time between two tokens.
     pub between_token_target_ms: u64,
-    /// Longest time from arrival until the last attempt starts.
+    /// Latest start of an attempt, counted from the arrival of the request.
     pub deadline_ms: u64,
     /// Target for the time to the first token.
     pub first_token_target_ms: u64,
-    /// Id.
+    /// Id of the class.
     pub id: ClassId,
-    /// Whether a request may run twice without harm.
+    /// Whether a request may safely run more than once.
     #[serde(default = "default_idempotent")]
     pub idempotent: bool,
-    /// Tier.
+    /// Tier, which determines the urgency of the class.
     pub tier: Tier,
 }
 
--- a/crates/operator/src/scenario_team.rs
+++ b/crates/operator/src/scenario_team.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-/// A team of a scenario. Its key is its id with `-key` after it.
+/// A team of a scenario. The key of the team is its id with the suffix `-key`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScenarioTeam {
-    /// Classes that it may use; the first is its default.
+    /// Classes that the team may use. The first class is the default.
     pub classes: Vec<ClassId>,
-    /// Id.
+    /// Id of the team.
     pub id: TeamId,
-    /// Requests queued or running at one moment, on each host.
+    /// Maximum number of requests queued or running at the same time, on each host.
     #[serde(default = "default_max_concurrent")]
     pub max_concurrent: u32,
-    /// Requests a second, on each host.
+    /// Maximum number of requests per second, on each host.
     #[serde(default = "default_max_requests_per_s")]
     pub max_requests_per_s: Rate,
-    /// What it pays for.
+    /// Plan that the team pays for.
     pub plan: Plan,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl ScenarioTeam {
-    /// Its bearer key.
+    /// The bearer key of the team.
     pub fn key(&self) -> String {
         format!("{}-key", self.id)
     }
--- a/crates/operator/src/standin_command.rs
+++ b/crates/operator/src/standin_command.rs
@@ -1,35 +1,35 @@
 use super::*;
 
-/// Which stand-in to run; each runs until it is killed.
+/// Subcommands of `standin`. Each stand-in runs until the process is killed.
 #[derive(Bpaf, Clone, Debug)]
 pub enum StandinCommand {
-    /// A model engine
+    /// Run a model engine
     #[bpaf(command)]
     Engine {
-        /// Where to listen
+        /// Address to listen on
         #[bpaf(argument("ADDRESS"))]
         listen: SocketAddr,
-        /// Name in the run log
+        /// Name of the upstream in the run log
         #[bpaf(argument("NAME"), fallback("engine".to_string()))]
         name: String,
-        /// Size and speed, as TOML
+        /// Capacity and speed of the engine, as TOML
         #[bpaf(argument("FILE"))]
         options: Option<PathBuf>,
     },
-    /// The platform: table, object store and host list
+    /// Run the platform: table, object store and host list
     #[bpaf(command)]
     Platform {
-        /// Where to listen
+        /// Address to listen on
         #[bpaf(argument("ADDRESS"))]
         listen: SocketAddr,
     },
-    /// A plain service
+    /// Run a plain service
     #[bpaf(command)]
     Service {
-        /// Where to listen
+        /// Address to listen on
         #[bpaf(argument("ADDRESS"))]
         listen: SocketAddr,
-        /// Name in the run log
+        /// Name of the upstream in the run log
         #[bpaf(argument("NAME"), fallback("service".to_string()))]
         name: String,
     },
--- a/crates/operator/tests/experiments.rs
+++ b/crates/operator/tests/experiments.rs
@@ -1,6 +1,6 @@
-//! Whole experiments on embedded stand-ins: several hosts, faults together, and
-//! every promise checked over the run's own history. Seeds are fixed; what is
-//! asserted rests on histories, never on times.
+//! Complete experiments with embedded stand-ins, several hosts and combined faults.
+//! Every guarantee is checked over the history of the run. Seeds are fixed, and
+//! assertions depend on the history only, never on timing.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
--- a/crates/operator/tests/guarantee_checks.rs
+++ b/crates/operator/tests/guarantee_checks.rs
@@ -1,5 +1,5 @@
-//! Each checker of a promise finds a fault that is planted in a history, and
-//! finds nothing in a history without one.
+//! Each guarantee check reports a violation that is injected into a history and
+//! reports none for a valid history.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// The promise with a name, for a history with a planted fault.
+/// Returns the check with a name, for a valid history changed by `inject_fault`.
 fn check_guarantee(
     name: &str,
     inject_fault: impl FnOnce(&mut Experiment, &mut Scenario),
@@ -152,9 +152,9 @@
     });
 }
 
-/// Symptom: a run is said to break a promise that it kept.
-/// Sequence: an engine is asked to leave, later to stay, and gets work again.
-/// Cause: the checker knew only when it was asked to leave.
+/// Guards against a false violation: an engine is asked to leave, is later listed
+/// as live and then gets work again. A check that considers only the start of
+/// leaving reports this work.
 #[test]
 fn new_work_after_leaving_was_revoked_is_allowed() {
     let check = check_guarantee("leaving-gets-no-new-work", |experiment, _| {
