--- a/crates/standin/src/batch.rs
+++ b/crates/standin/src/batch.rs
@@ -7,7 +7,8 @@
     waiting: BTreeMap<(u8, u64), oneshot::Sender<BatchSlot>>,
 }
 
-/// The running batch of an engine and the queue before it, by priority.
+/// The running batch of an engine and its queue of waiting requests, which is
+/// ordered by priority.
 #[derive(Clone, Debug)]
 pub(crate) struct Batch {
     queue_bound: u32,
@@ -15,7 +16,8 @@
     slots: u32,
 }
 
-/// A slot in the batch; dropping it lets the next request in.
+/// A slot in the batch. When the slot is dropped, it passes to the next waiting
+/// request.
 #[derive(Debug)]
 pub(crate) struct BatchSlot {
     state: Arc<Mutex<BatchState>>,
@@ -38,7 +40,8 @@
         lock(&self.state).waiting.len() as u32
     }
 
-    /// Takes a place in the queue; `None` if it is full.
+    /// Requests a slot. The receiver gets the slot as soon as a slot is free.
+    /// Returns `None` if the queue is full.
     pub(crate) fn request_slot(&self, priority: u8) -> Option<oneshot::Receiver<BatchSlot>> {
         let (sender, receiver) = oneshot::channel();
         let mut state = lock(&self.state);
@@ -76,7 +79,8 @@
             }
             next
         };
-        // Outside the lock: a receiver that has just gone drops the place here.
+        // The lock is released first: if the receiver has just been dropped, the send
+        // fails and drops the new slot here, which locks the state again.
         if let Some((_, sender)) = next {
             let _ = sender.send(BatchSlot {
                 state: Arc::clone(&self.state),
--- a/crates/standin/src/cursor.rs
+++ b/crates/standin/src/cursor.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Where a stream stands.
+/// The position of one response stream in its generation, with the faults to inject.
 pub(crate) struct Cursor {
     pub(crate) break_after_events: Option<u32>,
     pub(crate) crash: watch::Receiver<u64>,
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// How long an answer that nobody reads is kept for resumption.
+/// How long a generation without readers continues, and how long it stays resumable
+/// after its end.
 const UNREAD_RETENTION: Duration = Duration::from_millis(2_000);
 
 struct EngineState {
@@ -16,16 +17,16 @@
     tasks: Mutex<JoinSet<()>>,
 }
 
-/// A stand-in for a model engine: continuous batching with priorities, a small
-/// prefix cache, streams that can be resumed and cancelled, and load reports
-/// that lag.
+/// A stand-in for a model engine, with continuous batching by priority, a small
+/// prefix cache, streams that can be resumed and cancelled, and delayed load
+/// reports.
 pub struct EngineStandin {
     server: Server,
     state: Arc<EngineState>,
 }
 
 impl EngineStandin {
-    /// Starts an engine; `name` is what the run log calls it.
+    /// Starts an engine. `name` is its name in the run log.
     pub async fn start(
         address: SocketAddr,
         name: &str,
@@ -53,22 +54,22 @@
         Ok(Self { server, state })
     }
 
-    /// Where it listens.
+    /// The address that the engine listens on.
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Sets its faults.
+    /// Replaces the faults of the engine.
     pub fn set_faults(&self, faults: EngineFaults) {
         set_faults(&self.state, faults);
     }
 
-    /// Requests running in its batch.
+    /// Number of requests in the running batch.
     pub fn running(&self) -> u32 {
         self.state.batch.running()
     }
 
-    /// Ends it at once, as a crash would.
+    /// Stops the engine at once and closes its connections, as in a crash.
     pub async fn stop(self) {
         let mut tasks = std::mem::take(&mut *lock(&self.state.tasks));
         tasks.shutdown().await;
@@ -209,8 +210,9 @@
     response
 }
 
-/// Computes an answer in the batch, token by token, until it is whole, is
-/// cancelled or nobody has read it for a while.
+/// Waits for a slot in the batch and computes the response token by token, until the
+/// response is complete, cancelled or abandoned by its readers. Afterwards, the
+/// generation stays available for resumption for [`UNREAD_RETENTION`].
 async fn generate(
     state: Arc<EngineState>,
     generation: Arc<Generation>,
@@ -251,7 +253,7 @@
     }
 }
 
-/// Returns once nobody has read an answer for a while.
+/// Returns once the generation has had no reader at two consecutive checks.
 async fn wait_until_abandoned(generation: &Generation) {
     let mut unread_checks = 0;
     while unread_checks < 2 {
--- a/crates/standin/src/engine_faults.rs
+++ b/crates/standin/src/engine_faults.rs
@@ -4,21 +4,23 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Cut each new stream once after so many events; it can be resumed.
+    /// Cut the connection of each new stream once, after this number of events. The
+    /// stream can be resumed.
     pub break_after_events: Option<u32>,
-    /// Cut every connection and forget all work.
+    /// Cut every connection and discard all work.
     pub crashed: bool,
-    /// Report that it is leaving.
+    /// Report in the load reports that the engine is leaving.
     pub leaving: bool,
-    /// Refuse new work and say so.
+    /// Refuse new requests with a header that says that they have not run.
     pub refuse: bool,
-    /// Read a request, then cut the connection without running it.
+    /// Read each request, then cut the connection without running the request.
     pub reset_before_run: bool,
-    /// Accept requests and never answer.
+    /// Accept requests and never respond.
     pub silent: bool,
-    /// Every token takes so many times as long.
+    /// Factor by which the time of each token is multiplied.
     pub slow_factor: f64,
-    /// End each stream without its end mark, though the connection closes well.
+    /// End each new stream after this number of events without the end mark `[DONE]`,
+    /// but without a connection error.
     pub truncate_after_events: Option<u32>,
 }
 
--- a/crates/standin/src/engine_options.rs
+++ b/crates/standin/src/engine_options.rs
@@ -1,24 +1,25 @@
 use super::*;
 
-/// Size and speed of an engine stand-in.
+/// Capacity and speed of an engine stand-in.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineOptions {
-    /// Prompt prefixes kept in the cache.
+    /// Maximum number of prompt prefixes in the cache.
     pub cached_prefixes: usize,
-    /// Slowdown of a token with all slots taken, as a part of its time.
+    /// Increase of the time per token when all slots are in use, as a fraction of
+    /// `token_time_us`.
     pub load_slope: f64,
-    /// Time to read one prompt token that is not cached.
+    /// Prefill time of one prompt token that is not cached.
     pub prefill_us_per_token: u64,
-    /// How old its load report is allowed to get.
+    /// Interval at which the load report is updated, and so its maximum age.
     pub report_lag_ms: u64,
-    /// Requests waiting beyond the slots.
+    /// Maximum number of requests that wait for a slot.
     pub queue_bound: u32,
-    /// Requests running at one moment.
+    /// Maximum number of requests that run at the same time.
     pub slots: u32,
-    /// Time of one token with one request running.
+    /// Time per output token, before the increase by `load_slope`.
     pub token_time_us: u64,
-    /// Tokens that are sent in one event.
+    /// Number of tokens sent in one event.
     pub tokens_per_event: u32,
 }
 
--- a/crates/standin/src/engine_request.rs
+++ b/crates/standin/src/engine_request.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Output tokens of a request that says nothing.
+/// Output length of a request whose metadata specifies no length.
 const DEFAULT_OUTPUT_TOKENS: u32 = 64;
 
-/// Bytes of prompt that count as one token.
+/// Number of prompt bytes that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Bytes of prompt that are hashed as its prefix.
+/// Number of prompt bytes that identify the prefix in the prefix cache.
 const PREFIX_BYTES: usize = 256;
 
 #[derive(Debug, Default, Deserialize)]
@@ -28,8 +28,8 @@
     stream: bool,
 }
 
-/// What a stand-in takes from an OpenAI-style request. The request's metadata
-/// tells how long the answer is to be, which no router may look at.
+/// The parts of an OpenAI-style request that a stand-in uses. The metadata of the
+/// request specifies the output length. A router must not read this metadata.
 #[derive(Debug)]
 pub(crate) struct EngineRequest {
     pub(crate) output_tokens: u32,
--- a/crates/standin/src/free_address.rs
+++ b/crates/standin/src/free_address.rs
@@ -1,16 +1,19 @@
 use super::*;
 
-/// Ports below those that the system gives to outgoing connections.
+/// Ports below the ephemeral range, from which the system assigns ports to outgoing
+/// connections.
 ///
-/// What goes wrong with those: a test looks for a free port, a connection of
-/// another test is given it, and the host that is to listen there does not start.
+/// With a port of the ephemeral range, a connection of another test can be assigned
+/// the port after the test has found it free. The host that is to listen there then
+/// fails to start.
 const PORT_RANGE: Range<u16> = 20_000..32_000;
 
-/// Ports between those that two processes begin with.
+/// Distance between the first ports of processes with consecutive ids, so that
+/// processes that run at the same time try different ports.
 const PORTS_PER_PROCESS: u32 = 400;
 
-/// An address on this machine that is free, and that nobody else in this process
-/// is given: for a program that must learn where to listen.
+/// Returns a free loopback address for a program that needs a fixed address to listen
+/// on. Later calls in this process return other addresses.
 pub fn free_address() -> SocketAddr {
     static NEXT_OFFSET: AtomicU32 = AtomicU32::new(0);
     let first = std::process::id().wrapping_mul(PORTS_PER_PROCESS);
--- a/crates/standin/src/generation.rs
+++ b/crates/standin/src/generation.rs
@@ -1,22 +1,23 @@
 use super::*;
 
-/// The answer to one request, as far as it has been computed. It is kept for a
-/// while after its stream broke, so that the stream can be resumed.
+/// The response to one request, as far as it has been computed. The engine keeps the
+/// generation for a while after its stream was interrupted, so that the stream can
+/// be resumed.
 #[derive(Debug)]
 pub(crate) struct Generation {
-    /// Asked to stop.
+    /// Notified when the generation is cancelled.
     pub(crate) cancelled: Notify,
     pub(crate) output_tokens: u32,
-    /// Tokens computed so far.
+    /// Number of tokens computed so far.
     pub(crate) progress: watch::Sender<u32>,
     pub(crate) tag: String,
-    /// Streams that read it now.
+    /// Number of responses that currently read the generation.
     pub(crate) readers: Mutex<u32>,
     pub(crate) tokens_per_event: u32,
 }
 
 impl Generation {
-    /// The event that ends at token `upto`.
+    /// Returns the event with the tokens from `start` up to, but excluding, `end`.
     pub(crate) fn event(&self, start: u32, end: u32) -> String {
         let content: String = (start..end)
             .map(|index| format!("{}:{index} ", self.tag))
@@ -28,7 +29,7 @@
         format!("id: {end}\ndata: {data}\n\n")
     }
 
-    /// The whole text.
+    /// Returns the complete text.
     pub(crate) fn text(&self) -> String {
         (0..self.output_tokens)
             .map(|index| format!("{}:{index} ", self.tag))
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,11 +1,11 @@
-//! Helpers for answers over HTTP.
+//! Helpers for HTTP requests and responses.
 
 use super::*;
 
-/// Largest body that a stand-in reads.
+/// Maximum size of a request body that a stand-in reads.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// The connection is to be cut without an answer.
+/// An error with which a handler makes the server cut the connection.
 #[derive(Debug)]
 pub(crate) struct ConnectionCut;
 
@@ -34,7 +34,7 @@
 }
 
 pub(crate) fn json_response<T: Serialize>(value: &T) -> Response<Body> {
-    let text = serde_json::to_vec(value).expect("answers have only text keys");
+    let text = serde_json::to_vec(value).expect("responses have only string keys");
     let mut response = Response::new(full_body(text));
     response.headers_mut().insert(
         "content-type",
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for what rhubarbcove meets outside: model engines, plain
-//! services and the platform. Each has faults that a test or an experiment
-//! switches, in process or by `POST /standin/faults`.
+//! Small stand-ins for the systems that rhubarbcove connects to: model engines,
+//! plain services and the platform. Tests and experiments inject faults into a
+//! stand-in, either in the same process or with `POST /standin/faults`.
 
 use {
     bytes::Bytes,
--- a/crates/standin/src/platform_faults.rs
+++ b/crates/standin/src/platform_faults.rs
@@ -4,12 +4,12 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Time that each call takes.
+    /// Delay of each call.
     pub delay_ms: u64,
-    /// Refuse every call.
+    /// Refuse every call with status 503.
     pub down: bool,
-    /// Carry out this many further writes, but lose their answers.
+    /// Carry out this many further writes, but cut the connection without a response.
     pub lose_answers: u32,
-    /// Lose this many further writes on the way in.
+    /// Drop this many further writes, and cut the connection without a response.
     pub lose_writes: u32,
 }
--- a/crates/standin/src/platform_standin.rs
+++ b/crates/standin/src/platform_standin.rs
@@ -10,14 +10,14 @@
     writes: Mutex<u64>,
 }
 
-/// A stand-in for the platform: its table, object store and host list.
+/// A stand-in for the platform, with its table, object store and host list.
 pub struct PlatformStandin {
     server: Server,
     state: Arc<PlatformState>,
 }
 
 impl PlatformStandin {
-    /// Starts an empty platform.
+    /// Starts a platform without any data.
     pub async fn start(address: SocketAddr) -> io::Result<Self> {
         let state = Arc::new(PlatformState::default());
         let handler_state = Arc::clone(&state);
@@ -28,17 +28,17 @@
         Ok(Self { server, state })
     }
 
-    /// Where it listens.
+    /// The address that the platform listens on.
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Sets its faults.
+    /// Replaces the faults of the platform.
     pub fn set_faults(&self, faults: PlatformFaults) {
         *lock(&self.state.faults) = faults;
     }
 
-    /// Sets the hosts of its list.
+    /// Replaces the hosts of the host list.
     pub fn set_hosts(&self, hosts: Vec<ListedHost>) {
         lock(&self.state.hosts).hosts = hosts;
     }
@@ -50,17 +50,17 @@
         hosts.upstreams.push(ListedUpstream { state, upstream });
     }
 
-    /// Write calls that were carried out.
+    /// Number of write calls to the table that were carried out.
     pub fn writes(&self) -> u64 {
         *lock(&self.state.writes)
     }
 
-    /// Read calls that were carried out.
+    /// Number of read calls to the table that were carried out.
     pub fn reads(&self) -> u64 {
         *lock(&self.state.reads)
     }
 
-    /// Ends it at once.
+    /// Stops the platform at once and closes its connections.
     pub async fn stop(self) {
         self.server.stop().await;
     }
--- a/crates/standin/src/prefix_cache.rs
+++ b/crates/standin/src/prefix_cache.rs
@@ -1,13 +1,15 @@
 use super::*;
 
-/// The prompt prefixes that an engine has cached, the oldest forgotten first.
+/// The prompt prefixes that an engine has cached. The least recently used prefix is
+/// evicted first.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
     recent: VecDeque<Vec<u8>>,
 }
 
 impl PrefixCache {
-    /// Whether a prefix was cached; it is afterwards.
+    /// Marks a prefix as the most recently used and adds the prefix if it is missing.
+    /// Returns whether the prefix was cached before.
     pub(crate) fn touch(&mut self, prefix: &[u8], capacity: usize) -> bool {
         let position = self.recent.iter().position(|cached| cached == prefix);
         if let Some(position) = position {
--- a/crates/standin/src/reader_guard.rs
+++ b/crates/standin/src/reader_guard.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Counts a stream among the readers of an answer while it lives.
+/// Counts one reader of a generation until the guard is dropped.
 pub(crate) struct ReaderGuard {
     generation: Arc<Generation>,
 }
--- a/crates/standin/src/run.rs
+++ b/crates/standin/src/run.rs
@@ -3,19 +3,19 @@
 /// One run of a request on a stand-in.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Run {
-    /// Attempt id that came with it.
+    /// Attempt id in the request, if any.
     pub attempt: Option<String>,
-    /// Whether the whole answer was computed.
+    /// Whether the complete response was computed.
     pub finished: bool,
-    /// When the request came, in milliseconds since the log began. It may have
-    /// waited in the engine's own queue until its start.
+    /// When the request arrived, in milliseconds since the log was created. The request
+    /// may then have waited in the engine's queue.
     pub received_ms: u64,
-    /// Start, in milliseconds since the log began.
+    /// When the run started, in milliseconds since the log was created.
     pub started_ms: u64,
-    /// The caller's tag.
+    /// Tag that the caller gave the request.
     pub tag: String,
-    /// Tokens computed.
+    /// Number of tokens computed; 1 for a plain service.
     pub tokens: u32,
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: String,
 }
--- a/crates/standin/src/run_log.rs
+++ b/crates/standin/src/run_log.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Every run of several stand-ins, for history checking.
+/// A log of every run on one or more stand-ins, used to check guarantees over the
+/// history. Clones share the same log.
 #[derive(Clone, Debug)]
 pub struct RunLog {
     created_at: Instant,
@@ -17,17 +18,17 @@
 }
 
 impl RunLog {
-    /// Every run so far, in order of start.
+    /// Returns every run so far, in order of start.
     pub fn runs(&self) -> Vec<Run> {
         lock(&self.runs).clone()
     }
 
-    /// How often a tag was run.
+    /// Number of runs with a tag.
     pub fn count(&self, tag: &str) -> usize {
         lock(&self.runs).iter().filter(|run| run.tag == tag).count()
     }
 
-    /// Milliseconds since the log began.
+    /// Milliseconds since the log was created.
     pub fn now_ms(&self) -> u64 {
         self.created_at.elapsed().as_millis() as u64
     }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A listener with the tasks that serve it. Dropping it ends them all and
-/// closes every connection at once, as a crash would.
+/// A TCP listener and the tasks that serve its connections. Dropping the server aborts
+/// all tasks and closes every connection at once, as in a crash.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -9,7 +9,7 @@
 }
 
 impl Server {
-    /// Listens on an address and answers every request with `handler`.
+    /// Listens on an address and passes every request to `handler`.
     pub(crate) async fn start<F>(address: SocketAddr, handler: F) -> io::Result<Self>
     where
         F: Fn(Request<Incoming>) -> BoxFuture<'static, HandlerResult>
@@ -25,7 +25,7 @@
         Ok(Self { address, tasks })
     }
 
-    /// Where it listens.
+    /// The address that the server listens on.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
@@ -35,7 +35,7 @@
         self.tasks.spawn(task);
     }
 
-    /// Ends all tasks and waits for them.
+    /// Aborts all tasks and waits until they have ended.
     pub async fn stop(mut self) {
         self.tasks.shutdown().await;
     }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -6,7 +6,8 @@
     name: String,
 }
 
-/// A stand-in for a plain service: it counts every run by the tag in the body.
+/// A stand-in for a plain service, which logs every run with the tag in the request
+/// body.
 pub struct ServiceStandin {
     server: Server,
     state: Arc<ServiceState>,
@@ -19,7 +20,7 @@
 }
 
 impl ServiceStandin {
-    /// Starts a service; `name` is what the run log calls it.
+    /// Starts a service. `name` is its name in the run log.
     pub async fn start(address: SocketAddr, name: &str, log: RunLog) -> io::Result<Self> {
         let state = Arc::new(ServiceState {
             faults: Mutex::default(),
@@ -34,17 +35,17 @@
         Ok(Self { server, state })
     }
 
-    /// Where it listens.
+    /// The address that the service listens on.
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Sets its faults.
+    /// Replaces the faults of the service.
     pub fn set_faults(&self, faults: ServiceFaults) {
         *lock(&self.state.faults) = faults;
     }
 
-    /// Ends it at once.
+    /// Stops the service at once and closes its connections.
     pub async fn stop(self) {
         self.server.stop().await;
     }
@@ -115,8 +116,8 @@
         *response.status_mut() = status;
     }
     if faults.close_after_answer {
-        // HTTP/1.0 has no kept connections, so the server closes; the client
-        // learns nothing by a header.
+        // HTTP/1.0 connections are not persistent by default, so the server closes the
+        // connection without announcing the close in a header.
         *response.version_mut() = hyper::Version::HTTP_10;
     }
     response
--- a/crates/standin/src/service_faults.rs
+++ b/crates/standin/src/service_faults.rs
@@ -4,18 +4,19 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// Close the connection right after each answer, without saying so.
+    /// Close the connection right after each response, without a `connection: close`
+    /// header.
     pub close_after_answer: bool,
-    /// Time that each run takes.
+    /// Duration of each run.
     pub delay_ms: u64,
-    /// Send half of each answer, then cut the connection.
+    /// Send half of each response body, then cut the connection.
     pub half_answer: bool,
-    /// Refuse and say that nothing ran.
+    /// Refuse each request with a header that says that the request has not run.
     pub refuse: bool,
-    /// Run, then cut the connection without an answer.
+    /// Run each request, then cut the connection without a response.
     pub reset_after_run: bool,
-    /// Read the request, then cut the connection without running it.
+    /// Read each request, then cut the connection without running the request.
     pub reset_before_run: bool,
-    /// Answer with this status after running.
+    /// Respond with this HTTP status after the run.
     pub status: Option<u16>,
 }
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The rows of the table stand-in.
+/// The rows of the platform stand-in's table.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     rows: BTreeMap<String, Row>,
@@ -14,8 +14,8 @@
         }
     }
 
-    /// Judges every condition of a call before it carries the first write out,
-    /// as a table may: each operation must be on another row.
+    /// Evaluates the conditions of all operations before applying the first one, as a
+    /// real table may. Each operation of a batch must therefore be on a different row.
     pub(crate) fn write(&mut self, batch: TableBatch) -> TableResults {
         let condition_holds: Vec<bool> = batch
             .operations
