--- a/crates/operator/src/experiment.rs
+++ b/crates/operator/src/experiment.rs
@@ -1,96 +1,108 @@
 use super::*;
 
-/// Base of the patches that racing operators submit.
-const RACE_PATH: &str = "/trial/max_slot_share";
+/// JSON pointer to the value that the patches of racing operators replace.
+const RACE_PATCH_PATH: &str = "/trial/max_slot_share";
 
-/// Pause before a caller sends a request again with the same key.
-const RESEND_AFTER: Duration = Duration::from_millis(300);
+/// Delay between a response and the resending of its request with the same
+/// idempotency key.
+const RESEND_DELAY: Duration = Duration::from_millis(300);
 
-/// Progress bar of a run.
-const BAR: &str = "{bar:40} {pos}/{len} requests, {elapsed}";
+/// Template of the progress bar.
+const PROGRESS_TEMPLATE: &str = "{bar:40} {pos}/{len} requests, {elapsed}";
 
-/// The result of one run of a scenario.
+/// The observations from one run of a scenario.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Experiment {
-    /// What callers saw.
+    /// What callers received, one record per request sent.
     pub records: Vec<Record>,
-    /// What upstreams ran.
+    /// Runs of requests on the upstreams.
     pub runs: Vec<Run>,
-    /// Versions of the configuration that each host was seen to have in force.
+    /// For each host, the configuration versions in force at the observed moments,
+    /// in order of time.
     pub versions: Vec<Vec<ConfigVersion>>,
-    /// When each upstream was asked to leave.
+    /// When each upstream was asked to leave and to stay.
     pub leaving: BTreeMap<UpstreamId, LeavingSpan>,
 }
 
-/// Runs a scenario at a multiple of its load, on a fleet of its own.
+/// Starts a fleet and runs a scenario on it, with all arrival rates multiplied by
+/// `load`.
 pub async fn run_experiment(
     scenario: &Scenario,
     load: f64,
-    show: bool,
+    show_progress: bool,
 ) -> eyre::Result<Experiment> {
     let scenario = Arc::new(scenario.clone());
     let fleet = Fleet::start(&scenario).await?;
     let planned = plan_requests(&scenario, load)?;
-    let bar = if show {
-        ProgressBar::new(planned.len() as u64).with_style(ProgressStyle::with_template(BAR)?)
+    let bar = if show_progress {
+        ProgressBar::new(planned.len() as u64)
+            .with_style(ProgressStyle::with_template(PROGRESS_TEMPLATE)?)
     } else {
         ProgressBar::hidden()
     };
-    let (addresses, balancer) = watch::channel(fleet.caller_addresses());
+    let (addresses, ready_addresses) = watch::channel(fleet.caller_addresses());
     let start = Instant::now();
     let caller = Caller {
         client: HttpClient::default(),
         scenario: Arc::clone(&scenario),
         start,
     };
-    let mut watched = Watched {
+    let mut observed = ObservedFleet {
         fleet,
         leaving: BTreeMap::new(),
         versions: vec![Vec::new(); scenario.fleet.hosts],
     };
-    let load = send_all(caller, planned, balancer, bar.clone());
-    let mut load = tokio::spawn(load);
-    let faults = watched.run_faults(&scenario, start, &addresses);
+    let sending = send_all(caller, planned, ready_addresses, bar.clone());
+    let mut sending = tokio::spawn(sending);
+    let faults = observed.run_faults(&scenario, start, &addresses);
     let records = tokio::select! {
-        records = &mut load => records?,
-        done = faults => {
-            done?;
-            load.await?
+        records = &mut sending => records?,
+        result = faults => {
+            result?;
+            sending.await?
         }
     };
     bar.finish_and_clear();
-    watched.note_versions();
-    let runs = watched.fleet.log.runs();
-    watched.fleet.stop().await?;
+    observed.record_versions();
+    let runs = observed.fleet.log.runs();
+    observed.fleet.stop().await?;
     Ok(Experiment {
         records,
         runs,
-        versions: watched.versions,
-        leaving: watched.leaving,
+        versions: observed.versions,
+        leaving: observed.leaving,
     })
 }
 
 async fn send_all(
     caller: Caller,
     planned: Vec<PlannedRequest>,
-    balancer: watch::Receiver<Vec<SocketAddr>>,
+    ready_addresses: watch::Receiver<Vec<SocketAddr>>,
     bar: ProgressBar,
 ) -> Vec<Record> {
     let mut calls = JoinSet::new();
     for (number, request) in planned.into_iter().enumerate() {
         sleep_until(caller.start + request.at).await;
         let caller = caller.clone();
-        let balancer = balancer.clone();
+        let ready_addresses = ready_addresses.clone();
         let bar = bar.clone();
         calls.spawn(async move {
-            let mut records = vec![caller.call(pick(&balancer, number), &request).await];
+            let mut records = vec![
+                caller
+                    .call(pick_address(&ready_addresses, number), &request)
+                    .await,
+            ];
             if request.resend {
-                sleep(RESEND_AFTER).await;
-                let again = PlannedRequest {
+                sleep(RESEND_DELAY).await;
+                let resent = PlannedRequest {
                     at: caller.start.elapsed(),
                     ..request
                 };
-                records.push(caller.call(pick(&balancer, number + 1), &again).await);
+                records.push(
+                    caller
+                        .call(pick_address(&ready_addresses, number + 1), &resent)
+                        .await,
+                );
             }
             bar.inc(1);
             records
@@ -103,20 +115,20 @@
     records
 }
 
-/// The balancer: requests go to the ready hosts in turn.
-fn pick(balancer: &watch::Receiver<Vec<SocketAddr>>, number: usize) -> SocketAddr {
-    let addresses = balancer.borrow();
+/// Picks a host round-robin among the ready hosts, as a load balancer does.
+fn pick_address(ready_addresses: &watch::Receiver<Vec<SocketAddr>>, number: usize) -> SocketAddr {
+    let addresses = ready_addresses.borrow();
     addresses[number % addresses.len()]
 }
 
-/// A fleet under faults, and what was seen of it.
-struct Watched {
+/// A fleet to which faults are applied, with the observations made on the way.
+struct ObservedFleet {
     fleet: Fleet,
     leaving: BTreeMap<UpstreamId, LeavingSpan>,
     versions: Vec<Vec<ConfigVersion>>,
 }
 
-impl Watched {
+impl ObservedFleet {
     async fn run_faults(
         &mut self,
         scenario: &Scenario,
@@ -129,15 +141,15 @@
             steps.push((fault.at_s + fault.for_s, &fault.kind, false));
         }
         steps.sort_by(|a, b| a.0.total_cmp(&b.0));
-        for (at_s, kind, on) in steps {
+        for (at_s, kind, active) in steps {
             sleep_until(start + Duration::from_secs_f64(at_s)).await;
-            self.note_versions();
-            self.switch(scenario, kind, on, addresses).await?;
+            self.record_versions();
+            self.apply_fault(scenario, kind, active, addresses).await?;
         }
         Ok(())
     }
 
-    fn note_versions(&mut self) {
+    fn record_versions(&mut self) {
         for (seen, host) in self.versions.iter_mut().zip(&self.fleet.hosts) {
             if let Some(version) = host.as_ref().and_then(|host| host.status().version) {
                 seen.push(version);
@@ -145,11 +157,11 @@
         }
     }
 
-    async fn switch(
+    async fn apply_fault(
         &mut self,
         scenario: &Scenario,
         kind: &FaultKind,
-        on: bool,
+        active: bool,
         addresses: &watch::Sender<Vec<SocketAddr>>,
     ) -> eyre::Result<()> {
         match kind {
@@ -157,53 +169,56 @@
                 after_events,
                 upstream,
             } => {
-                let break_after_events = on.then_some(*after_events);
-                self.engine_faults(upstream, |faults| {
+                let break_after_events = active.then_some(*after_events);
+                self.set_engine_faults(upstream, |faults| {
                     faults.break_after_events = break_after_events;
                 })
             }
             FaultKind::EngineCrash { upstream } => {
-                self.engine_faults(upstream, |faults| faults.crashed = on)
+                self.set_engine_faults(upstream, |faults| faults.crashed = active)
             }
             FaultKind::EngineLeaves { upstream } => {
-                self.list_upstream(upstream, on);
+                self.set_upstream_leaving(upstream, active);
                 Ok(())
             }
             FaultKind::EngineSlow { factor, upstream } => {
-                let slow_factor = if on { *factor } else { 1.0 };
-                self.engine_faults(upstream, |faults| faults.slow_factor = slow_factor)
+                let slow_factor = if active { *factor } else { 1.0 };
+                self.set_engine_faults(upstream, |faults| faults.slow_factor = slow_factor)
             }
-            FaultKind::HostReplaced { host } if on => {
+            FaultKind::HostReplaced { host } if active => {
                 self.replace_host(scenario, *host, addresses).await
             }
-            FaultKind::OperatorsRace { operators } if on => self.race(*operators).await,
+            FaultKind::OperatorsRace { operators } if active => {
+                self.race_operators(*operators).await
+            }
             FaultKind::HostReplaced { .. } | FaultKind::OperatorsRace { .. } => Ok(()),
             FaultKind::ServiceResets { upstream } => {
                 let service = self.fleet.services.get(upstream);
-                let service = service.ok_or_else(|| eyre!("no replica {upstream}"))?;
+                let service =
+                    service.ok_or_else(|| eyre!("fleet has no service replica {upstream}"))?;
                 service.set_faults(ServiceFaults {
-                    reset_after_run: on,
+                    reset_after_run: active,
                     ..ServiceFaults::default()
                 });
                 Ok(())
             }
             FaultKind::StoreDown => {
-                self.platform_faults(PlatformFaults {
-                    down: on,
+                self.set_platform_faults(PlatformFaults {
+                    down: active,
                     ..PlatformFaults::default()
                 });
                 Ok(())
             }
             FaultKind::StoreLosesAnswers { answers } => {
-                self.platform_faults(PlatformFaults {
-                    lose_answers: if on { *answers } else { 0 },
+                self.set_platform_faults(PlatformFaults {
+                    lose_answers: if active { *answers } else { 0 },
                     ..PlatformFaults::default()
                 });
                 Ok(())
             }
             FaultKind::StoreSlow { delay_ms } => {
-                self.platform_faults(PlatformFaults {
-                    delay_ms: if on { *delay_ms } else { 0 },
+                self.set_platform_faults(PlatformFaults {
+                    delay_ms: if active { *delay_ms } else { 0 },
                     ..PlatformFaults::default()
                 });
                 Ok(())
@@ -211,24 +226,24 @@
         }
     }
 
-    fn engine_faults(
+    fn set_engine_faults(
         &self,
         upstream: &UpstreamId,
         edit: impl FnOnce(&mut EngineFaults),
     ) -> eyre::Result<()> {
         let engine = self.fleet.engines.get(upstream);
-        let engine = engine.ok_or_else(|| eyre!("no engine {upstream}"))?;
+        let engine = engine.ok_or_else(|| eyre!("fleet has no engine {upstream}"))?;
         let mut faults = EngineFaults::default();
         edit(&mut faults);
         engine.set_faults(faults);
         Ok(())
     }
 
-    fn platform_faults(&self, faults: PlatformFaults) {
+    fn set_platform_faults(&self, faults: PlatformFaults) {
         self.fleet.platform.set_faults(faults);
     }
 
-    fn list_upstream(&mut self, upstream: &UpstreamId, leaving: bool) {
+    fn set_upstream_leaving(&mut self, upstream: &UpstreamId, leaving: bool) {
         let now_ms = self.fleet.log.now_ms();
         let state = if leaving {
             let span = LeavingSpan {
@@ -246,8 +261,8 @@
         self.fleet.platform.list_upstream(upstream.clone(), state);
     }
 
-    /// Drains a host, as the balancer sees it, and starts another in its
-    /// place.
+    /// Starts a replacement for a host, sends new requests to the replacement, then
+    /// drains and stops the old host.
     async fn replace_host(
         &mut self,
         scenario: &Scenario,
@@ -255,7 +270,7 @@
         addresses: &watch::Sender<Vec<SocketAddr>>,
     ) -> eyre::Result<()> {
         let old = self.fleet.hosts.get_mut(number).and_then(Option::take);
-        let old = old.ok_or_else(|| eyre!("no host {number}"))?;
+        let old = old.ok_or_else(|| eyre!("fleet has no running host with number {number}"))?;
         let new = self.fleet.start_host(scenario, number).await?;
         self.fleet.hosts[number] = Some(new);
         self.fleet.list_hosts();
@@ -264,8 +279,9 @@
         Ok(())
     }
 
-    /// Several operators submit patches against one version; one is accepted.
-    async fn race(&self, operators: u32) -> eyre::Result<()> {
+    /// Submits several patches against the same version concurrently and fails
+    /// unless exactly one is accepted.
+    async fn race_operators(&self, operators: u32) -> eyre::Result<()> {
         let store = self.fleet.store();
         let base = store.newest_version().await?;
         let share = self.fleet.hosts.len() as f64;
@@ -274,7 +290,7 @@
             async move {
                 let value = (f64::from(number) + 1.0) / (f64::from(operators) + share);
                 let operations = serde_json::from_value(
-                    json!([{"op": "replace", "path": RACE_PATH, "value": value}]),
+                    json!([{"op": "replace", "path": RACE_PATCH_PATH, "value": value}]),
                 )?;
                 let patch = config::Patch {
                     author: format!("operator-{number}"),
--- a/crates/operator/src/http_client.rs
+++ b/crates/operator/src/http_client.rs
@@ -1,25 +1,26 @@
 use super::*;
 
-/// Idle connections kept for each address.
-const MAX_IDLE: usize = 256;
+/// Maximum number of idle connections kept for each address.
+const MAX_IDLE_PER_ADDRESS: usize = 256;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// A plain HTTP client with kept connections.
+/// An HTTP/1.1 client that reuses idle connections.
 #[derive(Clone, Debug, Default)]
 pub struct HttpClient {
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<Sender>>>>,
 }
 
 impl HttpClient {
-    /// Sends a request; the connection comes back with the answer.
+    /// Sends a request. Returns the response with its connection, which the caller
+    /// can give to [`Self::return_idle`] after the body has been read.
     pub async fn send(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> eyre::Result<(Response<Incoming>, SendRequest<Full<Bytes>>)> {
         let mut request = request;
-        while let Some(mut sender) = self.take(address) {
+        while let Some(mut sender) = self.take_idle(address) {
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, sender)),
                 Err(mut error) => match error.take_message() {
@@ -33,13 +34,13 @@
             .wrap_err_with(|| format!("cannot connect to {address}"))?;
         stream.set_nodelay(true)?;
         let (mut sender, connection) = handshake(TokioIo::new(stream)).await?;
-        // Ends by itself when the sender is dropped or the far side closes.
+        // The task ends when the sender is dropped or the peer closes the connection.
         tokio::spawn(connection);
         let response = sender.send_request(request).await?;
         Ok((response, sender))
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     pub async fn exchange(
         &self,
         address: SocketAddr,
@@ -48,11 +49,11 @@
         let (response, sender) = self.send(address, request).await?;
         let status = response.status();
         let body = response.into_body().collect().await?.to_bytes();
-        self.keep(address, sender);
+        self.return_idle(address, sender);
         Ok((status, body))
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Sender> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let senders = idle.get_mut(&address)?;
         while let Some(sender) = senders.pop() {
@@ -63,11 +64,12 @@
         None
     }
 
-    /// Keeps a connection whose answer has been read to its end.
-    pub fn keep(&self, address: SocketAddr, sender: SendRequest<Full<Bytes>>) {
+    /// Makes a connection available for reuse. The previous response must have been
+    /// read to its end.
+    pub fn return_idle(&self, address: SocketAddr, sender: SendRequest<Full<Bytes>>) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let senders = idle.entry(address).or_default();
-        if senders.len() < MAX_IDLE {
+        if senders.len() < MAX_IDLE_PER_ADDRESS {
             senders.push(sender);
         }
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for what rhubarbcove meets outside: model engines, plain
-//! services and the platform. Each has faults that a test or an experiment
-//! switches, in process or by `POST /standin/faults`.
+//! Small stand-ins for the systems that rhubarbcove connects to: model engines,
+//! plain services and the platform. Tests and experiments inject faults into a
+//! stand-in, either in the same process or with `POST /standin/faults`.
 
 use {
     bytes::Bytes,
@@ -53,7 +53,7 @@
 mod platform_faults;
 mod platform_standin;
 mod prefix_cache;
-mod reader;
+mod reader_guard;
 mod run;
 mod run_log;
 mod server;
@@ -69,12 +69,15 @@
 };
 
 use {
-    batch::{Batch, Place},
+    batch::{Batch, BatchSlot},
     cursor::Cursor,
     engine_request::EngineRequest,
     generation::Generation,
-    http::{Answer, Body, Broken, answer_json, empty, full, lock, read_body, read_json},
+    http::{
+        Body, ConnectionCut, HandlerResult, empty_response, full_body, json_response, lock,
+        read_body, read_json,
+    },
     prefix_cache::PrefixCache,
-    reader::Reader,
+    reader_guard::ReaderGuard,
     table::Table,
 };
--- a/crates/standin/src/platform_standin.rs
+++ b/crates/standin/src/platform_standin.rs
@@ -10,35 +10,35 @@
     writes: Mutex<u64>,
 }
 
-/// A stand-in for the platform: its table, object store and host list.
+/// A stand-in for the platform, with its table, object store and host list.
 pub struct PlatformStandin {
     server: Server,
     state: Arc<PlatformState>,
 }
 
 impl PlatformStandin {
-    /// Starts an empty platform.
+    /// Starts a platform without any data.
     pub async fn start(address: SocketAddr) -> io::Result<Self> {
         let state = Arc::new(PlatformState::default());
-        let served = Arc::clone(&state);
-        let handler = move |request| -> BoxFuture<'static, Answer> {
-            Box::pin(handle(Arc::clone(&served), request))
+        let handler_state = Arc::clone(&state);
+        let handler = move |request| -> BoxFuture<'static, HandlerResult> {
+            Box::pin(handle(Arc::clone(&handler_state), request))
         };
         let server = Server::start(address, handler).await?;
         Ok(Self { server, state })
     }
 
-    /// Where it listens.
+    /// The address that the platform listens on.
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Sets its faults.
+    /// Replaces the faults of the platform.
     pub fn set_faults(&self, faults: PlatformFaults) {
         *lock(&self.state.faults) = faults;
     }
 
-    /// Sets the hosts of its list.
+    /// Replaces the hosts of the host list.
     pub fn set_hosts(&self, hosts: Vec<ListedHost>) {
         lock(&self.state.hosts).hosts = hosts;
     }
@@ -50,29 +50,29 @@
         hosts.upstreams.push(ListedUpstream { state, upstream });
     }
 
-    /// Write calls that were carried out.
+    /// Number of write calls to the table that were carried out.
     pub fn writes(&self) -> u64 {
         *lock(&self.state.writes)
     }
 
-    /// Read calls that were carried out.
+    /// Number of read calls to the table that were carried out.
     pub fn reads(&self) -> u64 {
         *lock(&self.state.reads)
     }
 
-    /// Ends it at once.
+    /// Stops the platform at once and closes its connections.
     pub async fn stop(self) {
         self.server.stop().await;
     }
 }
 
-async fn handle(state: Arc<PlatformState>, request: Request<Incoming>) -> Answer {
+async fn handle(state: Arc<PlatformState>, request: Request<Incoming>) -> HandlerResult {
     let path = request.uri().path().to_string();
     if path == "/standin/faults" {
         return Ok(match read_json(request).await {
             Ok(faults) => {
                 *lock(&state.faults) = faults;
-                empty(StatusCode::OK)
+                empty_response(StatusCode::OK)
             }
             Err(response) => response,
         });
@@ -80,42 +80,42 @@
     let faults = lock(&state.faults).clone();
     sleep(Duration::from_millis(faults.delay_ms)).await;
     if faults.down {
-        return Ok(empty(StatusCode::SERVICE_UNAVAILABLE));
+        return Ok(empty_response(StatusCode::SERVICE_UNAVAILABLE));
     }
     match (request.method(), path.as_str()) {
-        (&Method::GET, "/hosts") => Ok(hosts(&state, &request)),
+        (&Method::GET, "/hosts") => Ok(hosts_response(&state, &request)),
         (&Method::POST, "/standin/hosts") => Ok(match read_json(request).await {
             Ok(hosts) => {
                 *lock(&state.hosts) = hosts;
-                empty(StatusCode::OK)
+                empty_response(StatusCode::OK)
             }
             Err(response) => response,
         }),
         (&Method::POST, "/table/read") => Ok(match read_json::<TableRead>(request).await {
             Ok(read) => {
                 *lock(&state.reads) += 1;
-                answer_json(&lock(&state.table).read(&read))
+                json_response(&lock(&state.table).read(&read))
             }
             Err(response) => response,
         }),
-        (&Method::POST, "/table/write") => write(&state, request).await,
+        (&Method::POST, "/table/write") => write_table(&state, request).await,
         (&Method::PUT, path) if path.starts_with("/objects/") => {
             let body = read_body(request).await?;
             lock(&state.objects).insert(path.to_string(), body);
-            Ok(empty(StatusCode::OK))
+            Ok(empty_response(StatusCode::OK))
         }
         (&Method::GET, path) if path.starts_with("/objects/") => {
             Ok(match lock(&state.objects).get(path) {
-                Some(body) => Response::new(full(body.clone())),
-                None => empty(StatusCode::NOT_FOUND),
+                Some(body) => Response::new(full_body(body.clone())),
+                None => empty_response(StatusCode::NOT_FOUND),
             })
         }
-        _ => Ok(empty(StatusCode::NOT_FOUND)),
+        _ => Ok(empty_response(StatusCode::NOT_FOUND)),
     }
 }
 
-fn hosts(state: &PlatformState, request: &Request<Incoming>) -> Response<Body> {
-    let mut response = answer_json(&*lock(&state.hosts));
+fn hosts_response(state: &PlatformState, request: &Request<Incoming>) -> Response<Body> {
+    let mut response = json_response(&*lock(&state.hosts));
     let list = serde_json::to_string(&*lock(&state.hosts)).unwrap_or_default();
     let tag = Fingerprint::of_request("", "", list.as_bytes()).to_string();
     if request
@@ -123,7 +123,7 @@
         .get("if-none-match")
         .is_some_and(|known| *known == *tag)
     {
-        return empty(StatusCode::NOT_MODIFIED);
+        return empty_response(StatusCode::NOT_MODIFIED);
     }
     if let Ok(tag) = hyper::header::HeaderValue::from_str(&tag) {
         response.headers_mut().insert("etag", tag);
@@ -131,23 +131,26 @@
     response
 }
 
-async fn write(state: &PlatformState, request: Request<Incoming>) -> Answer {
+async fn write_table(state: &PlatformState, request: Request<Incoming>) -> HandlerResult {
     let batch: TableBatch = match read_json(request).await {
         Ok(batch) => batch,
         Err(response) => return Ok(response),
     };
-    if take_one(&state.faults, |faults| &mut faults.lose_writes) {
-        return Err(Broken);
+    if consume_one(&state.faults, |faults| &mut faults.lose_writes) {
+        return Err(ConnectionCut);
     }
     let results = lock(&state.table).write(batch);
     *lock(&state.writes) += 1;
-    if take_one(&state.faults, |faults| &mut faults.lose_answers) {
-        return Err(Broken);
+    if consume_one(&state.faults, |faults| &mut faults.lose_answers) {
+        return Err(ConnectionCut);
     }
-    Ok(answer_json(&results))
+    Ok(json_response(&results))
 }
 
-fn take_one(faults: &Mutex<PlatformFaults>, counter: fn(&mut PlatformFaults) -> &mut u32) -> bool {
+fn consume_one(
+    faults: &Mutex<PlatformFaults>,
+    counter: fn(&mut PlatformFaults) -> &mut u32,
+) -> bool {
     let mut faults = lock(faults);
     let counter = counter(&mut faults);
     let any = *counter > 0;
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -6,7 +6,8 @@
     name: String,
 }
 
-/// A stand-in for a plain service: it counts every run by the tag in the body.
+/// A stand-in for a plain service, which logs every run with the tag in the request
+/// body.
 pub struct ServiceStandin {
     server: Server,
     state: Arc<ServiceState>,
@@ -19,56 +20,56 @@
 }
 
 impl ServiceStandin {
-    /// Starts a service; `name` is what the run log calls it.
+    /// Starts a service. `name` is its name in the run log.
     pub async fn start(address: SocketAddr, name: &str, log: RunLog) -> io::Result<Self> {
         let state = Arc::new(ServiceState {
             faults: Mutex::default(),
             log,
             name: name.to_string(),
         });
-        let served = Arc::clone(&state);
-        let handler = move |request| -> BoxFuture<'static, Answer> {
-            Box::pin(handle(Arc::clone(&served), request))
+        let handler_state = Arc::clone(&state);
+        let handler = move |request| -> BoxFuture<'static, HandlerResult> {
+            Box::pin(handle(Arc::clone(&handler_state), request))
         };
         let server = Server::start(address, handler).await?;
         Ok(Self { server, state })
     }
 
-    /// Where it listens.
+    /// The address that the service listens on.
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Sets its faults.
+    /// Replaces the faults of the service.
     pub fn set_faults(&self, faults: ServiceFaults) {
         *lock(&self.state.faults) = faults;
     }
 
-    /// Ends it at once.
+    /// Stops the service at once and closes its connections.
     pub async fn stop(self) {
         self.server.stop().await;
     }
 }
 
-async fn handle(state: Arc<ServiceState>, request: Request<Incoming>) -> Answer {
+async fn handle(state: Arc<ServiceState>, request: Request<Incoming>) -> HandlerResult {
     match request.uri().path() {
-        "/health" => return Ok(empty(StatusCode::OK)),
-        "/standin/runs" => return Ok(answer_json(&state.log.runs())),
+        "/health" => return Ok(empty_response(StatusCode::OK)),
+        "/standin/runs" => return Ok(json_response(&state.log.runs())),
         "/standin/faults" => {
             return Ok(match read_json(request).await {
                 Ok(faults) => {
                     *lock(&state.faults) = faults;
-                    empty(StatusCode::OK)
+                    empty_response(StatusCode::OK)
                 }
                 Err(response) => response,
             });
         }
         _ => {}
     }
-    run(&state, request).await
+    run_request(&state, request).await
 }
 
-async fn run(state: &ServiceState, request: Request<Incoming>) -> Answer {
+async fn run_request(state: &ServiceState, request: Request<Incoming>) -> HandlerResult {
     let faults = lock(&state.faults).clone();
     let attempt = request
         .headers()
@@ -78,10 +79,10 @@
     let body = read_body(request).await?;
     let wanted: ServiceRequest = serde_json::from_slice(&body).unwrap_or_default();
     if faults.reset_before_run {
-        return Err(Broken);
+        return Err(ConnectionCut);
     }
     if faults.refuse {
-        let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
+        let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
         response.headers_mut().insert(
             NOT_RUN_HEADER,
             hyper::header::HeaderValue::from_static("true"),
@@ -95,19 +96,19 @@
     state.log.add_tokens(run, 1);
     state.log.finish(run);
     if faults.reset_after_run {
-        return Err(Broken);
+        return Err(ConnectionCut);
     }
-    Ok(answer(&wanted.tag, &faults))
+    Ok(response(&wanted.tag, &faults))
 }
 
-fn answer(tag: &str, faults: &ServiceFaults) -> Response<Body> {
+fn response(tag: &str, faults: &ServiceFaults) -> Response<Body> {
     let text = json!({"done": true, "tag": tag}).to_string();
     if faults.half_answer {
         let half = Bytes::from(text[..text.len() / 2].to_string());
-        let frames = stream::iter([Ok(Frame::data(half)), Err(Broken)]);
+        let frames = stream::iter([Ok(Frame::data(half)), Err(ConnectionCut)]);
         return Response::new(StreamBody::new(frames).boxed_unsync());
     }
-    let mut response = answer_json(&json!({"done": true, "tag": tag}));
+    let mut response = json_response(&json!({"done": true, "tag": tag}));
     if let Some(status) = faults
         .status
         .and_then(|code| StatusCode::from_u16(code).ok())
@@ -115,8 +116,8 @@
         *response.status_mut() = status;
     }
     if faults.close_after_answer {
-        // HTTP/1.0 has no kept connections, so the server closes; the client
-        // learns nothing by a header.
+        // HTTP/1.0 connections are not persistent by default, so the server closes the
+        // connection without announcing the close in a header.
         *response.version_mut() = hyper::Version::HTTP_10;
     }
     response
