--- a/crates/policy/tests/installation/brittle.rs
+++ b/crates/policy/tests/installation/brittle.rs
@@ -46,7 +46,7 @@
 fn become_brittle(world: &mut World, rejections_per_s: f64, load: f64) {
     let hosts = world.hosts.len();
     for replica in &mut world.replicas {
-        replica.brittle = Some(rejections_per_s);
+        replica.rejection_limit_per_s = Some(rejections_per_s);
     }
     world.pass(LEARNED, per_host_s(hosts, load));
     world.make_brittle(&World::all_replicas(), Some(rejections_per_s));
@@ -111,7 +111,7 @@
 fn replicas_that_are_not_brittle_are_used_beyond_a_hosts_part() {
     let mut world = before(8, 3);
     for replica in &mut world.replicas[..6] {
-        replica.brittle = Some(2.0);
+        replica.rejection_limit_per_s = Some(2.0);
     }
     world.pass(LEARNED, per_host_s(8, 0.5));
     world.make_brittle(&(0..6).collect::<Vec<_>>(), Some(2.0));
--- a/crates/policy/tests/installation/newer_configuration.rs
+++ b/crates/policy/tests/installation/newer_configuration.rs
@@ -13,10 +13,10 @@
 };
 
 /// Hosts that one host hands the configuration to at one time.
-const MAX_LENT: usize = 4;
+const MAX_TRANSFERS_PER_HOST: usize = 4;
 
 /// Time for handing 0.13 MB over a link of 10 Mbit/s, and for unpacking it on 0.12 of a core.
-const HANDING_MS: u64 = 250;
+const TRANSFER_MS: u64 = 250;
 
 fn advertised(from: usize, version: u64) -> Event {
     Event::VersionAdvertised {
@@ -29,14 +29,14 @@
     }
 }
 
-fn fetched(actions: &[Action]) -> Option<SocketAddr> {
+fn fetch_address(actions: &[Action]) -> Option<SocketAddr> {
     actions.iter().find_map(|action| match action {
         Action::FetchConfiguration { address, .. } => Some(*address),
         _ => None,
     })
 }
 
-fn ended(address: SocketAddr, end: FetchEnd) -> Event {
+fn fetch_ended(address: SocketAddr, end: FetchEnd) -> Event {
     Event::ConfigurationFetchEnded { address, end }
 }
 
@@ -49,24 +49,30 @@
 /// begins to send one, and another host has it already. Cause: other hosts are asked only
 /// once the store has sent nothing for 2.2 s.
 #[test]
-fn asks_another_host_once_the_store_begins_a_large_one() {
+fn fetches_from_another_host_once_the_store_announces_a_large_version() {
     let mut host = Host::new(0);
     assert_eq!(
-        fetched(&host.handle(advertised(3, 2))),
+        fetch_address(&host.handle(advertised(3, 2))),
         None,
         "the store brings it"
     );
     let actions = host.handle(Event::ConfigurationAnnounced);
-    assert_eq!(fetched(&actions), Some(address(3)));
+    assert_eq!(fetch_address(&actions), Some(address(3)));
 
     let mut host = Host::new(0);
-    assert_eq!(fetched(&host.handle(Event::ConfigurationAnnounced)), None);
     assert_eq!(
-        fetched(&host.handle(advertised(3, 1))),
+        fetch_address(&host.handle(Event::ConfigurationAnnounced)),
+        None
+    );
+    assert_eq!(
+        fetch_address(&host.handle(advertised(3, 1))),
         None,
         "it has this one"
     );
-    assert_eq!(fetched(&host.handle(advertised(3, 2))), Some(address(3)));
+    assert_eq!(
+        fetch_address(&host.handle(advertised(3, 2))),
+        Some(address(3))
+    );
 }
 
 /// Symptom: a change is in force two seconds later on most hosts of a large domain, or each
@@ -74,18 +80,25 @@
 /// store tells of a newer version. Cause: the store is expected to bring it, which this
 /// host does not ask.
 #[test]
-fn fetches_at_once_what_the_host_has_that_it_asks_in_place_of_the_store() {
-    let elsewhere = |version| Event::NewerConfigurationAtPeer {
+fn fetches_at_once_a_newer_version_of_the_host_that_stands_in_for_the_store() {
+    let newer_at_peer = |version| Event::NewerConfigurationAtPeer {
         from: address(3),
         version: ConfigVersion::new(version),
     };
     let mut host = Host::new(0);
-    assert_eq!(fetched(&host.handle(elsewhere(2))), Some(address(3)));
+    assert_eq!(
+        fetch_address(&host.handle(newer_at_peer(2))),
+        Some(address(3))
+    );
 
     let mut host = Host::new(0);
-    assert_eq!(fetched(&host.handle(elsewhere(1))), None, "it has this one");
     assert_eq!(
-        fetched(&host.handle(advertised(4, 2))),
+        fetch_address(&host.handle(newer_at_peer(1))),
+        None,
+        "it has this one"
+    );
+    assert_eq!(
+        fetch_address(&host.handle(advertised(4, 2))),
         None,
         "an older word says nothing of what comes next"
     );
@@ -95,13 +108,13 @@
 /// Events: a host that all have learned of is asked by all of them. Cause: the host that was
 /// learned of first is asked, again and again.
 #[test]
-fn asks_hosts_in_an_order_of_its_own_and_a_busy_one_later() {
+fn asks_hosts_in_random_order_and_a_busy_one_again_later() {
     let first = |seed| {
         let mut host = Host::new(seed);
         for from in [2, 3, 4, 5] {
             host.handle(advertised(from, 2));
         }
-        fetched(&host.handle(Event::ConfigurationAnnounced)).unwrap()
+        fetch_address(&host.handle(Event::ConfigurationAnnounced)).unwrap()
     };
     let asked: BTreeSet<SocketAddr> = (0..40).map(first).collect();
     assert_eq!(asked.len(), 4, "all are asked");
@@ -109,30 +122,36 @@
     let mut host = Host::new(0);
     host.handle(advertised(2, 2));
     host.handle(advertised(3, 2));
-    let one = fetched(&host.handle(Event::ConfigurationAnnounced)).unwrap();
-    let other = fetched(&host.handle(ended(one, FetchEnd::Busy))).unwrap();
-    assert_ne!(one, other);
-    assert_eq!(fetched(&host.handle(ended(other, FetchEnd::Busy))), None);
+    let first = fetch_address(&host.handle(Event::ConfigurationAnnounced)).unwrap();
+    let second = fetch_address(&host.handle(fetch_ended(first, FetchEnd::Busy))).unwrap();
+    assert_ne!(first, second);
+    assert_eq!(
+        fetch_address(&host.handle(fetch_ended(second, FetchEnd::Busy))),
+        None
+    );
     host.actions.clear();
     host.pass(150);
-    assert!(fetched(&host.actions).is_some(), "a busy one is soon free");
+    assert!(
+        fetch_address(&host.actions).is_some(),
+        "a busy one is soon free"
+    );
 }
 
 /// Symptom: the same document is handed over twice. Events: it has arrived, and is being
 /// unpacked and read. Cause: the end of a fetch is taken for the end of the need.
 #[test]
-fn asks_no_other_host_while_one_is_being_taken() {
+fn does_not_fetch_again_while_a_received_version_is_being_read() {
     let mut host = Host::new(0);
     host.handle(advertised(2, 2));
     host.handle(advertised(3, 2));
-    let one = fetched(&host.handle(Event::ConfigurationAnnounced)).unwrap();
+    let first = fetch_address(&host.handle(Event::ConfigurationAnnounced)).unwrap();
     host.actions.clear();
-    host.handle(ended(one, FetchEnd::Received));
+    host.handle(fetch_ended(first, FetchEnd::Received));
     host.pass(500);
-    assert_eq!(fetched(&host.actions), None);
+    assert_eq!(fetch_address(&host.actions), None);
     host.read_version(2);
     host.pass(1_000);
-    assert_eq!(fetched(&host.actions), None);
+    assert_eq!(fetch_address(&host.actions), None);
 }
 
 /// Symptom: a large answer of the store makes a host ask others although nothing is new.
@@ -143,14 +162,14 @@
     let mut host = Host::new(0);
     host.handle(Event::ConfigurationAnnounced);
     confirm(&mut host);
-    assert_eq!(fetched(&host.handle(advertised(3, 2))), None);
+    assert_eq!(fetch_address(&host.handle(advertised(3, 2))), None);
 }
 
 /// Symptom: callers without a key are served by a version that was replaced seconds ago.
 /// Events: a host learns of a newer version and does not get it. Cause: only keys are
 /// refused when the configuration may be outdated.
 #[test]
-fn answers_nobody_by_a_version_that_it_knows_to_be_outdated_for_long() {
+fn refuses_requests_once_its_version_has_been_outdated_for_too_long() {
     let mut host = Host::new(0);
     host.handle(advertised(3, 2));
     host.pass(APPLY_LIMIT.as_millis() as u64 - 100);
@@ -179,7 +198,7 @@
 /// back. Events: one host has the new version, another has only learned of it. Cause: the
 /// version before decides what is denied.
 #[test]
-fn denies_no_key_that_a_newer_version_may_have_added() {
+fn does_not_reject_a_key_that_a_newer_version_may_have_added() {
     let mut host = Host::new(0);
     let ask = || Ask {
         key: "new-key",
@@ -194,7 +213,7 @@
 }
 
 #[test]
-fn tells_a_few_other_hosts_of_a_version_that_it_can_hand_over() {
+fn advertises_a_version_that_it_can_hand_over_to_a_few_hosts() {
     let mut host = Host::new(0);
     host.list_hosts(380);
     let actions = host.handle(Event::ConfigurationPacked(ConfigVersion::new(1)));
@@ -209,9 +228,9 @@
 /// Hosts that hand a configuration to each other; the store gives it to a few only.
 struct Fleet {
     /// Hosts that are being handed it: by whom, and until when.
-    handing: BTreeMap<usize, (usize, Time)>,
+    transfers: BTreeMap<usize, (usize, Time)>,
     /// How many each one has handed it to at one time, at the most.
-    most_lent: usize,
+    peak_transfers_per_host: usize,
     hosts: Vec<Host>,
 }
 
@@ -224,22 +243,22 @@
             host.actions.clear();
         }
         Self {
-            handing: BTreeMap::new(),
-            most_lent: 0,
+            transfers: BTreeMap::new(),
+            peak_transfers_per_host: 0,
             hosts,
         }
     }
 
-    fn take(&mut self, host: usize) {
+    fn install_version(&mut self, host: usize) {
         self.hosts[host].read_version(2);
         self.hosts[host].handle(Event::ConfigurationPacked(ConfigVersion::new(2)));
     }
 
-    fn has_it(&self, host: usize) -> bool {
+    fn has_new_version(&self, host: usize) -> bool {
         self.hosts[host].controller.version() == Some(ConfigVersion::new(2))
     }
 
-    fn number(&self, wanted: SocketAddr) -> usize {
+    fn number_of(&self, wanted: SocketAddr) -> usize {
         let mut numbers = 0..self.hosts.len();
         numbers.find(|number| address(*number) == wanted).unwrap()
     }
@@ -247,15 +266,17 @@
     fn step(&mut self) {
         for number in 0..self.hosts.len() {
             self.hosts[number].pass(10);
-            self.end_handing(number);
+            self.complete_transfer(number);
             for action in std::mem::take(&mut self.hosts[number].actions) {
                 match action {
-                    Action::FetchConfiguration { address: asked, .. } => self.ask(number, asked),
+                    Action::FetchConfiguration {
+                        address: source, ..
+                    } => self.request_transfer(number, source),
                     Action::SendVersionNote { note, to } => {
                         for to in to {
                             let from = address(number);
                             let note = note.clone();
-                            let to = self.number(to);
+                            let to = self.number_of(to);
                             self.hosts[to].handle(Event::VersionAdvertised { from, note });
                         }
                     }
@@ -265,27 +286,31 @@
         }
     }
 
-    fn ask(&mut self, asking: usize, from: SocketAddr) {
-        let asked = self.number(from);
-        let lent = self.handing.values().filter(|(by, _)| *by == asked).count();
-        if lent >= MAX_LENT {
-            self.hosts[asking].handle(ended(from, FetchEnd::Busy));
+    fn request_transfer(&mut self, requester: usize, from: SocketAddr) {
+        let source = self.number_of(from);
+        let active = self
+            .transfers
+            .values()
+            .filter(|(by, _)| *by == source)
+            .count();
+        if active >= MAX_TRANSFERS_PER_HOST {
+            self.hosts[requester].handle(fetch_ended(from, FetchEnd::Busy));
             return;
         }
-        self.most_lent = self.most_lent.max(lent + 1);
-        let until = self.hosts[asking].now.plus_ms(HANDING_MS);
-        self.handing.insert(asking, (asked, until));
+        self.peak_transfers_per_host = self.peak_transfers_per_host.max(active + 1);
+        let until = self.hosts[requester].now.plus_ms(TRANSFER_MS);
+        self.transfers.insert(requester, (source, until));
     }
 
-    fn end_handing(&mut self, asking: usize) {
-        let now = self.hosts[asking].now;
-        if let Some((asked, until)) = self.handing.get(&asking).copied()
+    fn complete_transfer(&mut self, requester: usize) {
+        let now = self.hosts[requester].now;
+        if let Some((source, until)) = self.transfers.get(&requester).copied()
             && until <= now
         {
-            self.handing.remove(&asking);
-            let from = address(asked);
-            self.hosts[asking].handle(ended(from, FetchEnd::Received));
-            self.take(asking);
+            self.transfers.remove(&requester);
+            let from = address(source);
+            self.hosts[requester].handle(fetch_ended(from, FetchEnd::Received));
+            self.install_version(requester);
         }
     }
 }
@@ -297,13 +322,13 @@
 fn a_version_reaches_380_hosts_from_three_of_them() {
     let mut fleet = Fleet::new(380);
     for host in [17, 120, 333] {
-        fleet.take(host);
+        fleet.install_version(host);
     }
     let mut passed_ms = 0;
-    while !(0..380).all(|host| fleet.has_it(host)) {
+    while !(0..380).all(|host| fleet.has_new_version(host)) {
         fleet.step();
         passed_ms += 10;
         assert!(passed_ms <= 2_500, "not everywhere after {passed_ms} ms");
     }
-    assert!(fleet.most_lent <= MAX_LENT);
+    assert!(fleet.peak_transfers_per_host <= MAX_TRANSFERS_PER_HOST);
 }
--- a/crates/policy/tests/installation/notices.rs
+++ b/crates/policy/tests/installation/notices.rs
@@ -15,7 +15,7 @@
 /// installations' strictest bound.
 const DRAIN_LIMIT: Duration = Duration::from_secs(2);
 
-fn says(host: &mut Host, upstream: &str, notice: UpstreamNotice) -> Vec<Action> {
+fn receive_notice(host: &mut Host, upstream: &str, notice: UpstreamNotice) -> Vec<Action> {
     let sent = host.now;
     host.handle(Event::NoticeAnswered {
         notice,
@@ -25,14 +25,14 @@
 }
 
 /// Lets time pass while the configuration is known to be the newest.
-fn pass_in_touch(host: &mut Host, ms: u64) {
+fn pass_with_confirmed_configuration(host: &mut Host, ms: u64) {
     host.pass(ms);
     let as_of = host.now;
     host.handle(Event::ConfigurationConfirmed { as_of });
 }
 
 /// How often some actions announce to others that upstreams leave.
-fn announced_leaving(actions: &[Action]) -> usize {
+fn count_leaving_announcements(actions: &[Action]) -> usize {
     let announced = actions.iter().filter(
         |action| matches!(action, Action::SendUpstreamNote { note, .. } if !note.leaving.is_empty()),
     );
@@ -58,7 +58,7 @@
     let end = host.now + span;
     let mut counts = BTreeMap::new();
     while host.now < end {
-        pass_in_touch(host, 20);
+        pass_with_confirmed_configuration(host, 20);
         let (request, actions) = host.ask(lookup());
         if let Some(order) = sent(&actions) {
             *counts.entry(order.upstream.to_string()).or_default() += 1;
@@ -70,10 +70,10 @@
 
 /// Guards against requests to an upstream that leaves, where only its answers tell.
 #[test]
-fn an_upstream_that_says_in_an_answer_that_it_leaves_gets_nothing_more() {
+fn an_upstream_that_announces_leaving_in_an_answer_gets_no_more_requests() {
     let mut host = Host::new(0);
     host.handle(Event::DirectoryLost);
-    says(&mut host, "shop-0", leaving());
+    receive_notice(&mut host, "shop-0", leaving());
     host.pass(DRAIN_LIMIT.as_millis() as u64);
     let counts = calls_by_upstream(&mut host, Duration::from_secs(10));
     assert_eq!(counts.get("shop-0"), None, "{counts:?}");
@@ -81,12 +81,12 @@
 
 /// Guards against an entry that lapses and returns, and so makes a leaving upstream a new one.
 #[test]
-fn an_upstream_goes_on_leaving_when_its_entry_returns() {
+fn a_leaving_upstream_stays_leaving_when_its_entry_returns() {
     let mut host = Host::new(0);
-    says(&mut host, "shop-0", leaving());
-    let mut without = upstreams();
-    without.remove(&"shop-0".parse().unwrap());
-    host.read_directory(without, &[]);
+    receive_notice(&mut host, "shop-0", leaving());
+    let mut others = upstreams();
+    others.remove(&"shop-0".parse().unwrap());
+    host.read_directory(others, &[]);
     host.pass(3_000);
     host.read_directory(upstreams(), &[]);
     let counts = calls_by_upstream(&mut host, Duration::from_secs(2));
@@ -95,7 +95,7 @@
 
 /// Guards against an older copy of the directory that takes a leaving back.
 #[test]
-fn an_upstream_that_was_listed_as_leaving_goes_on_leaving() {
+fn an_upstream_that_was_listed_as_leaving_stays_leaving() {
     let mut host = Host::new(0);
     host.read_directory(upstreams(), &["shop-0"]);
     host.read_directory(upstreams(), &[]);
@@ -104,14 +104,14 @@
 }
 
 #[test]
-fn a_word_that_comes_before_the_entry_counts() {
+fn a_notice_that_arrives_before_the_directory_entry_counts() {
     let mut host = Host::new(0);
-    let mut without = upstreams();
-    let late = without.remove(&"shop-0".parse().unwrap()).unwrap();
-    host.read_directory(without.clone(), &[]);
-    says(&mut host, "shop-0", leaving());
-    without.insert("shop-0".parse().unwrap(), late);
-    host.read_directory(without, &[]);
+    let mut others = upstreams();
+    let definition = others.remove(&"shop-0".parse().unwrap()).unwrap();
+    host.read_directory(others.clone(), &[]);
+    receive_notice(&mut host, "shop-0", leaving());
+    others.insert("shop-0".parse().unwrap(), definition);
+    host.read_directory(others, &[]);
     let counts = calls_by_upstream(&mut host, Duration::from_secs(2));
     assert_eq!(counts.get("shop-0"), None, "{counts:?}");
 }
@@ -119,23 +119,23 @@
 #[test]
 fn the_next_incarnation_of_a_leaving_upstream_gets_requests() {
     let mut host = Host::new(0);
-    says(&mut host, "shop-0", leaving());
-    let mut again = upstreams();
-    let definition = again.remove(&"shop-0".parse().unwrap()).unwrap();
+    receive_notice(&mut host, "shop-0", leaving());
+    let mut listed = upstreams();
+    let definition = listed.remove(&"shop-0".parse().unwrap()).unwrap();
     let next = "shop-0@2".parse::<UpstreamId>().unwrap();
-    again.insert(next, definition);
-    host.read_directory(again, &[]);
+    listed.insert(next, definition);
+    host.read_directory(listed, &[]);
     let counts = calls_by_upstream(&mut host, Duration::from_secs(2));
     assert!(counts.contains_key("shop-0@2"), "{counts:?}");
 }
 
 /// Guards against a repeated request that goes where only first attempts are kept away.
 #[test]
-fn repeated_requests_and_moved_streams_avoid_an_upstream_that_leaves() {
+fn retries_and_resumed_streams_avoid_a_leaving_upstream() {
     for number in 0..20 {
         let mut host = Host::new(number);
-        says(&mut host, "shop-0", leaving());
-        says(&mut host, "engine-0", leaving());
+        receive_notice(&mut host, "shop-0", leaving());
+        receive_notice(&mut host, "engine-0", leaving());
         let (request, actions) = host.ask(lookup());
         let first = sent(&actions).unwrap();
         let actions = host.fail(&first, request, FailureCause::Busy, Verdict::NotRun, false);
@@ -165,10 +165,10 @@
 
 /// Guards against a queued request that is sent by what was known when it came.
 #[test]
-fn a_request_that_waits_does_not_go_to_an_upstream_that_leaves_meanwhile() {
+fn a_queued_request_is_not_sent_to_an_upstream_that_starts_leaving() {
     let mut host = Host::new(0);
     for upstream in ["shop-1", "shop-2"] {
-        says(&mut host, upstream, leaving());
+        receive_notice(&mut host, upstream, leaving());
     }
     let orders: Vec<(SendOrder, RequestId)> = (0..6)
         .map(|_| {
@@ -178,7 +178,7 @@
         .collect();
     let (_, actions) = host.ask(lookup());
     assert_eq!(sent(&actions), None, "all slots are taken");
-    says(&mut host, "shop-0", leaving());
+    receive_notice(&mut host, "shop-0", leaving());
     let (order, request) = &orders[0];
     host.actions.clear();
     host.finish(order, *request);
@@ -188,11 +188,11 @@
 
 /// Guards against callers who wait until their deadline for upstreams that all leave.
 #[test]
-fn requests_are_refused_when_due_while_all_their_upstreams_leave() {
+fn requests_are_refused_at_their_first_token_target_while_all_upstreams_leave() {
     let mut host = Host::new(0);
     host.handle(Event::DirectoryLost);
     for upstream in ["shop-0", "shop-1", "shop-2"] {
-        says(&mut host, upstream, leaving());
+        receive_notice(&mut host, upstream, leaving());
     }
     let (_, actions) = host.ask(lookup());
     assert_eq!(sent(&actions), None);
@@ -209,10 +209,10 @@
 
 /// Guards against refusals where an upstream is listed a moment after the last one left.
 #[test]
-fn a_request_whose_upstreams_all_left_goes_to_one_that_is_listed_then() {
+fn a_queued_request_goes_to_an_upstream_that_is_listed_after_all_others_left() {
     let mut host = Host::new(0);
     for upstream in ["shop-0", "shop-1", "shop-2"] {
-        says(&mut host, upstream, leaving());
+        receive_notice(&mut host, upstream, leaving());
     }
     host.ask(lookup());
     host.pass(300);
@@ -226,38 +226,38 @@
 }
 
 #[test]
-fn other_hosts_are_notified_at_once_while_the_directory_is_away() {
+fn other_hosts_are_notified_at_once_while_the_directory_is_unavailable() {
     let mut host = Host::new(0);
     host.handle(Event::DirectoryLost);
-    let actions = says(&mut host, "shop-0", leaving());
-    let noted = actions.iter().find_map(|action| match action {
-        Action::NoteLeaving(noted) => Some(noted.clone()),
+    let actions = receive_notice(&mut host, "shop-0", leaving());
+    let notice = actions.iter().find_map(|action| match action {
+        Action::NoteLeaving(notice) => Some(notice.clone()),
         _ => None,
     });
-    assert_eq!(noted.unwrap().source, NoticeSource::Own);
+    assert_eq!(notice.unwrap().source, NoticeSource::Own);
     host.actions.clear();
     host.pass(10);
-    assert_eq!(announced_leaving(&host.actions), 1);
+    assert_eq!(count_leaving_announcements(&host.actions), 1);
     host.pass(2_000);
-    assert_eq!(announced_leaving(&host.actions), 3);
-    let actions = says(&mut host, "shop-0", leaving());
+    assert_eq!(count_leaving_announcements(&host.actions), 3);
+    let actions = receive_notice(&mut host, "shop-0", leaving());
     assert!(actions.is_empty(), "the same word is no news");
 }
 
 #[test]
-fn other_hosts_read_a_leaving_in_the_directory_where_it_lists_it() {
+fn other_hosts_are_not_notified_of_a_leaving_upstream_that_the_directory_lists() {
     let mut host = Host::new(0);
     host.actions.clear();
-    says(&mut host, "shop-0", leaving());
+    receive_notice(&mut host, "shop-0", leaving());
     host.pass(500);
     host.read_directory(upstreams(), &["shop-0"]);
     host.pass(3_000);
-    assert_eq!(announced_leaving(&host.actions), 0);
+    assert_eq!(count_leaving_announcements(&host.actions), 0);
 }
 
 /// Guards against hosts that each learn of a leaving by a request of their own.
 #[test]
-fn a_leaving_that_one_host_learns_of_binds_all() {
+fn a_leaving_notice_to_one_host_applies_to_all_hosts() {
     for hosts in [6, 66, 195] {
         let mut fleet = Fleet::new(hosts, 4, 1);
         for host in 0..hosts {
@@ -275,14 +275,14 @@
         let counts = fleet.of("lookup");
         assert_eq!(counts.refused, 0, "{hosts} hosts");
         // Two more times by the host that was notified first, and the usual notes.
-        let each = (fleet.datagrams - datagrams) as f64 / hosts as f64;
-        println!("{hosts} hosts: {each} datagrams each in 3 s");
+        let datagrams_per_host = (fleet.datagrams - datagrams) as f64 / hosts as f64;
+        println!("{hosts} hosts: {datagrams_per_host} datagrams each in 3 s");
     }
 }
 
 /// Guards against requests of hosts that another one's word does not reach.
 #[test]
-fn a_leaving_binds_each_host_that_was_notified_itself_though_datagrams_are_lost() {
+fn a_leaving_notice_applies_to_each_host_that_receives_it_though_datagrams_are_lost() {
     let mut fleet = Fleet::new(20, 4, 3);
     fleet.lost = 1.0;
     let load = [("lookup", 200.0)];
@@ -297,7 +297,7 @@
 #[test]
 fn an_upstream_that_asks_for_a_backoff_gets_nothing_until_its_end() {
     let mut host = Host::new(0);
-    says(&mut host, "shop-0", backoff(3_000));
+    receive_notice(&mut host, "shop-0", backoff(3_000));
     let counts = calls_by_upstream(&mut host, Duration::from_secs(3));
     assert_eq!(counts.get("shop-0"), None, "{counts:?}");
 }
@@ -306,21 +306,21 @@
 #[test]
 fn the_longest_backoff_counts() {
     let mut host = Host::new(0);
-    says(&mut host, "shop-0", backoff(3_000));
-    says(&mut host, "shop-0", backoff(1_000));
-    says(&mut host, "shop-0", UpstreamNotice::default());
+    receive_notice(&mut host, "shop-0", backoff(3_000));
+    receive_notice(&mut host, "shop-0", backoff(1_000));
+    receive_notice(&mut host, "shop-0", UpstreamNotice::default());
     let counts = calls_by_upstream(&mut host, Duration::from_secs(3));
     assert_eq!(counts.get("shop-0"), None, "{counts:?}");
 }
 
 /// Guards against an entry that lapses and returns, and so ends a backoff.
 #[test]
-fn a_backoff_outlives_an_entry_that_returns() {
+fn a_backoff_survives_a_directory_entry_that_lapses_and_returns() {
     let mut host = Host::new(0);
-    says(&mut host, "shop-0", backoff(3_000));
-    let mut without = upstreams();
-    without.remove(&"shop-0".parse().unwrap());
-    host.read_directory(without, &[]);
+    receive_notice(&mut host, "shop-0", backoff(3_000));
+    let mut others = upstreams();
+    others.remove(&"shop-0".parse().unwrap());
+    host.read_directory(others, &[]);
     host.read_directory(upstreams(), &[]);
     let counts = calls_by_upstream(&mut host, Duration::from_secs(3));
     assert_eq!(counts.get("shop-0"), None, "{counts:?}");
@@ -329,8 +329,8 @@
 #[test]
 fn an_upstream_is_used_again_after_its_backoff() {
     let mut host = Host::new(0);
-    says(&mut host, "shop-0", backoff(1_000));
-    pass_in_touch(&mut host, 1_250);
+    receive_notice(&mut host, "shop-0", backoff(1_000));
+    pass_with_confirmed_configuration(&mut host, 1_250);
     let counts = calls_by_upstream(&mut host, Duration::from_secs(1));
     assert!(counts["shop-0"] > 5, "{counts:?}");
 }
@@ -339,22 +339,22 @@
 #[test]
 fn a_backoff_of_days_ends_after_five_minutes() {
     let mut host = Host::new(0);
-    says(&mut host, "shop-0", backoff(7 * 86_400_000));
-    pass_in_touch(&mut host, 300_000);
+    receive_notice(&mut host, "shop-0", backoff(7 * 86_400_000));
+    pass_with_confirmed_configuration(&mut host, 300_000);
     host.now = host.now + Duration::from_secs(75);
     let counts = calls_by_upstream(&mut host, Duration::from_secs(1));
     assert!(counts.contains_key("shop-0"), "{counts:?}");
 }
 
 #[test]
-fn a_backoff_of_no_time_or_no_number_changes_nothing() {
+fn a_zero_or_invalid_backoff_changes_nothing() {
     let invalid = UpstreamNotice {
         backoff: AdvertisedBackoff::Invalid("soon".to_string()),
         ..UpstreamNotice::default()
     };
     for notice in [backoff(0), invalid] {
         let mut host = Host::new(0);
-        says(&mut host, "shop-0", notice);
+        receive_notice(&mut host, "shop-0", notice);
         let counts = calls_by_upstream(&mut host, Duration::from_secs(1));
         assert!(counts["shop-0"] > 5, "{counts:?}");
     }
@@ -370,9 +370,9 @@
             break;
         };
         let upstream = order.upstream.to_string();
-        says(&mut host, &upstream, backoff(500));
+        receive_notice(&mut host, &upstream, backoff(500));
         host.fail(&order, request, FailureCause::Busy, Verdict::NotRun, false);
-        pass_in_touch(&mut host, 300);
+        pass_with_confirmed_configuration(&mut host, 300);
     }
     assert!(host.controller.ejected().is_empty());
 }
@@ -382,7 +382,7 @@
 fn a_request_is_refused_at_once_where_all_backoffs_end_too_late() {
     let mut host = Host::new(0);
     for upstream in ["shop-0", "shop-1", "shop-2"] {
-        says(&mut host, upstream, backoff(20_000));
+        receive_notice(&mut host, upstream, backoff(20_000));
     }
     host.ask(lookup());
     host.actions.clear();
@@ -397,7 +397,7 @@
 fn requests_wait_for_the_end_of_a_backoff_most_urgent_first() {
     let mut host = Host::new(0);
     for upstream in ["engine-0", "engine-1", "engine-2"] {
-        says(&mut host, upstream, backoff(2_000));
+        receive_notice(&mut host, upstream, backoff(2_000));
     }
     let ask = |host: &mut Host, class| {
         let prompt = Ask::prompt(class, "shop-key", &[(1, 200), (2, 100)]);
@@ -423,10 +423,10 @@
 
 /// Guards against a queue that empties into an upstream that has just come back.
 #[test]
-fn after_a_backoff_one_request_at_a_time_is_sent_until_one_is_taken() {
+fn after_a_backoff_one_request_at_a_time_is_sent_until_one_is_accepted() {
     let mut host = Host::new(0);
     for upstream in ["shop-0", "shop-1", "shop-2"] {
-        says(
+        receive_notice(
             &mut host,
             upstream,
             backoff(if upstream == "shop-0" { 1_000 } else { 60_000 }),
@@ -447,7 +447,7 @@
 
 /// Guards against a probe that an upstream gets while it wants nothing.
 #[test]
-fn an_upstream_is_not_probed_while_it_wants_nothing() {
+fn an_upstream_is_not_probed_during_its_backoff() {
     let mut host = Host::new(0);
     let mut orders = Vec::new();
     for _ in 0..12 {
@@ -466,7 +466,7 @@
         }
     }
     assert_eq!(host.controller.ejected().len(), 1);
-    says(&mut host, "shop-0", backoff(3_000));
+    receive_notice(&mut host, "shop-0", backoff(3_000));
     host.actions.clear();
     host.pass(3_000);
     let probes = |host: &Host| {
@@ -483,7 +483,7 @@
 /// Guards against hosts that each send again before their backoff ends, counted where requests
 /// arrive.
 #[test]
-fn refusing_upstreams_get_nothing_from_hosts_that_they_asked_for_a_backoff() {
+fn refusing_upstreams_get_no_requests_during_a_backoff() {
     for (hosts, per_s) in [(6, 60.0), (66, 300.0), (381, 600.0)] {
         let mut fleet = Fleet::new(hosts, 4, 1);
         let load = [("lookup", per_s)];
@@ -499,17 +499,17 @@
             "{hosts} hosts: {}",
             counts.refused
         );
-        let held = counts
+        let delayed = counts
             .lasted
             .iter()
             .filter(|lasted| lasted.as_millis() > 100);
-        assert_eq!(held.count(), 0, "{hosts} hosts");
+        assert_eq!(delayed.count(), 0, "{hosts} hosts");
     }
 }
 
 /// Guards against hosts that were refused together and return together.
 #[test]
-fn hosts_that_were_refused_together_do_not_return_together() {
+fn hosts_that_were_refused_together_do_not_retry_together() {
     const HOSTS: usize = 195;
     let mut fleet = Fleet::new(HOSTS, 1, 1);
     fleet.refusing.insert(replica(0), Duration::from_secs(2));
@@ -531,8 +531,11 @@
             .count()
     };
     assert_eq!(arrived(1..3_000), HOSTS);
-    let most = (0..29)
+    let busiest_100_ms = (0..29)
         .map(|step| arrived(step * 100 + 1..step * 100 + 101))
         .max();
-    assert!(most.unwrap() < HOSTS / 3, "{most:?} in a tenth of a second");
+    assert!(
+        busiest_100_ms.unwrap() < HOSTS / 3,
+        "{busiest_100_ms:?} in a tenth of a second"
+    );
 }
--- a/crates/policy/tests/installation/overload.rs
+++ b/crates/policy/tests/installation/overload.rs
@@ -13,7 +13,7 @@
 
 /// Prompts that an engine works on at a time, and that wait there beyond those.
 const SLOTS: usize = 8;
-const WAITING: usize = 4;
+const MAX_WAITING: usize = 4;
 
 /// Time of one step of the world.
 const STEP_MS: u64 = 10;
@@ -28,11 +28,11 @@
 
 /// A prompt at an engine.
 #[derive(Clone, Debug)]
-struct Placed {
+struct EnginePrompt {
     attempt: AttemptId,
     class: usize,
     /// When it will have run; `None` while it waits.
-    ends: Option<Time>,
+    ends_at: Option<Time>,
     host: usize,
     priority: u8,
     request: RequestId,
@@ -40,45 +40,48 @@
 
 #[derive(Default)]
 struct Engine {
-    placed: Vec<Placed>,
+    prompts: Vec<EnginePrompt>,
 }
 
 impl Engine {
     fn running(&self) -> usize {
-        let running = self.placed.iter().filter(|placed| placed.ends.is_some());
+        let running = self
+            .prompts
+            .iter()
+            .filter(|prompt| prompt.ends_at.is_some());
         running.count()
     }
 
     /// Lets the most urgent ones that wait begin; gives them.
-    fn begin(&mut self, now: Time) -> Vec<Placed> {
-        let mut begun = Vec::new();
+    fn start_waiting(&mut self, now: Time) -> Vec<EnginePrompt> {
+        let mut started = Vec::new();
         while self.running() < SLOTS {
             let waiting = self
-                .placed
+                .prompts
                 .iter_mut()
-                .filter(|placed| placed.ends.is_none());
-            let Some(next) = waiting.min_by_key(|placed| placed.priority) else {
+                .filter(|prompt| prompt.ends_at.is_none());
+            let Some(next) = waiting.min_by_key(|prompt| prompt.priority) else {
                 break;
             };
-            next.ends = Some(now.plus_ms(CLASSES[next.class].2));
-            begun.push(next.clone());
+            next.ends_at = Some(now.plus_ms(CLASSES[next.class].2));
+            started.push(next.clone());
         }
-        begun
+        started
     }
 }
 
 /// How many requests of a class came, were refused for good, and were begun by engines.
 #[derive(Clone, Copy, Debug, Default)]
-struct Count {
-    begun: usize,
-    came: usize,
+struct ClassCounts {
+    started: usize,
+    arrived: usize,
     refused: usize,
 }
 
 struct World {
     class_of: BTreeMap<(usize, RequestId), (usize, bool)>,
-    counted: bool,
-    counts: [Count; CLASSES.len()],
+    is_counting: bool,
+    counts: [ClassCounts; CLASSES.len()],
     engines: BTreeMap<UpstreamId, Engine>,
     hosts: Vec<Host>,
     /// Refusals by engines that are under way.
@@ -94,7 +97,7 @@
         }
         Self {
             class_of: BTreeMap::new(),
-            counted: false,
+            is_counting: false,
             counts: Default::default(),
             engines: engines(ENGINES)
                 .into_keys()
@@ -118,40 +121,41 @@
             // Knowledge of the configuration is not what is looked at.
             self.hosts[host].handle(Event::ConfigurationConfirmed { as_of: now });
             let actions = self.hosts[host].handle(Event::Ticked);
-            self.carry_out(host, &actions);
+            self.apply_actions(host, &actions);
             self.arrive(host, now);
         }
         for (host, request, order) in std::mem::take(&mut self.refusals) {
             let (cause, verdict) = (FailureCause::Busy, Verdict::NotRun);
             let actions = self.hosts[host].fail(&order, request, cause, verdict, false);
-            self.carry_out(host, &actions);
+            self.apply_actions(host, &actions);
         }
-        self.work();
+        self.run_engines();
     }
 
     fn arrive(&mut self, host: usize, now: Time) {
-        for (class, (name, key, _, every_ms)) in CLASSES.into_iter().enumerate() {
+        for (class, (name, key, _, interval_ms)) in CLASSES.into_iter().enumerate() {
             // Hosts are out of step with each other.
-            let moment = now.as_us() / 1_000 + 7 * STEP_MS * host as u64;
-            if moment % every_ms >= STEP_MS {
+            let now_ms = now.as_us() / 1_000 + 7 * STEP_MS * host as u64;
+            if now_ms % interval_ms >= STEP_MS {
                 continue;
             }
-            let number = moment / every_ms + 1_000 * host as u64;
+            let number = now_ms / interval_ms + 1_000 * host as u64;
             let parts = [(number % 40, 5_000), (100_000 + number, 500)];
             let (request, actions) = self.hosts[host].ask(Ask::prompt(name, key, &parts));
-            self.class_of.insert((host, request), (class, self.counted));
-            self.counts[class].came += usize::from(self.counted);
-            self.carry_out(host, &actions);
+            self.class_of
+                .insert((host, request), (class, self.is_counting));
+            self.counts[class].arrived += usize::from(self.is_counting);
+            self.apply_actions(host, &actions);
         }
     }
 
-    fn carry_out(&mut self, host: usize, actions: &[Action]) {
+    fn apply_actions(&mut self, host: usize, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Send { order, request } => self.place(host, *request, order),
                 Action::Refuse { request, .. } => {
-                    let (class, counted) = self.class_of[&(host, *request)];
-                    self.counts[class].refused += usize::from(counted);
+                    let (class, is_counting) = self.class_of[&(host, *request)];
+                    self.counts[class].refused += usize::from(is_counting);
                 }
                 _ => {}
             }
@@ -160,49 +164,50 @@
 
     fn place(&mut self, host: usize, request: RequestId, order: &SendOrder) {
         let engine = self.engines.get_mut(&order.upstream).unwrap();
-        if engine.placed.len() >= SLOTS + WAITING {
+        if engine.prompts.len() >= SLOTS + MAX_WAITING {
             self.refusals.push((host, request, order.clone()));
             return;
         }
-        engine.placed.push(Placed {
+        engine.prompts.push(EnginePrompt {
             attempt: order.attempt,
             class: self.class_of[&(host, request)].0,
-            ends: None,
+            ends_at: None,
             host,
             priority: order.priority,
             request,
         });
     }
 
-    fn work(&mut self) {
+    fn run_engines(&mut self) {
         let now = self.hosts[0].now;
         let ids: Vec<UpstreamId> = self.engines.keys().cloned().collect();
         for id in ids {
             let engine = self.engines.get_mut(&id).unwrap();
-            let is_over = |placed: &Placed| placed.ends.is_some_and(|ends| ends <= now);
-            let over: Vec<Placed> = engine
-                .placed
-                .extract_if(.., |placed| is_over(placed))
+            let is_finished =
+                |prompt: &EnginePrompt| prompt.ends_at.is_some_and(|ends_at| ends_at <= now);
+            let finished: Vec<EnginePrompt> = engine
+                .prompts
+                .extract_if(.., |prompt| is_finished(prompt))
                 .collect();
-            let begun = engine.begin(now);
-            for placed in over {
-                let actions = self.hosts[placed.host].handle(Event::AttemptEnded {
-                    attempt: placed.attempt,
+            let started = engine.start_waiting(now);
+            for prompt in finished {
+                let actions = self.hosts[prompt.host].handle(Event::AttemptEnded {
+                    attempt: prompt.attempt,
                     end: AttemptEnd::Completed {
                         response: None,
                         longest_pause: Duration::ZERO,
                         tokens: Tokens::default(),
                     },
-                    request: placed.request,
+                    request: prompt.request,
                 });
-                self.carry_out(placed.host, &actions);
+                self.apply_actions(prompt.host, &actions);
             }
-            for placed in begun {
-                self.counts[placed.class].begun += usize::from(self.counted);
-                self.hosts[placed.host].handle(Event::Progressed {
-                    attempt: placed.attempt,
+            for prompt in started {
+                self.counts[prompt.class].started += usize::from(self.is_counting);
+                self.hosts[prompt.host].handle(Event::Progressed {
+                    attempt: prompt.attempt,
                     longest_pause: Duration::ZERO,
-                    request: placed.request,
+                    request: prompt.request,
                     tokens: Tokens::new(5),
                 });
             }
@@ -219,19 +224,19 @@
 fn more_urgent_prompts_get_through_when_engines_are_full_of_others() {
     let mut world = World::new();
     world.pass(1_000);
-    world.counted = true;
+    world.is_counting = true;
     world.pass(5_000);
-    world.counted = false;
+    world.is_counting = false;
     world.pass(3_000);
     let [question, draft, summary] = world.counts;
     for count in [question, draft] {
-        assert!(12 * count.refused <= count.came, "{count:?}");
+        assert!(12 * count.refused <= count.arrived, "{count:?}");
     }
     // The engines are kept at work all the same.
-    let possible = 5_000 / CLASSES[2].2 as usize * SLOTS * ENGINES;
-    let taken = question.begun / 3 + draft.begun / 2;
+    let capacity = 5_000 / CLASSES[2].2 as usize * SLOTS * ENGINES;
+    let used_by_urgent = question.started / 3 + draft.started / 2;
     assert!(
-        summary.begun + taken >= possible * 8 / 10,
+        summary.started + used_by_urgent >= capacity * 8 / 10,
         "{:?}",
         world.counts
     );
--- a/crates/policy/tests/installation/pauses.rs
+++ b/crates/policy/tests/installation/pauses.rs
@@ -43,7 +43,7 @@
 /// allows, and goes on. Cause: only the average time between tokens is judged. On a
 /// heavy day the log had 1,319 of 1,405 streams in target, and callers 189 late ones.
 #[test]
-fn an_answer_that_stood_still_for_too_long_is_late() {
+fn an_answer_whose_longest_pause_exceeds_the_target_is_late() {
     assert!(outcome_of(Duration::from_millis(250)).met_target);
     let stalled = outcome_of(Duration::from_millis(251));
     assert!(!stalled.met_target);
@@ -52,7 +52,7 @@
 
 /// Prompts that a host has seen before the scenes below: many of 2,000 tokens, and now
 /// and then one of 30,000.
-fn seen_prompts(host: &mut Host) {
+fn send_prompts(host: &mut Host) {
     for number in 0_u64..96 {
         let tokens = if number % 12 == 0 { LONG_TOKENS } else { 2_000 };
         let own = 1_000_000 + number;
@@ -95,7 +95,7 @@
 fn host_with_streams(longest_pause: Duration) -> (Host, BTreeSet<String>) {
     let mut host = Host::new(0);
     host.read_directory(engines(12), &[]);
-    seen_prompts(&mut host);
+    send_prompts(&mut host);
     for (request, _) in place_streams(&mut host, 12, longest_pause) {
         host.handle(Event::CallerGone { request });
     }
@@ -105,7 +105,7 @@
 }
 
 /// Engines that get prompts of 30,000 tokens.
-fn place_long(host: &mut Host, count: u64) -> Vec<String> {
+fn place_long_prompts(host: &mut Host, count: u64) -> Vec<String> {
     let engines = (0..count).map(|number| {
         let shared = (2_000_000 + number, 2_000);
         let parts = [shared, (4_000_000 + number, LONG_TOKENS - 2_000)];
@@ -126,7 +126,7 @@
 fn long_prompts_avoid_the_streams_that_they_would_make_late() {
     let (mut host, with_streams) = host_with_streams(Duration::from_millis(220));
     assert!(with_streams.len() <= 6, "streams on {with_streams:?}");
-    for engine in place_long(&mut host, 24) {
+    for engine in place_long_prompts(&mut host, 24) {
         assert!(!with_streams.contains(&engine), "{engine} has streams");
     }
 }
@@ -135,13 +135,13 @@
 /// load only. Where all are of one size there is nothing to be kept apart by size, and
 /// requests without a prompt say nothing.
 #[test]
-fn what_is_long_follows_from_what_is_asked_for() {
+fn the_limit_for_long_prompts_follows_from_recent_prompts() {
     let (mut host, with_streams) = host_with_streams(Duration::from_millis(220));
     for number in 0..256 {
         let parts = [(3_000_000 + number, 90_000)];
         let (request, _) = host.ask(Ask::prompt("summary", "first-key", &parts));
         host.handle(Event::CallerGone { request });
     }
-    let placed: BTreeSet<String> = place_long(&mut host, 24).into_iter().collect();
+    let placed: BTreeSet<String> = place_long_prompts(&mut host, 24).into_iter().collect();
     assert!(placed.iter().any(|engine| with_streams.contains(engine)));
 }
--- a/crates/policy/tests/installation/placement.rs
+++ b/crates/policy/tests/installation/placement.rs
@@ -22,7 +22,7 @@
 const DOCUMENT_TOKENS: u32 = 13_300;
 
 /// Tokens that belong to one request alone.
-const OWN_TOKENS: u32 = 3_700;
+const UNIQUE_TOKENS: u32 = 3_700;
 
 /// Requests a second of the whole installation: 1.5 times what the engines can
 /// read if nothing is kept.
@@ -31,39 +31,39 @@
 /// Tokens that an engine reads in a millisecond.
 const TOKENS_PER_MS: f64 = 112.0;
 
-const LENGTH_MS: u64 = 12_000;
+const DURATION_MS: u64 = 12_000;
 
 /// What an engine has read, and until when it is busy.
 #[derive(Default)]
-struct Reader {
+struct SimulatedEngine {
     busy_until_ms: f64,
-    kept: BTreeSet<u64>,
+    cached: BTreeSet<u64>,
 }
 
-struct Played {
+struct Results {
     /// Shared tokens that some engine had read already.
-    read_again: u64,
+    reread_tokens: u64,
     /// Times to the first token, sorted.
-    waits_ms: Vec<f64>,
+    first_token_waits_ms: Vec<f64>,
 }
 
 /// Plays the load, of which a share asks for one document; each request is placed
 /// by a random host, and hosts exchange their notes every 50 ms.
-fn play(requests_per_s: u64, hot_share: f64) -> Played {
+fn simulate(requests_per_s: u64, hot_share: f64) -> Results {
     let mut rng = SmallRng::seed_from_u64(5);
     let mut hosts: Vec<Host> = (0..HOSTS as u64).map(Host::new).collect();
     for host in &mut hosts {
         host.read_directory(engines(ENGINES), &[]);
     }
-    let mut readers: BTreeMap<String, Reader> = BTreeMap::new();
-    let mut read_once = BTreeSet::new();
+    let mut simulated_engines: BTreeMap<String, SimulatedEngine> = BTreeMap::new();
+    let mut ever_read = BTreeSet::new();
     let mut ends: Vec<(u64, usize, RequestId, AttemptId)> = Vec::new();
-    let mut played = Played {
-        read_again: 0,
-        waits_ms: Vec::new(),
+    let mut results = Results {
+        reread_tokens: 0,
+        first_token_waits_ms: Vec::new(),
     };
     let start = hosts[0].now;
-    for ms in (0..LENGTH_MS).step_by(10) {
+    for ms in (0..DURATION_MS).step_by(10) {
         let now = start.plus_ms(ms);
         let due = ends.extract_if(.., |end| end.0 <= ms).collect::<Vec<_>>();
         for (_, host, request, attempt) in due {
@@ -89,28 +89,32 @@
             } else {
                 rng.random_range(0..DOCUMENTS)
             };
-            let own = 1_000_000 + rng.random_range(0..u64::from(u32::MAX));
-            let parts = [(document, DOCUMENT_TOKENS), (own, OWN_TOKENS)];
+            let unique = 1_000_000 + rng.random_range(0..u64::from(u32::MAX));
+            let parts = [(document, DOCUMENT_TOKENS), (unique, UNIQUE_TOKENS)];
             let host = rng.random_range(0..HOSTS);
             let (request, actions) = hosts[host].ask(Ask::prompt("summary", "shop-key", &parts));
             let order = sent(&actions).expect("an engine has a free slot");
-            let reader = readers.entry(order.upstream.to_string()).or_default();
-            let mut tokens = OWN_TOKENS;
-            if reader.kept.insert(document) {
+            let engine = simulated_engines
+                .entry(order.upstream.to_string())
+                .or_default();
+            let mut tokens = UNIQUE_TOKENS;
+            if engine.cached.insert(document) {
                 tokens += DOCUMENT_TOKENS;
-                if !read_once.insert(document) {
-                    played.read_again += u64::from(DOCUMENT_TOKENS);
+                if !ever_read.insert(document) {
+                    results.reread_tokens += u64::from(DOCUMENT_TOKENS);
                 }
             }
-            let from = reader.busy_until_ms.max(ms as f64);
-            reader.busy_until_ms = from + f64::from(tokens) / TOKENS_PER_MS;
-            played.waits_ms.push(reader.busy_until_ms - ms as f64);
-            let end_ms = reader.busy_until_ms.ceil() as u64;
+            let from = engine.busy_until_ms.max(ms as f64);
+            engine.busy_until_ms = from + f64::from(tokens) / TOKENS_PER_MS;
+            results
+                .first_token_waits_ms
+                .push(engine.busy_until_ms - ms as f64);
+            let end_ms = engine.busy_until_ms.ceil() as u64;
             ends.push((end_ms, host, request, order.attempt));
         }
     }
-    played.waits_ms.sort_by(f64::total_cmp);
-    played
+    results.first_token_waits_ms.sort_by(f64::total_cmp);
+    results
 }
 
 /// Symptom: engines are busy although most of what is asked for has been read
@@ -121,12 +125,15 @@
 /// alike with the wait, 6.6 million tokens were read again in this load and 95
 /// in 100 waited up to 1.75 s; weighed by 20, 13 thousand and 0.66 s.
 #[test]
-fn prompts_go_where_their_shared_part_is_kept() {
-    let played = play(REQUESTS_PER_S, 0.0);
-    let again = played.read_again as f64 / f64::from(DOCUMENT_TOKENS);
-    let requests = played.waits_ms.len() as f64;
-    assert!(again < 0.05 * requests, "{again} of {requests} read again");
-    let p95 = played.waits_ms[played.waits_ms.len() * 95 / 100];
+fn prompts_go_to_the_engine_that_caches_their_shared_part() {
+    let results = simulate(REQUESTS_PER_S, 0.0);
+    let rereads = results.reread_tokens as f64 / f64::from(DOCUMENT_TOKENS);
+    let requests = results.first_token_waits_ms.len() as f64;
+    assert!(
+        rereads < 0.05 * requests,
+        "{rereads} of {requests} read again"
+    );
+    let p95 = results.first_token_waits_ms[results.first_token_waits_ms.len() * 95 / 100];
     assert!(p95 < 1_000.0, "95 in 100 waited up to {p95} ms");
 }
 
@@ -135,11 +142,11 @@
 /// must be read again counts, not that the first token comes too late. Before, 95 in
 /// 100 waited up to 1.2 s.
 #[test]
-fn a_document_that_many_ask_for_is_kept_by_several_engines() {
-    let played = play(REQUESTS_PER_S, 0.4);
-    let again = played.read_again as f64 / f64::from(DOCUMENT_TOKENS);
-    assert!(again < 10.0, "{again} read again");
-    let p95 = played.waits_ms[played.waits_ms.len() * 95 / 100];
+fn a_frequently_requested_document_is_cached_by_several_engines() {
+    let results = simulate(REQUESTS_PER_S, 0.4);
+    let rereads = results.reread_tokens as f64 / f64::from(DOCUMENT_TOKENS);
+    assert!(rereads < 10.0, "{rereads} read again");
+    let p95 = results.first_token_waits_ms[results.first_token_waits_ms.len() * 95 / 100];
     assert!(p95 < 800.0, "95 in 100 waited up to {p95} ms");
 }
 
@@ -149,24 +156,24 @@
 #[test]
 fn hosts_know_what_engines_read_for_others() {
     let mut hosts = [Host::new(0), Host::new(1)];
-    let parts = [(7, DOCUMENT_TOKENS), (8, OWN_TOKENS)];
-    let home = sent(&hosts[0].ask(Ask::prompt("summary", "shop-key", &parts)).1).unwrap();
+    let parts = [(7, DOCUMENT_TOKENS), (8, UNIQUE_TOKENS)];
+    let home_order = sent(&hosts[0].ask(Ask::prompt("summary", "shop-key", &parts)).1).unwrap();
     let mut others = upstreams();
-    others.remove(&home.upstream);
+    others.remove(&home_order.upstream);
     hosts[0].read_directory(others, &[]);
-    let away = sent(&hosts[0].ask(Ask::prompt("summary", "shop-key", &parts)).1).unwrap();
-    assert_ne!(away.upstream, home.upstream);
+    let away_order = sent(&hosts[0].ask(Ask::prompt("summary", "shop-key", &parts)).1).unwrap();
+    assert_ne!(away_order.upstream, home_order.upstream);
     exchange_notes(&mut hosts);
     hosts[0].pass(60);
     exchange_notes(&mut hosts);
 
     let mut others = upstreams();
-    others.remove(&home.upstream);
+    others.remove(&home_order.upstream);
     hosts[1].read_directory(others, &[]);
-    let parts = [(7, DOCUMENT_TOKENS), (9, OWN_TOKENS)];
+    let parts = [(7, DOCUMENT_TOKENS), (9, UNIQUE_TOKENS)];
     let order = sent(&hosts[1].ask(Ask::prompt("summary", "shop-key", &parts)).1).unwrap();
-    assert_eq!(order.upstream, away.upstream);
-    assert_eq!(order.inputs.prefill_tokens, Tokens::new(OWN_TOKENS));
+    assert_eq!(order.upstream, away_order.upstream);
+    assert_eq!(order.inputs.prefill_tokens, Tokens::new(UNIQUE_TOKENS));
 }
 
 /// Guards against all hosts of a large installation sending their prompts to the one engine
@@ -178,7 +185,7 @@
         let mut host = Host::new(seed);
         host.read_directory(engines(60), &[]);
         host.list_hosts(66);
-        let note = note_of_all_but("engine-7", seed + 1_000);
+        let note = note_with_one_idle_engine("engine-7", seed + 1_000);
         let from = address(1);
         host.handle(Event::LoadNoteReceived { from, note });
         for number in 0..8 {
@@ -197,7 +204,7 @@
 }
 
 /// A note of another host by which all engines but one have much to read.
-fn note_of_all_but(idle: &str, incarnation: u64) -> LoadNote {
+fn note_with_one_idle_engine(idle: &str, incarnation: u64) -> LoadNote {
     let busy = engines(60).into_keys().filter(|id| id.name() != idle);
     LoadNote {
         confirmed_age_ms: None,
--- a/crates/policy/tests/installation/prompt_transfers.rs
+++ b/crates/policy/tests/installation/prompt_transfers.rs
@@ -17,7 +17,7 @@
 const DOCUMENT_TOKENS: u32 = 13_300;
 
 /// Tokens that belong to one request alone.
-const OWN_TOKENS: u32 = 3_700;
+const UNIQUE_TOKENS: u32 = 3_700;
 
 /// Tokens that an engine reads in a millisecond, by its number in turn.
 const TOKENS_PER_MS: [f64; 3] = [112.0, 112.0, 80.0];
@@ -26,27 +26,27 @@
 const TRANSFER_MS: f64 = 63.4;
 
 /// Requests a second of all hosts: half of what the engines can read if nothing is read again.
-const LOAD_PER_S: u64 = 150;
+const WARM_REQUESTS_PER_S: u64 = 150;
 
 /// The same where all must be read.
-const COLD_PER_S: u64 = 30;
+const COLD_REQUESTS_PER_S: u64 = 30;
 
 /// Documents that are asked for, and the part of requests that ask for one of them.
 const DOCUMENTS: u64 = 60;
 const HOT_SHARE: f64 = 0.4;
 
 /// Time in which the first token is due for callers with such prompts.
-const IN_TIME_MS: f64 = 1_500.0;
+const FIRST_TOKEN_TARGET_MS: f64 = 1_500.0;
 
 /// Prompt tokens that wait at an engine which looks so busy that prompts are placed elsewhere, and
 /// not so busy that they are refused.
-const CROWD_TOKENS: u32 = 250_000;
+const BUSY_BACKLOG_TOKENS: u32 = 250_000;
 
 /// Time of one step of the world.
 const STEP_MS: u64 = 20;
 
 /// Engines that fetch parts of prompts from each other.
-fn linked(engines: BTreeMap<UpstreamId, Upstream>) -> BTreeMap<UpstreamId, Upstream> {
+fn with_links(engines: BTreeMap<UpstreamId, Upstream>) -> BTreeMap<UpstreamId, Upstream> {
     let mut engines = engines;
     for upstream in engines.values_mut() {
         if let Upstream::Engine(engine) = upstream {
@@ -59,43 +59,43 @@
 
 /// What an engine has read or fetched, and until when it and its link are busy.
 #[derive(Default)]
-struct Reader {
+struct SimulatedEngine {
     busy_until_ms: f64,
     /// Documents, and when each was there.
-    kept: BTreeMap<u64, f64>,
-    link_until_ms: f64,
+    cached: BTreeMap<u64, f64>,
+    link_busy_until_ms: f64,
 }
 
 #[derive(Default)]
-struct Played {
+struct Results {
     /// Fetches from an engine that did not keep the document.
-    in_vain: usize,
+    failed_fetches: usize,
     fetched: usize,
     /// Shared tokens that some engine had read before.
-    read_again: u64,
+    reread_tokens: u64,
     /// Prompts that were refused for want of time.
     refused: usize,
     /// Tokens of all prompts.
     tokens: u64,
     /// Times to the first token, sorted.
-    waits_ms: Vec<f64>,
+    first_token_waits_ms: Vec<f64>,
 }
 
-impl Played {
-    fn read_again_in_100(&self) -> f64 {
-        100.0 * self.read_again as f64 / self.tokens as f64
+impl Results {
+    fn reread_percent(&self) -> f64 {
+        100.0 * self.reread_tokens as f64 / self.tokens as f64
     }
 
-    fn wait_of_95_in_100_ms(&self) -> f64 {
-        self.waits_ms[self.waits_ms.len() * 95 / 100]
+    fn p95_wait_ms(&self) -> f64 {
+        self.first_token_waits_ms[self.first_token_waits_ms.len() * 95 / 100]
     }
 }
 
 struct World {
     ends: Vec<(u64, usize, RequestId, AttemptId)>,
     hosts: Vec<Host>,
-    played: Played,
-    readers: BTreeMap<SocketAddr, Reader>,
+    results: Results,
+    simulated_engines: BTreeMap<SocketAddr, SimulatedEngine>,
 }
 
 impl World {
@@ -109,8 +109,10 @@
         Self {
             ends: Vec::new(),
             hosts,
-            played: Played::default(),
-            readers: addresses.map(|at| (at, Reader::default())).collect(),
+            results: Results::default(),
+            simulated_engines: addresses
+                .map(|at| (at, SimulatedEngine::default()))
+                .collect(),
         }
     }
 
@@ -138,59 +140,72 @@
         }
     }
 
-    fn ask(&mut self, ms: u64, host: usize, document: u64, own: u64) {
-        let parts = [(document, DOCUMENT_TOKENS), (1_000_000 + own, OWN_TOKENS)];
+    fn ask(&mut self, ms: u64, host: usize, document: u64, unique: u64) {
+        let parts = [
+            (document, DOCUMENT_TOKENS),
+            (1_000_000 + unique, UNIQUE_TOKENS),
+        ];
         let (request, actions) = self.hosts[host].ask(Ask::prompt("summary", "shop-key", &parts));
         let Some(order) = sent(&actions) else {
-            self.played.refused += 1;
+            self.results.refused += 1;
             return;
         };
         let first_token_ms = self.read(ms as f64, document, &order);
-        self.played.waits_ms.push(first_token_ms - ms as f64);
-        self.played.tokens += u64::from(DOCUMENT_TOKENS + OWN_TOKENS);
+        self.results
+            .first_token_waits_ms
+            .push(first_token_ms - ms as f64);
+        self.results.tokens += u64::from(DOCUMENT_TOKENS + UNIQUE_TOKENS);
         let end = (first_token_ms.ceil() as u64, host, request, order.attempt);
         self.ends.push(end);
     }
 
     /// Reads a prompt, or fetches what the named engine keeps of it; gives its first token.
     fn read(&mut self, at_ms: f64, document: u64, order: &SendOrder) -> f64 {
-        let kept_since = |reader: &Reader| reader.kept.get(&document).copied();
-        let readers = &mut self.readers;
-        let number = readers.keys().position(|at| *at == order.address).unwrap();
-        let was_read = readers.values().any(|reader| kept_since(reader).is_some());
-        let lacks = kept_since(&readers[&order.address]).is_none();
-        let mut there_ms = at_ms;
-        let mut tokens = OWN_TOKENS;
-        if lacks && let Some(source) = order.fetch_from {
-            let source = readers.get_mut(&source).unwrap();
-            if kept_since(source).is_some_and(|since_ms| since_ms <= at_ms) {
-                there_ms = source.link_until_ms.max(at_ms) + TRANSFER_MS;
-                source.link_until_ms = there_ms;
-                self.played.fetched += 1;
+        let cached_since = |engine: &SimulatedEngine| engine.cached.get(&document).copied();
+        let simulated_engines = &mut self.simulated_engines;
+        let number = simulated_engines
+            .keys()
+            .position(|at| *at == order.address)
+            .unwrap();
+        let was_read = simulated_engines
+            .values()
+            .any(|engine| cached_since(engine).is_some());
+        let is_missing = cached_since(&simulated_engines[&order.address]).is_none();
+        let mut available_ms = at_ms;
+        let mut tokens = UNIQUE_TOKENS;
+        if is_missing && let Some(source) = order.fetch_from {
+            let source = simulated_engines.get_mut(&source).unwrap();
+            if cached_since(source).is_some_and(|since_ms| since_ms <= at_ms) {
+                available_ms = source.link_busy_until_ms.max(at_ms) + TRANSFER_MS;
+                source.link_busy_until_ms = available_ms;
+                self.results.fetched += 1;
             } else {
-                self.played.in_vain += 1;
+                self.results.failed_fetches += 1;
             }
         }
-        if lacks && there_ms <= at_ms {
+        if is_missing && available_ms <= at_ms {
             tokens += DOCUMENT_TOKENS;
-            self.played.read_again += u64::from(DOCUMENT_TOKENS) * u64::from(was_read);
+            self.results.reread_tokens += u64::from(DOCUMENT_TOKENS) * u64::from(was_read);
         }
-        let reader = readers.get_mut(&order.address).unwrap();
-        let begins_ms = reader.busy_until_ms.max(there_ms);
+        let engine = simulated_engines.get_mut(&order.address).unwrap();
+        let starts_ms = engine.busy_until_ms.max(available_ms);
         let speed = TOKENS_PER_MS[number % TOKENS_PER_MS.len()];
-        reader.busy_until_ms = begins_ms + f64::from(tokens) / speed;
-        reader.kept.entry(document).or_insert(reader.busy_until_ms);
-        reader.busy_until_ms
+        engine.busy_until_ms = starts_ms + f64::from(tokens) / speed;
+        engine
+            .cached
+            .entry(document)
+            .or_insert(engine.busy_until_ms);
+        engine.busy_until_ms
     }
 }
 
 /// Plays a load of which a share asks for one document.
-fn play(
+fn simulate(
     engines: &BTreeMap<UpstreamId, Upstream>,
     per_s: u64,
     documents: u64,
     hot_share: f64,
-) -> Played {
+) -> Results {
     let mut rng = SmallRng::seed_from_u64(5);
     let mut world = World::new(engines);
     let start = world.hosts[0].now;
@@ -208,50 +223,66 @@
             world.ask(ms, host, document, rng.random_range(0..u64::from(u32::MAX)));
         }
     }
-    world.played.waits_ms.sort_by(f64::total_cmp);
-    world.played
+    world.results.first_token_waits_ms.sort_by(f64::total_cmp);
+    world.results
 }
 
 /// Guards against a document that many hosts ask for being read by one engine after the other,
 /// although the engines could fetch it from each other.
 #[test]
-fn documents_that_many_ask_for_are_fetched_and_not_read_again() {
-    let today = play(&engines(ENGINES), LOAD_PER_S, DOCUMENTS, HOT_SHARE);
-    let wait_ms = today.wait_of_95_in_100_ms();
+fn frequently_requested_documents_are_fetched_and_not_read_again() {
+    let without_transfers = simulate(&engines(ENGINES), WARM_REQUESTS_PER_S, DOCUMENTS, HOT_SHARE);
+    let wait_ms = without_transfers.p95_wait_ms();
     assert!(
-        today.refused > 0,
+        without_transfers.refused > 0,
         "without transfers engines have time for all"
     );
     assert!(
-        wait_ms > IN_TIME_MS,
+        wait_ms > FIRST_TOKEN_TARGET_MS,
         "without transfers 95 in 100 waited up to {wait_ms} ms"
     );
-    let linked = play(&linked(engines(ENGINES)), LOAD_PER_S, DOCUMENTS, HOT_SHARE);
-    let share = linked.read_again_in_100();
+    let with_transfers = simulate(
+        &with_links(engines(ENGINES)),
+        WARM_REQUESTS_PER_S,
+        DOCUMENTS,
+        HOT_SHARE,
+    );
+    let share = with_transfers.reread_percent();
     assert!(share < 5.0, "{share} in 100 read again");
-    assert_eq!(linked.refused, 0);
-    let wait_ms = linked.wait_of_95_in_100_ms();
-    assert!(wait_ms < IN_TIME_MS, "95 in 100 waited up to {wait_ms} ms");
+    assert_eq!(with_transfers.refused, 0);
+    let wait_ms = with_transfers.p95_wait_ms();
+    assert!(
+        wait_ms < FIRST_TOKEN_TARGET_MS,
+        "95 in 100 waited up to {wait_ms} ms"
+    );
 }
 
 /// Guards against transfers of what nobody keeps, and against waits for them, where all documents
 /// are new.
 #[test]
 fn nothing_is_fetched_in_a_cold_start() {
-    let played = play(&linked(engines(ENGINES)), COLD_PER_S, u64::MAX, 0.0);
-    assert_eq!((played.fetched, played.refused), (0, 0));
-    let wait_ms = played.wait_of_95_in_100_ms();
-    assert!(wait_ms < IN_TIME_MS, "95 in 100 waited up to {wait_ms} ms");
+    let results = simulate(
+        &with_links(engines(ENGINES)),
+        COLD_REQUESTS_PER_S,
+        u64::MAX,
+        0.0,
+    );
+    assert_eq!((results.fetched, results.refused), (0, 0));
+    let wait_ms = results.p95_wait_ms();
+    assert!(
+        wait_ms < FIRST_TOKEN_TARGET_MS,
+        "95 in 100 waited up to {wait_ms} ms"
+    );
 }
 
 /// A host before a few engines, and which one has read the document.
-struct Few {
+struct Scenario {
     home: SendOrder,
     host: Host,
-    own: u64,
+    unique: u64,
 }
 
-impl Few {
+impl Scenario {
     /// A host whose engine has read the document.
     fn new(engines: BTreeMap<UpstreamId, Upstream>) -> Self {
         let mut host = Host::new(0);
@@ -260,21 +291,25 @@
         let (request, actions) = host.ask(prompt(0));
         let home = sent(&actions).unwrap();
         first_token(&mut host, request, &home);
-        Self { home, host, own: 0 }
+        Self {
+            home,
+            host,
+            unique: 0,
+        }
     }
 
     /// Sends one more prompt with the document.
     fn ask(&mut self) -> (RequestId, SendOrder) {
-        self.own += 1;
-        let (request, actions) = self.host.ask(prompt(self.own));
+        self.unique += 1;
+        let (request, actions) = self.host.ask(prompt(self.unique));
         (request, sent(&actions).unwrap())
     }
 
     /// Lets engines look so busy that no prompt is placed there.
-    fn crowd(&mut self, upstreams: &[&UpstreamId]) {
-        self.own += 1;
+    fn report_busy(&mut self, upstreams: &[&UpstreamId]) {
+        self.unique += 1;
         let loads = upstreams.iter().map(|upstream| UpstreamLoad {
-            backlog: Tokens::new(CROWD_TOKENS),
+            backlog: Tokens::new(BUSY_BACKLOG_TOKENS),
             in_flight: 8,
             pause_bound: 0,
             upstream: (*upstream).clone(),
@@ -289,7 +324,7 @@
             protocol: peer::PROTOCOL,
             reach: Default::default(),
             reads: Vec::new(),
-            sent_us: self.own,
+            sent_us: self.unique,
             speeds: Vec::new(),
             version: None,
         };
@@ -299,7 +334,7 @@
 
     /// Sends a prompt; the engine that read the document must not be its source, and no other
     /// one is known to keep it.
-    fn assert_not_from_home(&mut self) {
+    fn assert_home_is_not_source(&mut self) {
         let (_, order) = self.ask();
         assert_ne!(order.upstream, self.home.upstream);
         assert_ne!(order.fetch_from, Some(self.home.address));
@@ -307,17 +342,17 @@
     }
 
     /// Sends a prompt while the home is crowded.
-    fn ask_away(&mut self) -> (RequestId, SendOrder) {
+    fn ask_with_busy_home(&mut self) -> (RequestId, SendOrder) {
         let home = self.home.upstream.clone();
-        self.crowd(&[&home]);
+        self.report_busy(&[&home]);
         let (request, order) = self.ask();
         assert_ne!(order.upstream, home);
         (request, order)
     }
 }
 
-fn prompt(own: u64) -> Ask {
-    let parts = [(7, DOCUMENT_TOKENS), (1_000_000 + own, OWN_TOKENS)];
+fn prompt(unique: u64) -> Ask {
+    let parts = [(7, DOCUMENT_TOKENS), (1_000_000 + unique, UNIQUE_TOKENS)];
     Ask::prompt("draft", "shop-key", &parts)
 }
 
@@ -330,175 +365,181 @@
     });
 }
 
-const WHOLE: u32 = DOCUMENT_TOKENS + OWN_TOKENS;
+const PROMPT_TOKENS: u32 = DOCUMENT_TOKENS + UNIQUE_TOKENS;
 
 /// Guards against a second home that reads a document again.
 #[test]
-fn an_engine_fetches_what_another_one_has_read() {
-    let mut few = Few::new(linked(engines(3)));
-    let (_, order) = few.ask_away();
-    assert_eq!(order.fetch_from, Some(few.home.address));
-    assert_eq!(order.inputs.fetch_source, Some(few.home.upstream.clone()));
+fn an_engine_fetches_what_another_engine_has_read() {
+    let mut scenario = Scenario::new(with_links(engines(3)));
+    let (_, order) = scenario.ask_with_busy_home();
+    assert_eq!(order.fetch_from, Some(scenario.home.address));
+    assert_eq!(
+        order.inputs.fetch_source,
+        Some(scenario.home.upstream.clone())
+    );
     assert_eq!(order.inputs.fetch_tokens, Tokens::new(DOCUMENT_TOKENS));
 }
 
 /// Guards against any change where the operator's document does not name both figures.
 #[test]
-fn nothing_is_fetched_without_both_figures() {
+fn nothing_is_fetched_unless_link_and_token_bytes_are_both_set() {
     let without_link = |engine: &mut Engine| engine.link = None;
     let without_bytes = |engine: &mut Engine| engine.prompt_token_bytes = None;
     for change in [without_link, without_bytes] {
-        let mut figures = linked(engines(3));
-        for upstream in figures.values_mut() {
+        let mut incomplete = with_links(engines(3));
+        for upstream in incomplete.values_mut() {
             if let Upstream::Engine(engine) = upstream {
                 change(engine);
             }
         }
-        let (mut changed, mut today) = (Few::new(figures), Few::new(engines(3)));
+        let (mut changed, mut without_transfers) =
+            (Scenario::new(incomplete), Scenario::new(engines(3)));
         for _ in 0..10 {
-            let order = changed.ask_away().1;
-            assert_eq!(order, today.ask_away().1);
+            let order = changed.ask_with_busy_home().1;
+            assert_eq!(order, without_transfers.ask_with_busy_home().1);
             assert_eq!(order.fetch_from, None);
         }
-        let notes = |few: &mut Few| {
-            few.host.pass(2_000);
-            few.host.take_notes()
+        let notes = |scenario: &mut Scenario| {
+            scenario.host.pass(2_000);
+            scenario.host.take_notes()
         };
-        assert_eq!(notes(&mut changed), notes(&mut today));
+        assert_eq!(notes(&mut changed), notes(&mut without_transfers));
     }
 }
 
 /// Guards against a fetch from an engine that has left the directory.
 #[test]
-fn an_engine_that_died_is_no_source() {
-    let mut few = Few::new(linked(engines(3)));
-    let mut left = linked(engines(3));
-    left.remove(&few.home.upstream);
-    few.host.read_directory(left, &[]);
-    few.assert_not_from_home();
+fn an_unlisted_engine_is_not_a_fetch_source() {
+    let mut scenario = Scenario::new(with_links(engines(3)));
+    let mut remaining = with_links(engines(3));
+    remaining.remove(&scenario.home.upstream);
+    scenario.host.read_directory(remaining, &[]);
+    scenario.assert_home_is_not_source();
 }
 
 /// Guards against a fetch from an engine that refuses connections, before the directory knows.
 #[test]
-fn an_ejected_engine_is_no_source() {
-    let mut few = Few::new(linked(engines(3)));
+fn an_ejected_engine_is_not_a_fetch_source() {
+    let mut scenario = Scenario::new(with_links(engines(3)));
     for _ in 0..10 {
-        let (request, order) = few.ask();
-        if order.upstream == few.home.upstream {
+        let (request, order) = scenario.ask();
+        if order.upstream == scenario.home.upstream {
             let (cause, verdict) = (FailureCause::Connect, Verdict::NotRun);
-            few.host.fail(&order, request, cause, verdict, false);
+            scenario.host.fail(&order, request, cause, verdict, false);
         }
     }
-    few.assert_not_from_home();
+    scenario.assert_home_is_not_source();
 }
 
 /// Guards against a fetch from an engine that is about to end.
 #[test]
-fn an_engine_that_leaves_is_no_source() {
-    let mut few = Few::new(linked(engines(3)));
-    let home = few.home.upstream.to_string();
-    few.host.read_directory(linked(engines(3)), &[&home]);
-    few.assert_not_from_home();
+fn a_leaving_engine_is_not_a_fetch_source() {
+    let mut scenario = Scenario::new(with_links(engines(3)));
+    let home = scenario.home.upstream.to_string();
+    scenario
+        .host
+        .read_directory(with_links(engines(3)), &[&home]);
+    scenario.assert_home_is_not_source();
 }
 
 /// Guards against a fetch from an engine that started again under its name and keeps nothing.
 #[test]
-fn an_engine_that_started_again_is_known_to_keep_nothing() {
-    let mut few = Few::new(linked(engines(3)));
-    let mut again = linked(engines(3));
-    let home = again.remove(&few.home.upstream).unwrap();
-    let id = few.home.upstream.clone().with_started_ms(Some(5_000));
-    again.insert(id.clone(), home);
-    few.host.read_directory(again, &[]);
-    few.home.upstream = id;
-    let (request, order) = few.ask_away();
-    assert_eq!(order.inputs.prefill_tokens, Tokens::new(WHOLE));
+fn a_restarted_engine_has_an_empty_cache() {
+    let mut scenario = Scenario::new(with_links(engines(3)));
+    let mut relisted = with_links(engines(3));
+    let home = relisted.remove(&scenario.home.upstream).unwrap();
+    let id = scenario.home.upstream.clone().with_started_ms(Some(5_000));
+    relisted.insert(id.clone(), home);
+    scenario.host.read_directory(relisted, &[]);
+    scenario.home.upstream = id;
+    let (request, order) = scenario.ask_with_busy_home();
+    assert_eq!(order.inputs.prefill_tokens, Tokens::new(PROMPT_TOKENS));
     // What the second engine read is fetched by the new incarnation.
-    few.host.pass(500);
-    first_token(&mut few.host, request, &order);
-    few.crowd(&[&order.upstream]);
-    let (_, order_at_home) = few.ask();
-    assert_eq!(order_at_home.fetch_from, Some(order.address));
+    scenario.host.pass(500);
+    first_token(&mut scenario.host, request, &order);
+    scenario.report_busy(&[&order.upstream]);
+    let (_, home_order) = scenario.ask();
+    assert_eq!(home_order.fetch_from, Some(order.address));
 }
 
 /// Guards against a late first token that nobody expected, where the source has evicted the parts.
 #[test]
-fn work_is_expected_as_if_all_was_read() {
-    let mut few = Few::new(linked(engines(3)));
-    let (_, order) = few.ask_away();
+fn a_fetch_does_not_reduce_the_estimated_prefill() {
+    let mut scenario = Scenario::new(with_links(engines(3)));
+    let (_, order) = scenario.ask_with_busy_home();
     assert!(order.fetch_from.is_some());
-    assert_eq!(order.inputs.prefill_tokens, Tokens::new(WHOLE));
-    assert_eq!(order.inputs.backlog, u64::from(WHOLE));
+    assert_eq!(order.inputs.prefill_tokens, Tokens::new(PROMPT_TOKENS));
+    assert_eq!(order.inputs.backlog, u64::from(PROMPT_TOKENS));
 }
 
 /// Guards against copies that other hosts are told of although the engine refused the prompt.
 #[test]
-fn an_engine_that_refused_keeps_no_copy() {
-    let mut few = Few::new(linked(engines(3)));
-    let (request, refused) = few.ask_away();
-    few.host.pass(500);
-    few.host.take_notes();
-    let home = few.home.upstream.clone();
-    few.crowd(&[&home]);
+fn an_engine_that_refused_a_prompt_has_no_copy() {
+    let mut scenario = Scenario::new(with_links(engines(3)));
+    let (request, refused) = scenario.ask_with_busy_home();
+    scenario.host.pass(500);
+    scenario.host.take_notes();
+    let home = scenario.home.upstream.clone();
+    scenario.report_busy(&[&home]);
     let (cause, verdict) = (FailureCause::Busy, Verdict::NotRun);
-    let actions = few.host.fail(&refused, request, cause, verdict, false);
-    let again = sent(&actions).unwrap();
-    assert_ne!(again.upstream, refused.upstream);
-    assert_eq!(again.fetch_from, Some(few.home.address));
-    few.host.pass(2_000);
-    let notes = few.host.take_notes();
+    let actions = scenario.host.fail(&refused, request, cause, verdict, false);
+    let retry = sent(&actions).unwrap();
+    assert_ne!(retry.upstream, refused.upstream);
+    assert_eq!(retry.fetch_from, Some(scenario.home.address));
+    scenario.host.pass(2_000);
+    let notes = scenario.host.take_notes();
     let reads = notes.iter().flat_map(|(_, note)| &note.reads);
     assert!(reads.clone().all(|read| read.upstream != refused.upstream));
-    few.crowd(&[&home, &again.upstream]);
-    let (_, order) = few.ask();
+    scenario.report_busy(&[&home, &retry.upstream]);
+    let (_, order) = scenario.ask();
     assert_eq!(order.upstream, refused.upstream);
-    assert_eq!(order.inputs.prefill_tokens, Tokens::new(WHOLE));
-    assert_eq!(order.fetch_from, Some(few.home.address));
+    assert_eq!(order.inputs.prefill_tokens, Tokens::new(PROMPT_TOKENS));
+    assert_eq!(order.fetch_from, Some(scenario.home.address));
 }
 
 /// Guards against copies that end with the host that had them made.
 #[test]
-fn other_hosts_learn_of_copies() {
-    let mut few = Few::new(linked(engines(3)));
-    let (request, copy) = few.ask_away();
-    first_token(&mut few.host, request, &copy);
-    let mut hosts = [few.host, Host::new(1)];
-    hosts[1].read_directory(linked(engines(3)), &[]);
+fn other_hosts_learn_of_fetched_copies() {
+    let mut scenario = Scenario::new(with_links(engines(3)));
+    let (request, copy) = scenario.ask_with_busy_home();
+    first_token(&mut scenario.host, request, &copy);
+    let mut hosts = [scenario.host, Host::new(1)];
+    hosts[1].read_directory(with_links(engines(3)), &[]);
     for _ in 0..5 {
         hosts[0].pass(100);
         hosts[1].pass(100);
         exchange_notes(&mut hosts);
     }
     let [_, host] = hosts;
-    let home = few.home.clone();
-    let mut other = Few {
+    let home = scenario.home.clone();
+    let mut other = Scenario {
         home,
         host,
-        own: 10,
+        unique: 10,
     };
-    let mut left = linked(engines(3));
-    left.remove(&few.home.upstream);
-    other.host.read_directory(left, &[]);
-    other.crowd(&[&copy.upstream]);
+    let mut remaining = with_links(engines(3));
+    remaining.remove(&scenario.home.upstream);
+    other.host.read_directory(remaining, &[]);
+    other.report_busy(&[&copy.upstream]);
     let (_, order) = other.ask();
     assert_eq!(order.fetch_from, Some(copy.address));
 }
 
 /// Guards against a stream that waits for its whole prompt to be read anew when its engine is lost.
 #[test]
-fn a_stream_that_goes_on_elsewhere_fetches_its_shared_part() {
-    let mut few = Few::new(linked(engines(3)));
-    let (request, copy) = few.ask_away();
-    first_token(&mut few.host, request, &copy);
+fn a_resumed_stream_fetches_its_shared_part() {
+    let mut scenario = Scenario::new(with_links(engines(3)));
+    let (request, copy) = scenario.ask_with_busy_home();
+    first_token(&mut scenario.host, request, &copy);
     let (cause, verdict) = (FailureCause::Reset, Verdict::MayHaveRun);
-    let home = few.home.upstream.clone();
-    few.host.pass(500);
-    few.crowd(&[&home]);
-    let actions = few.host.fail(&copy, request, cause, verdict, true);
+    let home = scenario.home.upstream.clone();
+    scenario.host.pass(500);
+    scenario.report_busy(&[&home]);
+    let actions = scenario.host.fail(&copy, request, cause, verdict, true);
     let moved = sent(&actions).unwrap();
     assert_eq!(moved.resume_from, Some(copy.attempt));
     assert_ne!(moved.upstream, copy.upstream);
-    assert_eq!(moved.fetch_from, Some(few.home.address));
+    assert_eq!(moved.fetch_from, Some(scenario.home.address));
     assert_eq!(
         actions
             .iter()
@@ -510,37 +551,37 @@
 
 /// Guards against a document's home that serves its copies and none of its callers.
 #[test]
-fn few_transfers_of_a_host_are_under_way_from_one_source() {
-    let mut fast = linked(engines(3));
+fn a_host_limits_concurrent_transfers_from_one_source() {
+    let mut fast = with_links(engines(3));
     for upstream in fast.values_mut() {
         if let Upstream::Engine(engine) = upstream {
             engine.link = Bandwidth::megabits_per_s(5_500_000.0);
         }
     }
-    let mut few = Few::new(fast);
-    let orders: Vec<SendOrder> = (0..20).map(|_| few.ask_away().1).collect();
-    let from_home = |order: &&SendOrder| order.fetch_from == Some(few.home.address);
+    let mut scenario = Scenario::new(fast);
+    let orders: Vec<SendOrder> = (0..20).map(|_| scenario.ask_with_busy_home().1).collect();
+    let from_home = |order: &&SendOrder| order.fetch_from == Some(scenario.home.address);
     let fetches = orders.iter().filter(from_home);
     assert_eq!(fetches.count(), 4);
     // They are over after a while, whatever became of them.
-    few.host.pass(500);
-    let home = few.home.upstream.clone();
-    few.crowd(&[&home, &orders[0].upstream]);
-    assert_eq!(few.ask().1.fetch_from, Some(few.home.address));
+    scenario.host.pass(500);
+    let home = scenario.home.upstream.clone();
+    scenario.report_busy(&[&home, &orders[0].upstream]);
+    assert_eq!(scenario.ask().1.fetch_from, Some(scenario.home.address));
 }
 
 /// Guards against a fetch from another failure domain that takes longer than reading.
 #[test]
-fn a_source_in_another_failure_domain_must_be_sooner_all_the_same() {
+fn a_source_in_another_failure_domain_must_be_faster_than_prefill() {
     for (megabits_per_s, fetches) in [(550_000.0, true), (400_000.0, false)] {
-        let mut spread = linked(engines_of(&["north-a", "north-b"], 1));
+        let mut spread = with_links(engines_of(&["north-a", "north-b"], 1));
         for upstream in spread.values_mut() {
             if let Upstream::Engine(engine) = upstream {
                 engine.link = Bandwidth::megabits_per_s(megabits_per_s);
             }
         }
-        let mut few = Few::new(spread);
-        let order = few.ask_away().1;
+        let mut scenario = Scenario::new(spread);
+        let order = scenario.ask_with_busy_home().1;
         assert_eq!(order.fetch_from.is_some(), fetches, "{megabits_per_s}");
     }
 }
--- a/crates/policy/tests/installation/reach.rs
+++ b/crates/policy/tests/installation/reach.rs
@@ -12,53 +12,56 @@
 };
 
 /// Time after the begin of a cut from which hosts must serve as others do.
-const LEARNED: Duration = Duration::from_secs(3);
+const DETECTION_TIME: Duration = Duration::from_secs(3);
 
 /// Length of a cut.
-const CUT: Duration = Duration::from_secs(8);
+const CUT_DURATION: Duration = Duration::from_secs(8);
 
 /// Time in which a request that came last ends.
-const ENDED: Duration = Duration::from_secs(1);
+const REQUEST_DURATION: Duration = Duration::from_secs(1);
 
 /// Time in which all hosts have heard of each other.
-const ACQUAINTED: Duration = Duration::from_secs(5);
+const WARM_UP: Duration = Duration::from_secs(5);
 
 /// Requests a second at each host.
-const PER_HOST_S: f64 = 10.0;
+const REQUESTS_PER_HOST_S: f64 = 10.0;
 
 /// Part of what other hosts serve that hosts without a path must serve.
-const SERVED_PART: f64 = 0.9;
+const MIN_SERVED_SHARE: f64 = 0.9;
 
 /// Part of the first tries at hosts without a path that may fail.
-const FAILED_PART: f64 = 0.02;
+const MAX_FAILED_SHARE: f64 = 0.02;
 
 /// Plays a cut, and gives the moment at which it began.
-fn play(world: &mut World, hosts: &[usize], replicas: &[usize], refuses: bool) -> Time {
+fn play_cut(world: &mut World, hosts: &[usize], replicas: &[usize], refuses: bool) -> Time {
     let began = world.now;
-    world.cut(hosts, replicas, refuses, CUT);
-    world.pass(CUT, PER_HOST_S);
+    world.cut(hosts, replicas, refuses, CUT_DURATION);
+    world.pass(CUT_DURATION, REQUESTS_PER_HOST_S);
     began
 }
 
 /// First tries from the moment on at which hosts must have learned of a cut are served as well as
 /// they would be elsewhere.
-fn assert_served(world: &World, began: Time, hosts: &[usize], what: &str) {
-    let (from, until) = (began + LEARNED, began + CUT - ENDED);
+fn assert_served(world: &World, began: Time, hosts: &[usize], label: &str) {
+    let (from, until) = (
+        began + DETECTION_TIME,
+        began + CUT_DURATION - REQUEST_DURATION,
+    );
     let cut = world.tries(from, until, |host| hosts.contains(&host));
     let others = world.tries(from, until, |host| !hosts.contains(&host));
-    let part = |served: usize, all: usize| served as f64 / all.max(1) as f64;
-    let served = part(cut.served, cut.all);
-    assert!(cut.all > 0, "{what}: nothing was asked");
+    let share = |served: usize, all: usize| served as f64 / all.max(1) as f64;
+    let served = share(cut.served, cut.all);
+    assert!(cut.all > 0, "{label}: nothing was asked");
     assert!(
-        others.all == 0 || served >= SERVED_PART * part(others.served, others.all),
-        "{what}: {cut:?}, others {others:?}"
+        others.all == 0 || served >= MIN_SERVED_SHARE * share(others.served, others.all),
+        "{label}: {cut:?}, others {others:?}"
     );
-    assert!(1.0 - served <= FAILED_PART, "{what}: {cut:?}");
+    assert!(1.0 - served <= MAX_FAILED_SHARE, "{label}: {cut:?}");
 }
 
-fn acquainted(hosts: usize, seed: u64) -> World {
+fn warmed_up_world(hosts: usize, seed: u64) -> World {
     let mut world = World::new(hosts, seed);
-    world.pass(ACQUAINTED, PER_HOST_S);
+    world.pass(WARM_UP, REQUESTS_PER_HOST_S);
     world
 }
 
@@ -76,23 +79,23 @@
 }
 
 fn cuts_are_served(hosts: usize, refuses: bool) {
-    for (what, cut) in cuts_of(&World::new(hosts, 1)) {
-        let mut world = acquainted(hosts, 1);
-        let began = play(&mut world, &cut, &World::all_replicas(), refuses);
-        assert_served(&world, began, &cut, &format!("{hosts} hosts, {what}"));
+    for (label, cut) in cuts_of(&World::new(hosts, 1)) {
+        let mut world = warmed_up_world(hosts, 1);
+        let began = play_cut(&mut world, &cut, &World::all_replicas(), refuses);
+        assert_served(&world, began, &cut, &format!("{hosts} hosts, {label}"));
     }
 }
 
 /// Guards against callers of hosts that are cut off being served by nobody.
 #[test]
-fn hosts_without_a_path_serve_like_others_where_it_is_silent() {
+fn hosts_without_a_path_serve_like_others_where_packets_are_lost() {
     for hosts in [6, 22] {
         cuts_are_served(hosts, false);
     }
 }
 
 #[test]
-fn hosts_without_a_path_serve_like_others_where_it_refuses() {
+fn hosts_without_a_path_serve_like_others_where_connections_are_refused() {
     for hosts in [6, 22] {
         cuts_are_served(hosts, true);
     }
@@ -102,9 +105,9 @@
 #[test]
 fn many_hosts_without_a_path_serve_like_others() {
     for hosts in [66, 200] {
-        let mut world = acquainted(hosts, 3);
+        let mut world = warmed_up_world(hosts, 3);
         let cut = world.hosts_in(DOMAINS[1]);
-        let began = play(&mut world, &cut, &World::all_replicas(), false);
+        let began = play_cut(&mut world, &cut, &World::all_replicas(), false);
         assert_served(&world, began, &cut, &format!("{hosts} hosts"));
     }
 }
@@ -112,11 +115,11 @@
 /// Guards against a cut from some upstreams that is taken for one from all.
 #[test]
 fn a_host_without_a_path_to_some_upstreams_uses_its_own_paths_to_the_others() {
-    let mut world = acquainted(6, 5);
+    let mut world = warmed_up_world(6, 5);
     let some: Vec<usize> = (0..REPLICAS / 4).collect();
-    let began = play(&mut world, &[0, 1], &some, false);
+    let began = play_cut(&mut world, &[0, 1], &some, false);
     assert_served(&world, began, &[0, 1], "some upstreams");
-    let cut = world.tries(began, began + CUT, |host| host < 2);
+    let cut = world.tries(began, began + CUT_DURATION, |host| host < 2);
     assert!(world.through > 0, "no indirect path");
     assert!(world.through * 2 < cut.all, "{} of {cut:?}", world.through);
 }
@@ -124,12 +127,12 @@
 /// Guards against indirect paths that are kept when the own paths are restored.
 #[test]
 fn hosts_use_their_own_paths_again_within_a_second_after_a_cut() {
-    let mut world = acquainted(22, 7);
+    let mut world = warmed_up_world(22, 7);
     let cut: Vec<usize> = (0..7).collect();
-    play(&mut world, &cut, &World::all_replicas(), false);
-    world.pass(Duration::from_secs(1), PER_HOST_S);
+    play_cut(&mut world, &cut, &World::all_replicas(), false);
+    world.pass(Duration::from_secs(1), REQUESTS_PER_HOST_S);
     let before = world.through;
-    world.pass(Duration::from_secs(2), PER_HOST_S);
+    world.pass(Duration::from_secs(2), REQUESTS_PER_HOST_S);
     assert_eq!(world.through, before);
     for host in &world.hosts {
         assert!(host.controller.out_of_reach().is_empty());
@@ -139,31 +142,33 @@
 /// Guards against hosts that take upstreams which are down for a loss of their own paths.
 #[test]
 fn upstreams_that_no_host_reaches_are_not_out_of_reach_of_one() {
-    let mut world = acquainted(6, 9);
+    let mut world = warmed_up_world(6, 9);
     let all: Vec<usize> = (0..6).collect();
-    play(&mut world, &all, &[0, 1], false);
+    play_cut(&mut world, &all, &[0, 1], false);
     for host in &world.hosts {
         assert!(host.controller.out_of_reach().is_empty());
     }
-    let mut world = acquainted(6, 9);
-    play(&mut world, &all, &World::all_replicas(), true);
+    let mut world = warmed_up_world(6, 9);
+    play_cut(&mut world, &all, &World::all_replicas(), true);
     let began = world.now;
-    world.pass(Duration::from_secs(6), PER_HOST_S);
-    let after = world.tries(began + LEARNED, world.now - ENDED, |_| true);
+    world.pass(Duration::from_secs(6), REQUESTS_PER_HOST_S);
+    let after = world.tries(began + DETECTION_TIME, world.now - REQUEST_DURATION, |_| {
+        true
+    });
     assert_eq!(after.served, after.all);
 }
 
 /// Guards against hosts that wait for the one host through which they were served.
 #[test]
-fn a_host_that_ends_is_no_way_any_more() {
+fn a_stopped_host_is_no_longer_used_as_an_indirect_path() {
     for dead in 1..6 {
-        let mut world = acquainted(6, 11);
-        world.cut(&[0], &World::all_replicas(), false, CUT);
-        world.pass(LEARNED, PER_HOST_S);
+        let mut world = warmed_up_world(6, 11);
+        world.cut(&[0], &World::all_replicas(), false, CUT_DURATION);
+        world.pass(DETECTION_TIME, REQUESTS_PER_HOST_S);
         world.dead.insert(dead);
         let began = world.now;
-        world.pass(CUT - LEARNED, PER_HOST_S);
-        let tries = world.tries(began, world.now - ENDED, |host| host == 0);
+        world.pass(CUT_DURATION - DETECTION_TIME, REQUESTS_PER_HOST_S);
+        let tries = world.tries(began, world.now - REQUEST_DURATION, |host| host == 0);
         assert_eq!(tries.served, tries.all, "without host {dead}");
     }
 }
@@ -174,17 +179,17 @@
     for seed in 0..12 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let hosts = rng.random_range(4..16);
-        let mut world = acquainted(hosts, seed);
+        let mut world = warmed_up_world(hosts, seed);
         for number in 0..3 {
             let count = rng.random_range(1..hosts);
             let cut = (0..hosts).choose_multiple(&mut rng, count);
             let refuses = rng.random();
-            let began = play(&mut world, &cut, &World::all_replicas(), refuses);
-            let what = format!("seed {seed}, cut {number}, {hosts} hosts, {cut:?}, {refuses}");
-            assert_served(&world, began, &cut, &what);
+            let began = play_cut(&mut world, &cut, &World::all_replicas(), refuses);
+            let label = format!("seed {seed}, cut {number}, {hosts} hosts, {cut:?}, {refuses}");
+            assert_served(&world, began, &cut, &label);
             world.pass(
                 Duration::from_millis(rng.random_range(0..2_000)),
-                PER_HOST_S,
+                REQUESTS_PER_HOST_S,
             );
         }
     }
@@ -192,10 +197,10 @@
 
 /// Guards against bytes between failure domains where hosts of the own one have a path.
 #[test]
-fn the_way_leads_through_the_own_failure_domain_where_it_can() {
-    let mut world = acquainted(9, 13);
-    world.cut(&[0], &World::all_replicas(), false, CUT);
-    world.pass(LEARNED, PER_HOST_S);
+fn indirect_paths_prefer_the_own_failure_domain() {
+    let mut world = warmed_up_world(9, 13);
+    world.cut(&[0], &World::all_replicas(), false, CUT_DURATION);
+    world.pass(DETECTION_TIME, REQUESTS_PER_HOST_S);
     let (_, actions) = world.hosts[0].ask(Ask::call("lookup"));
     let paths = sent(&actions).unwrap().paths;
     let through = |host: &usize| paths.contains(&Path::Through(address(*host)));
@@ -233,7 +238,7 @@
 /// Guards against requests that wait for the kernel to take a peer for dead, where it is known that
 /// they could be answered elsewhere.
 #[test]
-fn requests_that_may_be_repeated_do_not_wait_on_a_lost_path() {
+fn idempotent_requests_do_not_wait_on_a_lost_path() {
     let mut host = Host::new(0);
     let (repeatable, actions) = host.ask(lookup());
     assert!(sent(&actions).is_some());
@@ -252,7 +257,7 @@
 
 /// Guards against giving up what another host carries.
 #[test]
-fn a_request_that_goes_through_another_host_is_not_given_up() {
+fn a_request_on_an_indirect_path_is_not_abandoned() {
     let mut host = Host::new(0);
     let (request, actions) = host.ask(lookup());
     let upstream = sent(&actions).unwrap().upstream;
--- a/crates/policy/tests/installation/refusals.rs
+++ b/crates/policy/tests/installation/refusals.rs
@@ -29,10 +29,10 @@
     running: Option<SendOrder>,
 }
 
-struct Play {
+struct Simulation {
     calls: BTreeMap<RequestId, Call>,
     /// Upstreams at which nobody listens any more.
-    ended: BTreeSet<UpstreamId>,
+    crashed: BTreeSet<UpstreamId>,
     host: Host,
     /// Number of the replicas that are listed.
     incarnation: u32,
@@ -40,19 +40,19 @@
     rng: SmallRng,
 }
 
-impl Play {
+impl Simulation {
     fn new(seed: u64) -> Self {
-        let mut play = Self {
+        let mut simulation = Self {
             calls: BTreeMap::new(),
-            ended: BTreeSet::new(),
+            crashed: BTreeSet::new(),
             host: Host::new(seed),
             incarnation: 0,
             reasons: BTreeSet::new(),
             rng: SmallRng::seed_from_u64(seed),
         };
-        play.change_directory();
-        play.host.actions.clear();
-        play
+        simulation.change_directory();
+        simulation.host.actions.clear();
+        simulation
     }
 
     fn step(&mut self) {
@@ -60,7 +60,7 @@
             0..=7 => self.ask(),
             8..=11 => self.fail(),
             12 => self.finish(),
-            13 => self.leave(),
+            13 => self.cancel(),
             14..=15 => self.notice(),
             16 => self.change_directory(),
             17 => self.host.pass(self.rng.random_range(100..2_500)),
@@ -90,8 +90,8 @@
         let running: Vec<_> = running
             .filter_map(|(id, call)| Some((*id, call.running.clone()?)))
             .collect();
-        let place = self.rng.random_range(0..running.len().max(1));
-        running.get(place).cloned()
+        let index = self.rng.random_range(0..running.len().max(1));
+        running.get(index).cloned()
     }
 
     fn fail(&mut self) {
@@ -113,7 +113,7 @@
             causes[self.rng.random_range(0..causes.len())]
         };
         if call.is_fatal {
-            self.ended.insert(order.upstream.clone());
+            self.crashed.insert(order.upstream.clone());
         }
         call.running = None;
         call.may_have_run |= verdict == Verdict::MayHaveRun;
@@ -129,11 +129,11 @@
     }
 
     /// A caller leaves, whatever its call waits for.
-    fn leave(&mut self) {
+    fn cancel(&mut self) {
         let waiting = self.calls.iter().filter(|(_, call)| !call.answered);
         let waiting: Vec<RequestId> = waiting.map(|(id, _)| *id).collect();
-        let place = self.rng.random_range(0..waiting.len().max(1));
-        if let Some(request) = waiting.get(place).copied() {
+        let index = self.rng.random_range(0..waiting.len().max(1));
+        if let Some(request) = waiting.get(index).copied() {
             let call = self.calls.get_mut(&request).unwrap();
             (call.running, call.answered) = (None, true);
             self.host.handle(Event::CallerGone { request });
@@ -193,15 +193,17 @@
     fn check(&mut self) {
         while !self.host.actions.is_empty() {
             let actions = std::mem::take(&mut self.host.actions);
-            actions.into_iter().for_each(|action| self.look(action));
+            actions
+                .into_iter()
+                .for_each(|action| self.check_action(action));
         }
     }
 
-    fn look(&mut self, action: Action) {
+    fn check_action(&mut self, action: Action) {
         match action {
             // Whoever breaks a connection has ended.
             Action::CheckListening { upstream, .. } => {
-                let listening = match self.ended.remove(&upstream) {
+                let listening = match self.crashed.remove(&upstream) {
                     true => Listening::No,
                     false => Listening::Yes,
                 };
@@ -236,14 +238,14 @@
 
 /// Guards against a final answer that says not-run of a call that ran, runs or runs later.
 #[test]
-fn no_call_runs_that_was_refused() {
+fn final_answers_match_whether_a_call_ran() {
     let mut reasons = BTreeSet::new();
     for seed in 0..SEEDS {
-        let mut play = Play::new(seed);
-        (0..STEPS).for_each(|_| play.step());
-        play.host.pass(20_000);
-        play.check();
-        reasons.extend(play.reasons);
+        let mut simulation = Simulation::new(seed);
+        (0..STEPS).for_each(|_| simulation.step());
+        simulation.host.pass(20_000);
+        simulation.check();
+        reasons.extend(simulation.reasons);
     }
     for reason in [
         RefusalReason::ConfigurationStale,
--- a/crates/policy/tests/installation/retries_of_many.rs
+++ b/crates/policy/tests/installation/retries_of_many.rs
@@ -12,7 +12,7 @@
 const RATIO: f64 = 0.2;
 
 /// A host of an installation of so many, whose hosts may make so many retries beyond the ratio.
-fn host(number: u64, hosts: usize, retry_extra: u32) -> Host {
+fn new_host(number: u64, hosts: usize, retry_extra: u32) -> Host {
     let mut host = Host::new(number);
     host.handle(Event::RulesChanged(RelayRules {
         apply_limit: APPLY_LIMIT,
@@ -27,7 +27,7 @@
     host
 }
 
-fn pass_in_touch(host: &mut Host, span: Duration) {
+fn pass_with_confirmed_configuration(host: &mut Host, span: Duration) {
     let end = host.now + span;
     while host.now < end {
         host.pass(500);
@@ -37,7 +37,7 @@
 }
 
 /// Whether a call is sent again whose first attempt fails.
-fn repeats(host: &mut Host) -> bool {
+fn is_retried(host: &mut Host) -> bool {
     let (id, actions) = host.ask(lookup());
     let first = sent(&actions).unwrap();
     let actions = host.fail(
@@ -58,46 +58,46 @@
 /// used: two calls in ten seconds at each of a thousand hosts, and one of seven answers is an
 /// error.
 #[test]
-fn a_host_with_few_requests_repeats_the_one_that_fails() {
-    let mut host = host(0, 985, 1_040);
-    pass_in_touch(&mut host, WINDOW);
-    let mut repeated = 0;
+fn a_host_with_few_requests_retries_a_failed_one() {
+    let mut host = new_host(0, 985, 1_040);
+    pass_with_confirmed_configuration(&mut host, WINDOW);
+    let mut retried = 0;
     for number in 0..42 {
         if number % 7 == 3 {
-            repeated += usize::from(repeats(&mut host));
+            retried += usize::from(is_retried(&mut host));
         } else {
             let (id, actions) = host.ask(lookup());
             host.finish(&sent(&actions).unwrap(), id);
         }
-        pass_in_touch(&mut host, Duration::from_secs(5));
+        pass_with_confirmed_configuration(&mut host, Duration::from_secs(5));
     }
-    assert_eq!(repeated, 6);
+    assert_eq!(retried, 6);
 }
 
 /// Guards against more retries than the installation allows when all hosts need them at once,
 /// and half of them have just started again.
 #[test]
-fn all_hosts_together_stay_within_the_budget() {
+fn all_hosts_together_stay_within_the_retry_budget() {
     const HOSTS: u64 = 200;
     const EXTRA: u32 = 212;
     const CALLS: usize = 4;
-    let (mut asked, mut repeated) = (0_u32, 0_u32);
+    let (mut asked, mut retried) = (0_u32, 0_u32);
     let mut fail_all = |host: &mut Host| {
         for _ in 0..CALLS {
             asked += 1;
-            repeated += u32::from(repeats(host));
+            retried += u32::from(is_retried(host));
             host.pass(100);
         }
     };
     for number in 0..HOSTS {
-        let mut aged = host(number, HOSTS as usize, EXTRA);
-        pass_in_touch(&mut aged, WINDOW);
-        fail_all(&mut aged);
+        let mut long_running = new_host(number, HOSTS as usize, EXTRA);
+        pass_with_confirmed_configuration(&mut long_running, WINDOW);
+        fail_all(&mut long_running);
         if number % 2 == 0 {
-            fail_all(&mut host(number, HOSTS as usize, EXTRA));
+            fail_all(&mut new_host(number, HOSTS as usize, EXTRA));
         }
     }
     let allowed = RATIO * f64::from(asked) + f64::from(EXTRA);
-    assert!(f64::from(repeated) <= allowed, "{repeated} of {allowed}");
-    assert!(u64::from(repeated) >= HOSTS, "only {repeated}");
+    assert!(f64::from(retried) <= allowed, "{retried} of {allowed}");
+    assert!(u64::from(retried) >= HOSTS, "only {retried}");
 }
--- a/crates/policy/tests/installation/served_replica.rs
+++ b/crates/policy/tests/installation/served_replica.rs
@@ -7,39 +7,39 @@
 };
 
 /// Span in which rejections are counted.
-const REJECTIONS_SPAN: Duration = Duration::from_secs(1);
+const REJECTION_WINDOW: Duration = Duration::from_secs(1);
 
 /// Time for which a replica is down that fell over.
-const DOWN: Duration = Duration::from_secs(4);
+const DOWNTIME: Duration = Duration::from_secs(4);
 
 /// A request at a replica.
 #[derive(Clone, Debug)]
-pub struct Visit {
+pub struct ReplicaRequest {
     pub host: usize,
     pub order: Box<SendOrder>,
     pub request: RequestId,
 }
 
 /// What becomes of a request that arrives.
-pub enum Arrived {
+pub enum Admission {
     /// The replica has fallen over; these requests were there.
-    Falls(Vec<Visit>),
-    Rejected(Visit),
-    Runs,
-    Waits,
+    Crashed(Vec<ReplicaRequest>),
+    Rejected(ReplicaRequest),
+    Started,
+    Queued,
 }
 
 #[derive(Debug, Default)]
 pub struct ServedReplica {
     /// Rejections a second that it bears, if it is brittle.
-    pub brittle: Option<f64>,
+    pub rejection_limit_per_s: Option<f64>,
     pub down_until: Time,
-    pub falls: usize,
+    pub crashes: usize,
     pub max_waiting: usize,
     rejections: VecDeque<Time>,
-    pub running: Vec<Visit>,
+    pub running: Vec<ReplicaRequest>,
     pub slots: usize,
-    waiting: VecDeque<Visit>,
+    waiting: VecDeque<ReplicaRequest>,
 }
 
 impl ServedReplica {
@@ -55,38 +55,43 @@
         now < self.down_until
     }
 
-    pub fn arrive(&mut self, visit: Visit, now: Time) -> Arrived {
+    pub fn arrive(&mut self, request: ReplicaRequest, now: Time) -> Admission {
         if self.running.len() < self.slots {
-            self.running.push(visit);
-            return Arrived::Runs;
+            self.running.push(request);
+            return Admission::Started;
         }
         if self.waiting.len() < self.max_waiting {
-            self.waiting.push_back(visit);
-            return Arrived::Waits;
+            self.waiting.push_back(request);
+            return Admission::Queued;
         }
         self.rejections.push_back(now);
         self.rejections
-            .retain(|at| now.since(*at) < REJECTIONS_SPAN);
-        let falls = self
-            .brittle
-            .is_some_and(|brittle| self.rejections.len() as f64 > brittle);
-        if !falls {
-            return Arrived::Rejected(visit);
+            .retain(|at| now.since(*at) < REJECTION_WINDOW);
+        let crashes = self
+            .rejection_limit_per_s
+            .is_some_and(|limit| self.rejections.len() as f64 > limit);
+        if !crashes {
+            return Admission::Rejected(request);
         }
-        self.falls += 1;
-        self.down_until = now + DOWN;
+        self.crashes += 1;
+        self.down_until = now + DOWNTIME;
         self.rejections.clear();
-        let mut there = std::mem::take(&mut self.running);
-        there.extend(std::mem::take(&mut self.waiting));
-        there.push(visit);
-        Arrived::Falls(there)
+        let mut interrupted = std::mem::take(&mut self.running);
+        interrupted.extend(std::mem::take(&mut self.waiting));
+        interrupted.push(request);
+        Admission::Crashed(interrupted)
     }
 
     /// Ends a request that runs; gives the one that runs in its place.
-    pub fn finish(&mut self, host: usize, attempt: AttemptId) -> Option<(Visit, Option<Visit>)> {
+    pub fn finish(
+        &mut self,
+        host: usize,
+        attempt: AttemptId,
+    ) -> Option<(ReplicaRequest, Option<ReplicaRequest>)> {
         let mut running = self.running.iter();
-        let is_meant = |visit: &Visit| visit.host == host && visit.order.attempt == attempt;
-        let place = running.position(is_meant)?;
+        let is_same =
+            |request: &ReplicaRequest| request.host == host && request.order.attempt == attempt;
+        let place = running.position(is_same)?;
         let ended = self.running.swap_remove(place);
         let next = self.waiting.pop_front();
         self.running.extend(next.clone());
--- a/crates/policy/tests/installation/service_world.rs
+++ b/crates/policy/tests/installation/service_world.rs
@@ -4,7 +4,7 @@
 
 use {
     crate::{
-        served_replica::{Arrived, ServedReplica, Visit},
+        served_replica::{Admission, ReplicaRequest, ServedReplica},
         support::{Ask, Host, address},
     },
     config::{ServiceReplica, Upstream},
@@ -82,7 +82,7 @@
     },
     Reaches {
         replica: usize,
-        visit: Visit,
+        visit: ReplicaRequest,
     },
 }
 
@@ -191,7 +191,7 @@
     pub fn make_brittle(&mut self, replicas: &[usize], rejections_per_s: Option<f64>) {
         for replica in replicas {
             let replica = &mut self.replicas[*replica];
-            replica.brittle = rejections_per_s;
+            replica.rejection_limit_per_s = rejections_per_s;
             replica.max_waiting = if rejections_per_s.is_some() {
                 0
             } else {
@@ -201,7 +201,7 @@
     }
 
     pub fn falls(&self) -> usize {
-        self.replicas.iter().map(|replica| replica.falls).sum()
+        self.replicas.iter().map(|replica| replica.crashes).sum()
     }
 
     /// Requests that arrived in a span at hosts for which something holds.
@@ -274,21 +274,21 @@
         }
     }
 
-    fn reach(&mut self, replica: usize, visit: Visit) {
+    fn reach(&mut self, replica: usize, visit: ReplicaRequest) {
         let (host, attempt) = (visit.host, visit.order.attempt);
         match self.replicas[replica].arrive(visit, self.now) {
-            Arrived::Falls(there) => {
+            Admission::Crashed(there) => {
                 for visit in there {
                     let failed = failed(FailureCause::Reset, Verdict::MayHaveRun);
                     self.end(visit, failed, CONNECT);
                 }
             }
-            Arrived::Rejected(visit) => {
+            Admission::Rejected(visit) => {
                 self.say(replica, &visit);
                 self.end(visit, failed(FailureCause::Busy, Verdict::NotRun), CONNECT);
             }
-            Arrived::Runs => self.run(replica, host, attempt),
-            Arrived::Waits => {}
+            Admission::Started => self.run(replica, host, attempt),
+            Admission::Queued => {}
         }
     }
 
@@ -321,8 +321,10 @@
     }
 
     /// Tells a host what the replica says of itself in the answer to a request.
-    fn say(&mut self, replica: usize, visit: &Visit) {
-        let brittle = self.replicas[replica].brittle.and_then(Rate::per_second);
+    fn say(&mut self, replica: usize, visit: &ReplicaRequest) {
+        let brittle = self.replicas[replica]
+            .rejection_limit_per_s
+            .and_then(Rate::per_second);
         if brittle.is_none() && visit.order.inputs.rejection_limit.is_none() {
             return;
         }
@@ -337,8 +339,8 @@
         self.happens(CONNECT, visit.host, event);
     }
 
-    fn end(&mut self, visit: Visit, end: AttemptEnd, after: Duration) {
-        let Visit {
+    fn end(&mut self, visit: ReplicaRequest, end: AttemptEnd, after: Duration) {
+        let ReplicaRequest {
             host,
             order,
             request,
@@ -422,7 +424,7 @@
         };
         self.happens(span, host, event);
         let replica = number_of_replica(&order.upstream);
-        let visit = Visit {
+        let visit = ReplicaRequest {
             host,
             order: Box::new(order),
             request,
