--- a/crates/policy/tests/installation/newer_configuration.rs
+++ b/crates/policy/tests/installation/newer_configuration.rs
@@ -1,5 +1,5 @@
-//! How a host gets a version of the configuration that it has learned of, and what it does
-//! while it has not.
+//! How a host fetches a configuration version that it has been notified of, and how it answers
+//! requests until it has that version.
 
 use {
     crate::support::{APPLY_LIMIT, Ask, Host, address, lookup, refused, sent},
@@ -12,10 +12,10 @@
     types::prelude::*,
 };
 
-/// Hosts that one host hands the configuration to at one time.
+/// Hosts that one host hands the configuration to at the same time.
 const MAX_TRANSFERS_PER_HOST: usize = 4;
 
-/// Time for handing 0.13 MB over a link of 10 Mbit/s, and for unpacking it on 0.12 of a core.
+/// Time to transfer 0.13 MB over a link of 10 Mbit/s and to unpack it on 0.12 of a core.
 const TRANSFER_MS: u64 = 250;
 
 fn advertised(from: usize, version: u64) -> Event {
@@ -45,16 +45,16 @@
     host.handle(Event::ConfigurationConfirmed { as_of });
 }
 
-/// Symptom: each host reads a large document over its own thin link. Events: the store
-/// begins to send one, and another host has it already. Cause: other hosts are asked only
-/// once the store has sent nothing for 2.2 s.
+/// Guards against every host reading a large configuration over its own slow link to the store,
+/// although another host has it already. This happens if a host asks other hosts only after the
+/// store has sent nothing for 2.2 s.
 #[test]
 fn fetches_from_another_host_once_the_store_announces_a_large_version() {
     let mut host = Host::new(0);
     assert_eq!(
         fetch_address(&host.handle(advertised(3, 2))),
         None,
-        "the store brings it"
+        "the store is expected to send version 2"
     );
     let actions = host.handle(Event::ConfigurationAnnounced);
     assert_eq!(fetch_address(&actions), Some(address(3)));
@@ -67,7 +67,7 @@
     assert_eq!(
         fetch_address(&host.handle(advertised(3, 1))),
         None,
-        "it has this one"
+        "the host has version 1 already"
     );
     assert_eq!(
         fetch_address(&host.handle(advertised(3, 2))),
@@ -75,10 +75,9 @@
     );
 }
 
-/// Symptom: a change is in force two seconds later on most hosts of a large domain, or each
-/// of them reads it from the store. Events: the host that this one asks in place of the
-/// store tells of a newer version. Cause: the store is expected to bring it, which this
-/// host does not ask.
+/// Guards against a delay of two seconds at most hosts of a large failure domain, or against each
+/// of them reading a change from the store. This happens if a host that polls another host in
+/// place of the store waits for the store after that other host reports a newer version.
 #[test]
 fn fetches_at_once_a_newer_version_of_the_host_that_stands_in_for_the_store() {
     let newer_at_peer = |version| Event::NewerConfigurationAtPeer {
@@ -95,18 +94,17 @@
     assert_eq!(
         fetch_address(&host.handle(newer_at_peer(1))),
         None,
-        "it has this one"
+        "the host has version 1 already"
     );
     assert_eq!(
         fetch_address(&host.handle(advertised(4, 2))),
         None,
-        "an older word says nothing of what comes next"
+        "a report of version 1 does not announce version 2"
     );
 }
 
-/// Symptom: fetches fail on most hosts, while one host sends all that its link takes.
-/// Events: a host that all have learned of is asked by all of them. Cause: the host that was
-/// learned of first is asked, again and again.
+/// Guards against all hosts asking the host that they heard of first, again and again. The link of
+/// that host is then saturated, and the fetches of most hosts fail.
 #[test]
 fn asks_hosts_in_random_order_and_a_busy_one_again_later() {
     let first = |seed| {
@@ -117,7 +115,7 @@
         fetch_address(&host.handle(Event::ConfigurationAnnounced)).unwrap()
     };
     let asked: BTreeSet<SocketAddr> = (0..40).map(first).collect();
-    assert_eq!(asked.len(), 4, "all are asked");
+    assert_eq!(asked.len(), 4, "some hosts are never asked");
 
     let mut host = Host::new(0);
     host.handle(advertised(2, 2));
@@ -133,12 +131,12 @@
     host.pass(150);
     assert!(
         fetch_address(&host.actions).is_some(),
-        "a busy one is soon free"
+        "a busy host is not asked again"
     );
 }
 
-/// Symptom: the same document is handed over twice. Events: it has arrived, and is being
-/// unpacked and read. Cause: the end of a fetch is taken for the end of the need.
+/// Guards against fetching the same version twice. This happens if the end of a fetch counts as
+/// the installation of the version, which must still be unpacked and read.
 #[test]
 fn does_not_fetch_again_while_a_received_version_is_being_read() {
     let mut host = Host::new(0);
@@ -154,9 +152,8 @@
     assert_eq!(fetch_address(&host.actions), None);
 }
 
-/// Symptom: a large answer of the store makes a host ask others although nothing is new.
-/// Events: the store has lost its history, and the table is read whole. Cause: what is
-/// large is taken for new.
+/// Guards against fetches from other hosts when nothing is new. After the store has lost its
+/// history, its table is read whole, and this large answer must not count as a new version.
 #[test]
 fn forgets_an_announcement_once_the_store_has_nothing_newer() {
     let mut host = Host::new(0);
@@ -165,9 +162,8 @@
     assert_eq!(fetch_address(&host.handle(advertised(3, 2))), None);
 }
 
-/// Symptom: callers without a key are served by a version that was replaced seconds ago.
-/// Events: a host learns of a newer version and does not get it. Cause: only keys are
-/// refused when the configuration may be outdated.
+/// Guards against serving callers without a key by a version that was replaced seconds ago. This
+/// happens if a host that cannot get the newer version refuses only callers with a key.
 #[test]
 fn refuses_requests_once_its_version_has_been_outdated_for_too_long() {
     let mut host = Host::new(0);
@@ -187,16 +183,16 @@
     }
     assert!(
         !host.controller.is_configuration_current(host.now),
-        "others take its callers"
+        "other hosts must take over its callers"
     );
 
     host.read_version(2);
     assert!(sent(&host.ask(Ask::open("lookup")).1).is_some());
 }
 
-/// Symptom: a caller whose key was just added learns that it has none, and does not come
-/// back. Events: one host has the new version, another has only learned of it. Cause: the
-/// version before decides what is denied.
+/// Guards against rejecting a key that was just added, after which the caller does not retry. This
+/// happens if a host that knows of a newer version, but does not have it, rejects keys by its
+/// older version.
 #[test]
 fn does_not_reject_a_key_that_a_newer_version_may_have_added() {
     let mut host = Host::new(0);
@@ -218,18 +214,18 @@
     host.list_hosts(380);
     let actions = host.handle(Event::ConfigurationPacked(ConfigVersion::new(1)));
     let Some(Action::SendVersionNote { note, to }) = actions.first() else {
-        panic!("nobody is notified: {actions:?}");
+        panic!("no host is notified: {actions:?}");
     };
     assert_eq!(note.version, ConfigVersion::new(1));
     assert_eq!(to.iter().collect::<BTreeSet<_>>().len(), 8);
     assert!(!to.contains(&address(0)));
 }
 
-/// Hosts that hand a configuration to each other; the store gives it to a few only.
+/// Hosts that hand a configuration to each other. The store sends it to only a few of them.
 struct Fleet {
-    /// Hosts that are being handed it: by whom, and until when.
+    /// Transfers by receiving host: the sending host, and the time at which the transfer ends.
     transfers: BTreeMap<usize, (usize, Time)>,
-    /// How many each one has handed it to at one time, at the most.
+    /// The largest number of concurrent transfers from one host.
     peak_transfers_per_host: usize,
     hosts: Vec<Host>,
 }
@@ -315,9 +311,9 @@
     }
 }
 
-/// At the size that is designed for, a version that three hosts have read from the store is
-/// everywhere within a part of the 7 s that a change may take, and no host hands it to more
-/// than a few others at one time.
+/// Guards against slow or uneven distribution at the largest supported size. A version that three
+/// hosts have read from the store must reach all hosts well within the 7 s that a change may take,
+/// and no host may hand it to more than a few others at the same time.
 #[test]
 fn a_version_reaches_380_hosts_from_three_of_them() {
     let mut fleet = Fleet::new(380);
@@ -328,7 +324,7 @@
     while !(0..380).all(|host| fleet.has_new_version(host)) {
         fleet.step();
         passed_ms += 10;
-        assert!(passed_ms <= 2_500, "not everywhere after {passed_ms} ms");
+        assert!(passed_ms <= 2_500, "not at all hosts after {passed_ms} ms");
     }
     assert!(fleet.peak_transfers_per_host <= MAX_TRANSFERS_PER_HOST);
 }
--- a/crates/policy/tests/installation/notices.rs
+++ b/crates/policy/tests/installation/notices.rs
@@ -1,5 +1,5 @@
-//! What upstreams say of themselves in their answers: that they leave, and that they want
-//! nothing for a while.
+//! Notices that upstreams send in their answers: that they are leaving, and that they ask for a
+//! backoff.
 
 use {
     crate::{
@@ -11,8 +11,8 @@
     types::{AdvertisedBackoff, prelude::*},
 };
 
-/// Time after an answer's word of leaving from which an upstream gets nothing more, by the
-/// installations' strictest bound.
+/// Time after a leaving notice from which the upstream gets no more requests. This is the
+/// strictest bound that an installation may set.
 const DRAIN_LIMIT: Duration = Duration::from_secs(2);
 
 fn receive_notice(host: &mut Host, upstream: &str, notice: UpstreamNotice) -> Vec<Action> {
@@ -24,14 +24,14 @@
     })
 }
 
-/// Lets time pass while the configuration is known to be the newest.
+/// Lets time pass while the configuration is confirmed to be the newest.
 fn pass_with_confirmed_configuration(host: &mut Host, ms: u64) {
     host.pass(ms);
     let as_of = host.now;
     host.handle(Event::ConfigurationConfirmed { as_of });
 }
 
-/// How often some actions announce to others that upstreams leave.
+/// Counts the actions that announce leaving upstreams to other hosts.
 fn count_leaving_announcements(actions: &[Action]) -> usize {
     let announced = actions.iter().filter(
         |action| matches!(action, Action::SendUpstreamNote { note, .. } if !note.leaving.is_empty()),
@@ -53,7 +53,7 @@
     }
 }
 
-/// Sends a call every 20 ms for a span, each answered at once, and counts where they went.
+/// Sends a call every 20 ms for `span`, finishes each at once, and counts the calls by upstream.
 fn calls_by_upstream(host: &mut Host, span: Duration) -> BTreeMap<String, usize> {
     let end = host.now + span;
     let mut counts = BTreeMap::new();
@@ -68,7 +68,7 @@
     counts
 }
 
-/// Guards against requests to an upstream that leaves, where only its answers tell.
+/// Guards against requests to a leaving upstream if only its answers say that it leaves.
 #[test]
 fn an_upstream_that_announces_leaving_in_an_answer_gets_no_more_requests() {
     let mut host = Host::new(0);
@@ -79,7 +79,8 @@
     assert_eq!(counts.get("shop-0"), None, "{counts:?}");
 }
 
-/// Guards against an entry that lapses and returns, and so makes a leaving upstream a new one.
+/// Guards against treating a leaving upstream as a new one when its directory entry lapses and
+/// returns.
 #[test]
 fn a_leaving_upstream_stays_leaving_when_its_entry_returns() {
     let mut host = Host::new(0);
@@ -93,7 +94,7 @@
     assert_eq!(counts.get("shop-0"), None, "{counts:?}");
 }
 
-/// Guards against an older copy of the directory that takes a leaving back.
+/// Guards against an older copy of the directory that cancels the leaving state.
 #[test]
 fn an_upstream_that_was_listed_as_leaving_stays_leaving() {
     let mut host = Host::new(0);
@@ -129,7 +130,7 @@
     assert!(counts.contains_key("shop-0@2"), "{counts:?}");
 }
 
-/// Guards against a repeated request that goes where only first attempts are kept away.
+/// Guards against retries to a leaving upstream if only first attempts avoid it.
 #[test]
 fn retries_and_resumed_streams_avoid_a_leaving_upstream() {
     for number in 0..20 {
@@ -163,7 +164,7 @@
     }
 }
 
-/// Guards against a queued request that is sent by what was known when it came.
+/// Guards against sending a queued request by the state that was known when the request arrived.
 #[test]
 fn a_queued_request_is_not_sent_to_an_upstream_that_starts_leaving() {
     let mut host = Host::new(0);
@@ -186,7 +187,7 @@
     assert_eq!(sent(&host.actions), None);
 }
 
-/// Guards against callers who wait until their deadline for upstreams that all leave.
+/// Guards against callers that wait until their deadline while all upstreams are leaving.
 #[test]
 fn requests_are_refused_at_their_first_token_target_while_all_upstreams_leave() {
     let mut host = Host::new(0);
@@ -196,7 +197,7 @@
     }
     let (_, actions) = host.ask(lookup());
     assert_eq!(sent(&actions), None);
-    // The class's first token is due after half a second.
+    // The first token of this class is due after 500 ms.
     host.pass(480);
     assert_eq!(refused(&host.actions), None);
     host.pass(40);
@@ -207,7 +208,8 @@
     assert_eq!(sent(&host.actions), None);
 }
 
-/// Guards against refusals where an upstream is listed a moment after the last one left.
+/// Guards against refusing a request although an upstream is listed shortly after the last one
+/// left.
 #[test]
 fn a_queued_request_goes_to_an_upstream_that_is_listed_after_all_others_left() {
     let mut host = Host::new(0);
@@ -241,7 +243,10 @@
     host.pass(2_000);
     assert_eq!(count_leaving_announcements(&host.actions), 3);
     let actions = receive_notice(&mut host, "shop-0", leaving());
-    assert!(actions.is_empty(), "the same word is no news");
+    assert!(
+        actions.is_empty(),
+        "a repeated notice is not announced again"
+    );
 }
 
 #[test]
@@ -255,7 +260,7 @@
     assert_eq!(count_leaving_announcements(&host.actions), 0);
 }
 
-/// Guards against hosts that each learn of a leaving by a request of their own.
+/// Guards against each host learning that an upstream leaves only by a request of its own.
 #[test]
 fn a_leaving_notice_to_one_host_applies_to_all_hosts() {
     for hosts in [6, 66, 195] {
@@ -274,13 +279,14 @@
         assert_eq!(fleet.after_left(&replica(0), Duration::ZERO), 0);
         let counts = fleet.of("lookup");
         assert_eq!(counts.refused, 0, "{hosts} hosts");
-        // Two more times by the host that was notified first, and the usual notes.
+        // The host that received the notice repeats it twice; the rest are the usual notes.
         let datagrams_per_host = (fleet.datagrams - datagrams) as f64 / hosts as f64;
-        println!("{hosts} hosts: {datagrams_per_host} datagrams each in 3 s");
+        println!("{hosts} hosts: {datagrams_per_host} datagrams per host in 3 s");
     }
 }
 
-/// Guards against requests of hosts that another one's word does not reach.
+/// Guards against requests to a leaving upstream from hosts that no notice of another host
+/// reaches.
 #[test]
 fn a_leaving_notice_applies_to_each_host_that_receives_it_though_datagrams_are_lost() {
     let mut fleet = Fleet::new(20, 4, 3);
@@ -293,7 +299,7 @@
     assert_eq!(fleet.of("lookup").refused, 0);
 }
 
-/// Guards against requests to an upstream that has refused one and wants nothing for a while.
+/// Guards against requests to an upstream that refused a request and asked for a backoff.
 #[test]
 fn an_upstream_that_asks_for_a_backoff_gets_nothing_until_its_end() {
     let mut host = Host::new(0);
@@ -302,7 +308,7 @@
     assert_eq!(counts.get("shop-0"), None, "{counts:?}");
 }
 
-/// Guards against a pause that a refusal makes shorter which names a shorter one, or none.
+/// Guards against a later refusal with a shorter backoff, or none, that shortens a backoff.
 #[test]
 fn the_longest_backoff_counts() {
     let mut host = Host::new(0);
@@ -313,7 +319,7 @@
     assert_eq!(counts.get("shop-0"), None, "{counts:?}");
 }
 
-/// Guards against an entry that lapses and returns, and so ends a backoff.
+/// Guards against ending a backoff when the directory entry lapses and returns.
 #[test]
 fn a_backoff_survives_a_directory_entry_that_lapses_and_returns() {
     let mut host = Host::new(0);
@@ -335,7 +341,7 @@
     assert!(counts["shop-0"] > 5, "{counts:?}");
 }
 
-/// Guards against an upstream that is shut out for ever, as it named a huge number by mistake.
+/// Guards against excluding an upstream forever that sent a huge backoff by mistake.
 #[test]
 fn a_backoff_of_days_ends_after_five_minutes() {
     let mut host = Host::new(0);
@@ -360,7 +366,7 @@
     }
 }
 
-/// Guards against a backoff that is taken for a failure, so that the upstream is ejected.
+/// Guards against counting a backoff as a failure, which would eject the upstream.
 #[test]
 fn upstreams_that_refuse_are_not_ejected() {
     let mut host = Host::new(0);
@@ -377,7 +383,7 @@
     assert!(host.controller.ejected().is_empty());
 }
 
-/// Guards against callers who wait for upstreams that want nothing until it is too late.
+/// Guards against callers that wait for a backoff that ends after their deadline.
 #[test]
 fn a_request_is_refused_at_once_where_all_backoffs_end_too_late() {
     let mut host = Host::new(0);
@@ -421,7 +427,7 @@
     }
 }
 
-/// Guards against a queue that empties into an upstream that has just come back.
+/// Guards against sending the whole queue at once to an upstream whose backoff has just ended.
 #[test]
 fn after_a_backoff_one_request_at_a_time_is_sent_until_one_is_accepted() {
     let mut host = Host::new(0);
@@ -445,7 +451,7 @@
     assert_eq!(orders(&host), 4);
 }
 
-/// Guards against a probe that an upstream gets while it wants nothing.
+/// Guards against a probe to an ejected upstream during its backoff.
 #[test]
 fn an_upstream_is_not_probed_during_its_backoff() {
     let mut host = Host::new(0);
@@ -480,7 +486,7 @@
     assert_eq!(probes(&host), 1);
 }
 
-/// Guards against hosts that each send again before their backoff ends, counted where requests
+/// Guards against hosts that send a request before their backoff ends, counted where requests
 /// arrive.
 #[test]
 fn refusing_upstreams_get_no_requests_during_a_backoff() {
@@ -491,8 +497,8 @@
         fleet.refusing.insert(replica(0), Duration::from_secs(2));
         fleet.pass(Duration::from_secs(3), &load);
         assert_eq!(fleet.most_in_backoff(), 0, "{hosts} hosts");
-        // A repeat at another replica needs a token of the retry budget, of which each of many
-        // hosts has a small part; who is not refused is never held up.
+        // A retry at another replica needs a token of the retry budget, and each of many hosts has
+        // only a small part of this budget. Requests that are not refused must not be delayed.
         let counts = fleet.of("lookup");
         assert!(
             counts.refused * 100 <= counts.sent,
@@ -507,7 +513,8 @@
     }
 }
 
-/// Guards against hosts that were refused together and return together.
+/// Guards against a burst of requests when hosts that were refused at the same time retry at the
+/// same time.
 #[test]
 fn hosts_that_were_refused_together_do_not_retry_together() {
     const HOSTS: usize = 195;
@@ -536,6 +543,6 @@
         .max();
     assert!(
         busiest_100_ms.unwrap() < HOSTS / 3,
-        "{busiest_100_ms:?} in a tenth of a second"
+        "{busiest_100_ms:?} requests within 100 ms"
     );
 }
--- a/crates/policy/tests/installation/overload.rs
+++ b/crates/policy/tests/installation/overload.rs
@@ -1,5 +1,5 @@
-//! Many hosts that learn nothing of each other, before engines with few places that refuse
-//! what does not fit.
+//! Many hosts that exchange no notes send prompts to engines with few slots. The engines refuse
+//! prompts that exceed their slots and queue.
 
 use {
     crate::support::{Ask, Host, engines},
@@ -11,27 +11,27 @@
 const HOSTS: usize = 24;
 const ENGINES: usize = 30;
 
-/// Prompts that an engine works on at a time, and that wait there beyond those.
+/// Prompts that an engine runs at the same time, and prompts that wait in its queue.
 const SLOTS: usize = 8;
 const MAX_WAITING: usize = 4;
 
-/// Time of one step of the world.
+/// Length of one simulation step.
 const STEP_MS: u64 = 10;
 
-/// Classes, the most urgent first: what they are called, which team sends them, the time that
-/// one takes an engine, and the time between two at one host.
+/// Classes in order of urgency: the name, the key of the sending team, the run time of a prompt at
+/// an engine in milliseconds, and the interval between prompts at one host in milliseconds.
 const CLASSES: [(&str, &str, u64, u64); 3] = [
     ("question", "first-key", 200, 500),
     ("draft", "shop-key", 300, 400),
     ("summary", "shop-key", 600, 30),
 ];
 
-/// A prompt at an engine.
+/// A prompt that runs or waits at an engine.
 #[derive(Clone, Debug)]
 struct EnginePrompt {
     attempt: AttemptId,
     class: usize,
-    /// When it will have run; `None` while it waits.
+    /// Time at which the prompt finishes; `None` while it waits.
     ends_at: Option<Time>,
     host: usize,
     priority: u8,
@@ -52,7 +52,7 @@
         running.count()
     }
 
-    /// Lets the most urgent ones that wait begin; gives them.
+    /// Starts the most urgent waiting prompts while slots are free, and returns them.
     fn start_waiting(&mut self, now: Time) -> Vec<EnginePrompt> {
         let mut started = Vec::new();
         while self.running() < SLOTS {
@@ -70,7 +70,7 @@
     }
 }
 
-/// How many requests of a class came, were refused for good, and were begun by engines.
+/// Numbers of requests of a class that arrived, were finally refused, and were started by engines.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassCounts {
     started: usize,
@@ -84,7 +84,7 @@
     counts: [ClassCounts; CLASSES.len()],
     engines: BTreeMap<UpstreamId, Engine>,
     hosts: Vec<Host>,
-    /// Refusals by engines that are under way.
+    /// Refusals by engines that have not reached the host yet.
     refusals: Vec<(usize, RequestId, SendOrder)>,
 }
 
@@ -118,7 +118,7 @@
         for host in 0..HOSTS {
             self.hosts[host].now = self.hosts[host].now.plus_ms(STEP_MS);
             let now = self.hosts[host].now;
-            // Knowledge of the configuration is not what is looked at.
+            // Keep the configuration confirmed, since stale configurations are not tested here.
             self.hosts[host].handle(Event::ConfigurationConfirmed { as_of: now });
             let actions = self.hosts[host].handle(Event::Ticked);
             self.apply_actions(host, &actions);
@@ -134,7 +134,7 @@
 
     fn arrive(&mut self, host: usize, now: Time) {
         for (class, (name, key, _, interval_ms)) in CLASSES.into_iter().enumerate() {
-            // Hosts are out of step with each other.
+            // Each host sends at its own offset within the interval.
             let now_ms = now.as_us() / 1_000 + 7 * STEP_MS * host as u64;
             if now_ms % interval_ms >= STEP_MS {
                 continue;
@@ -215,11 +215,11 @@
     }
 }
 
-/// Symptom: one in seven prompts of a more urgent class gets nothing for seconds, while long
-/// ones of the least urgent class begin. Events: all hosts have just started; twice as many
-/// of the latter come as all engines can serve; engines refuse what does not fit, whatever
-/// its priority. Cause: each host sends all that it is asked for, and the engines' places are
-/// taken by whoever comes most often.
+/// Guards against refusing one in seven prompts of the more urgent classes while long prompts of
+/// the least urgent class start. This happens after all hosts start at the same time with twice as
+/// many of the latter as the engines can serve: engines refuse what exceeds their capacity
+/// whatever its priority, and if each host sends all its requests, the class that arrives most
+/// often takes the slots.
 #[test]
 fn more_urgent_prompts_get_through_when_engines_are_full_of_others() {
     let mut world = World::new();
@@ -232,7 +232,7 @@
     for count in [question, draft] {
         assert!(12 * count.refused <= count.arrived, "{count:?}");
     }
-    // The engines are kept at work all the same.
+    // The engines must still be well utilized.
     let capacity = 5_000 / CLASSES[2].2 as usize * SLOTS * ENGINES;
     let used_by_urgent = question.started / 3 + draft.started / 2;
     assert!(
