--- a/crates/policy/tests/installation/pauses.rs
+++ b/crates/policy/tests/installation/pauses.rs
@@ -1,4 +1,5 @@
-//! Pauses within an answer: what callers feel, and which placements cause them.
+//! Pauses between the tokens of an answer: which pauses make an answer late, and how placement
+//! avoids them.
 
 use {
     crate::support::{Ask, Host, engines, sent},
@@ -7,7 +8,8 @@
     types::prelude::*,
 };
 
-/// Plays a stream with a first token in time and a longest pause.
+/// Runs a stream whose first token is in time and whose longest pause is `longest_pause`, and
+/// returns its outcome.
 fn outcome_of(longest_pause: Duration) -> Outcome {
     let mut host = Host::new(0);
     let (request, actions) = host.ask(Ask::prompt("question", "first-key", &[(7, 100)]));
@@ -38,10 +40,9 @@
     outcomes.next().unwrap()
 }
 
-/// Symptom: the log and the burn report say that a class is on time, and callers see
-/// it stall. Events: a stream starts in time, stands still for longer than its class
-/// allows, and goes on. Cause: only the average time between tokens is judged. On a
-/// heavy day the log had 1,319 of 1,405 streams in target, and callers 189 late ones.
+/// Guards against counting a stream as in time that stalls for longer than its class allows. This
+/// happens if only the average time between tokens is compared with the target: 1,319 of 1,405
+/// streams then met their target in the log, while callers saw 189 late streams.
 #[test]
 fn an_answer_whose_longest_pause_exceeds_the_target_is_late() {
     assert!(outcome_of(Duration::from_millis(250)).met_target);
@@ -50,8 +51,8 @@
     assert_eq!(stalled.longest_pause, Duration::from_millis(251));
 }
 
-/// Prompts that a host has seen before the scenes below: many of 2,000 tokens, and now
-/// and then one of 30,000.
+/// Sends the prompts that a host has seen before a test: most of 2,000 tokens, and every twelfth
+/// of 30,000.
 fn send_prompts(host: &mut Host) {
     for number in 0_u64..96 {
         let tokens = if number % 12 == 0 { LONG_TOKENS } else { 2_000 };
@@ -63,8 +64,8 @@
 
 const LONG_TOKENS: u32 = 30_000;
 
-/// Places streams of the class with the shortest target for pauses, and reports a
-/// longest pause for each, four times a second.
+/// Places streams of the class with the shortest pause target, and reports the longest pause of
+/// each stream four times a second.
 fn place_streams(
     host: &mut Host,
     count: u64,
@@ -91,7 +92,8 @@
     running
 }
 
-/// Twelve engines, and streams on them whose pauses are known.
+/// Returns a host with twelve engines and streams whose longest pauses are known, and the engines
+/// that run these streams.
 fn host_with_streams(longest_pause: Duration) -> (Host, BTreeSet<String>) {
     let mut host = Host::new(0);
     host.read_directory(engines(12), &[]);
@@ -104,7 +106,7 @@
     (host, engines.collect())
 }
 
-/// Engines that get prompts of 30,000 tokens.
+/// Places prompts of 30,000 tokens, and returns the engines that get them.
 fn place_long_prompts(host: &mut Host, count: u64) -> Vec<String> {
     let engines = (0..count).map(|number| {
         let shared = (2_000_000 + number, 2_000);
@@ -117,23 +119,25 @@
     engines.collect()
 }
 
-/// Symptom: the most urgent class is late by a few milliseconds of its longest pause,
-/// while first tokens come early. Events: streams run on all engines; prompts of
-/// 30,000 tokens come. Cause: an engine reads a long prompt between the tokens of its
-/// streams, and the choice of the engine does not know whom that delays. Before, long
-/// prompts went where least waited.
+/// Guards against missing the pause target of the most urgent class by a few milliseconds,
+/// although first tokens are early. An engine reads a long prompt between the tokens of its
+/// streams. If long prompts go to the engine with the shortest queue, without regard to the
+/// streams that they delay, those streams are late.
 #[test]
 fn long_prompts_avoid_the_streams_that_they_would_make_late() {
     let (mut host, with_streams) = host_with_streams(Duration::from_millis(220));
     assert!(with_streams.len() <= 6, "streams on {with_streams:?}");
     for engine in place_long_prompts(&mut host, 24) {
-        assert!(!with_streams.contains(&engine), "{engine} has streams");
+        assert!(
+            !with_streams.contains(&engine),
+            "{engine} runs streams and got a long prompt"
+        );
     }
 }
 
-/// Symptom: all prompts count as long, or none. Cause: a limit in tokens that fits one
-/// load only. Where all are of one size there is nothing to be kept apart by size, and
-/// requests without a prompt say nothing.
+/// Guards against a fixed token limit for long prompts, which fits only one load: under other
+/// loads all prompts count as long, or none does. If all prompts are of one size, placement must
+/// not separate them by size. Requests without a prompt don't count.
 #[test]
 fn the_limit_for_long_prompts_follows_from_recent_prompts() {
     let (mut host, with_streams) = host_with_streams(Duration::from_millis(220));
--- a/crates/policy/tests/installation/placement.rs
+++ b/crates/policy/tests/installation/placement.rs
@@ -1,6 +1,6 @@
-//! Placement under load: several hosts, none of which sees the requests of the
-//! others, place prompts with long shared parts on engines that keep what they
-//! read. Virtual time, no network.
+//! Placement under load: several hosts, each of which does not see the requests of the others,
+//! place prompts with long shared parts on engines that cache the parts that they have read. The
+//! time is virtual, and no network is used.
 
 use {
     crate::support::{Ask, Host, address, engines, exchange_notes, sent, upstreams},
@@ -17,23 +17,23 @@
 const HOSTS: usize = 7;
 const ENGINES: usize = 9;
 
-/// Shared parts that requests choose from, and their tokens.
+/// Number of shared documents that requests choose from, and the tokens of each document.
 const DOCUMENTS: u64 = 150;
 const DOCUMENT_TOKENS: u32 = 13_300;
 
-/// Tokens that belong to one request alone.
+/// Tokens of a prompt that no other prompt shares.
 const UNIQUE_TOKENS: u32 = 3_700;
 
-/// Requests a second of the whole installation: 1.5 times what the engines can
-/// read if nothing is kept.
+/// Requests per second of the whole installation: 1.5 times what the engines can read without a
+/// cache.
 const REQUESTS_PER_S: u64 = 90;
 
-/// Tokens that an engine reads in a millisecond.
+/// Tokens that an engine reads per millisecond.
 const TOKENS_PER_MS: f64 = 112.0;
 
 const DURATION_MS: u64 = 12_000;
 
-/// What an engine has read, and until when it is busy.
+/// An engine with its cached documents and the time until which it is busy.
 #[derive(Default)]
 struct SimulatedEngine {
     busy_until_ms: f64,
@@ -41,14 +41,14 @@
 }
 
 struct Results {
-    /// Shared tokens that some engine had read already.
+    /// Shared tokens that were read although some engine had read them before.
     reread_tokens: u64,
     /// Times to the first token, sorted.
     first_token_waits_ms: Vec<f64>,
 }
 
-/// Plays the load, of which a share asks for one document; each request is placed
-/// by a random host, and hosts exchange their notes every 50 ms.
+/// Simulates a load in which `hot_share` of the requests use the same document. Each request is
+/// placed by a random host, and hosts exchange their notes every 50 ms.
 fn simulate(requests_per_s: u64, hot_share: f64) -> Results {
     let mut rng = SmallRng::seed_from_u64(5);
     let mut hosts: Vec<Host> = (0..HOSTS as u64).map(Host::new).collect();
@@ -117,13 +117,12 @@
     results
 }
 
-/// Symptom: engines are busy although most of what is asked for has been read
-/// before; urgent and long requests alike wait for seconds. Events: all hosts
-/// see which engine is busy and send prompts to those that are not. Cause: a
-/// prompt away from the engine that keeps its shared part costs all of them
-/// its reading, and a short wait at that engine costs only one request. Weighed
-/// alike with the wait, 6.6 million tokens were read again in this load and 95
-/// in 100 waited up to 1.75 s; weighed by 20, 13 thousand and 0.66 s.
+/// Guards against placing prompts away from the engine that caches their shared part because that
+/// engine is busy. Every request there then pays for reading the part again, while a short wait at
+/// the caching engine delays only one request. Engines are then busy with rereads, and urgent and
+/// long requests alike wait for seconds. With equal weights for rereads and waits, this load
+/// rereads 6.6 million tokens, and the 95th percentile of the wait is 1.75 s; with a weight of 20
+/// for rereads, 13 thousand tokens and 0.66 s.
 #[test]
 fn prompts_go_to_the_engine_that_caches_their_shared_part() {
     let results = simulate(REQUESTS_PER_S, 0.0);
@@ -134,25 +133,24 @@
         "{rereads} of {requests} read again"
     );
     let p95 = results.first_token_waits_ms[results.first_token_waits_ms.len() * 95 / 100];
-    assert!(p95 < 1_000.0, "95 in 100 waited up to {p95} ms");
+    assert!(p95 < 1_000.0, "the 95th percentile of the wait is {p95} ms");
 }
 
-/// Symptom: requests for what everybody asks for wait for seconds, while engines
-/// are idle. Events: four in ten requests ask for one document. Cause: only what
-/// must be read again counts, not that the first token comes too late. Before, 95 in
-/// 100 waited up to 1.2 s.
+/// Guards against long waits for a popular document while other engines are idle. If four in ten
+/// requests use one document and placement counts only the rereads, but not the late first tokens,
+/// the 95th percentile of the wait is 1.2 s.
 #[test]
 fn a_frequently_requested_document_is_cached_by_several_engines() {
     let results = simulate(REQUESTS_PER_S, 0.4);
     let rereads = results.reread_tokens as f64 / f64::from(DOCUMENT_TOKENS);
     assert!(rereads < 10.0, "{rereads} read again");
     let p95 = results.first_token_waits_ms[results.first_token_waits_ms.len() * 95 / 100];
-    assert!(p95 < 800.0, "95 in 100 waited up to {p95} ms");
+    assert!(p95 < 800.0, "the 95th percentile of the wait is {p95} ms");
 }
 
-/// Symptom: each host has a document read once more, though an engine keeps it.
-/// Events: one host has it read away from its home. Cause: the others know only
-/// what they sent themselves.
+/// Guards against each host having a document read again although an engine caches it. This
+/// happens if a host knows only of the prompts that it placed itself, and another host placed the
+/// document away from its home engine.
 #[test]
 fn hosts_know_what_engines_read_for_others() {
     let mut hosts = [Host::new(0), Host::new(1)];
@@ -176,8 +174,8 @@
     assert_eq!(order.inputs.prefill_tokens, Tokens::new(UNIQUE_TOKENS));
 }
 
-/// Guards against all hosts of a large installation sending their prompts to the one engine
-/// that an old note made look idle.
+/// Guards against all hosts of a large installation sending their prompts to the one engine that
+/// looks idle by an outdated note.
 #[test]
 fn hosts_that_learn_late_do_not_all_choose_the_engine_that_looks_idle() {
     let mut placed: BTreeMap<UpstreamId, u32> = BTreeMap::new();
@@ -203,7 +201,7 @@
     );
 }
 
-/// A note of another host by which all engines but one have much to read.
+/// A note of another host by which all engines but `idle` have a long backlog.
 fn note_with_one_idle_engine(idle: &str, incarnation: u64) -> LoadNote {
     let busy = engines(60).into_keys().filter(|id| id.name() != idle);
     LoadNote {
--- a/crates/policy/tests/installation/prompt_transfers.rs
+++ b/crates/policy/tests/installation/prompt_transfers.rs
@@ -1,5 +1,5 @@
-//! Engines that fetch shared parts of prompts from each other, before hosts that learn late what
-//! engines have read. Virtual time, no network.
+//! Engines that fetch shared parts of prompts from each other, used by hosts that learn with a
+//! delay which engine has read what. The time is virtual, and no network is used.
 
 use {
     crate::support::{Ask, Host, address, engines, engines_of, exchange_notes, sent},
@@ -16,36 +16,37 @@
 
 const DOCUMENT_TOKENS: u32 = 13_300;
 
-/// Tokens that belong to one request alone.
+/// Tokens of a prompt that no other prompt shares.
 const UNIQUE_TOKENS: u32 = 3_700;
 
-/// Tokens that an engine reads in a millisecond, by its number in turn.
+/// Tokens that an engine reads per millisecond. The engines use these speeds in turn.
 const TOKENS_PER_MS: [f64; 3] = [112.0, 112.0, 80.0];
 
-/// Time in which a document comes over the engines' link.
+/// Time to transfer a document over the link of an engine.
 const TRANSFER_MS: f64 = 63.4;
 
-/// Requests a second of all hosts: half of what the engines can read if nothing is read again.
+/// Requests per second of all hosts: half of what the engines can read if nothing is read twice.
 const WARM_REQUESTS_PER_S: u64 = 150;
 
-/// The same where all must be read.
+/// Requests per second of all hosts if each document is new and must be read.
 const COLD_REQUESTS_PER_S: u64 = 30;
 
-/// Documents that are asked for, and the part of requests that ask for one of them.
+/// Number of documents, and the share of requests that use the same document.
 const DOCUMENTS: u64 = 60;
 const HOT_SHARE: f64 = 0.4;
 
-/// Time in which the first token is due for callers with such prompts.
+/// Time in which the first token is due for such prompts.
 const FIRST_TOKEN_TARGET_MS: f64 = 1_500.0;
 
-/// Prompt tokens that wait at an engine which looks so busy that prompts are placed elsewhere, and
-/// not so busy that they are refused.
+/// Backlog at which an engine looks too busy for placement, but not so busy that prompts are
+/// refused.
 const BUSY_BACKLOG_TOKENS: u32 = 250_000;
 
-/// Time of one step of the world.
+/// Length of one simulation step.
 const STEP_MS: u64 = 20;
 
-/// Engines that fetch parts of prompts from each other.
+/// Sets the bandwidth of the links and the bytes per prompt token, with which engines fetch parts
+/// of prompts from each other.
 fn with_links(engines: BTreeMap<UpstreamId, Upstream>) -> BTreeMap<UpstreamId, Upstream> {
     let mut engines = engines;
     for upstream in engines.values_mut() {
@@ -57,25 +58,25 @@
     engines
 }
 
-/// What an engine has read or fetched, and until when it and its link are busy.
+/// An engine with its cached documents and the times until which it and its link are busy.
 #[derive(Default)]
 struct SimulatedEngine {
     busy_until_ms: f64,
-    /// Documents, and when each was there.
+    /// The cached documents, and the time at which each was available.
     cached: BTreeMap<u64, f64>,
     link_busy_until_ms: f64,
 }
 
 #[derive(Default)]
 struct Results {
-    /// Fetches from an engine that did not keep the document.
+    /// Fetches from an engine that did not have the document.
     failed_fetches: usize,
     fetched: usize,
-    /// Shared tokens that some engine had read before.
+    /// Shared tokens that were read although some engine had read them before.
     reread_tokens: u64,
-    /// Prompts that were refused for want of time.
+    /// Prompts that were refused because they would be late.
     refused: usize,
-    /// Tokens of all prompts.
+    /// Tokens of all prompts that were placed.
     tokens: u64,
     /// Times to the first token, sorted.
     first_token_waits_ms: Vec<f64>,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Gives first tokens that are due, and lets hosts hear of each other.
+    /// Reports first tokens that are due, and delivers the notes between hosts.
     fn step(&mut self, ms: u64, now: Time) {
         for (_, host, request, attempt) in self.ends.extract_if(.., |end| end.0 <= ms) {
             self.hosts[host].now = now;
@@ -159,7 +160,8 @@
         self.ends.push(end);
     }
 
-    /// Reads a prompt, or fetches what the named engine keeps of it; gives its first token.
+    /// Reads a prompt, or fetches its shared part from the engine that the order names. Returns
+    /// the time of the first token.
     fn read(&mut self, at_ms: f64, document: u64, order: &SendOrder) -> f64 {
         let cached_since = |engine: &SimulatedEngine| engine.cached.get(&document).copied();
         let simulated_engines = &mut self.simulated_engines;
@@ -199,7 +201,7 @@
     }
 }
 
-/// Plays a load of which a share asks for one document.
+/// Simulates a load in which `hot_share` of the requests use the same document.
 fn simulate(
     engines: &BTreeMap<UpstreamId, Upstream>,
     per_s: u64,
@@ -227,19 +229,19 @@
     world.results
 }
 
-/// Guards against a document that many hosts ask for being read by one engine after the other,
-/// although the engines could fetch it from each other.
+/// Guards against one engine after the other reading a popular document although the engines could
+/// fetch it from each other.
 #[test]
 fn frequently_requested_documents_are_fetched_and_not_read_again() {
     let without_transfers = simulate(&engines(ENGINES), WARM_REQUESTS_PER_S, DOCUMENTS, HOT_SHARE);
     let wait_ms = without_transfers.p95_wait_ms();
     assert!(
         without_transfers.refused > 0,
-        "without transfers engines have time for all"
+        "no prompt was refused without transfers"
     );
     assert!(
         wait_ms > FIRST_TOKEN_TARGET_MS,
-        "without transfers 95 in 100 waited up to {wait_ms} ms"
+        "without transfers, the 95th percentile of the wait is {wait_ms} ms"
     );
     let with_transfers = simulate(
         &with_links(engines(ENGINES)),
@@ -248,17 +250,16 @@
         HOT_SHARE,
     );
     let share = with_transfers.reread_percent();
-    assert!(share < 5.0, "{share} in 100 read again");
+    assert!(share < 5.0, "{share} % of the tokens were read again");
     assert_eq!(with_transfers.refused, 0);
     let wait_ms = with_transfers.p95_wait_ms();
     assert!(
         wait_ms < FIRST_TOKEN_TARGET_MS,
-        "95 in 100 waited up to {wait_ms} ms"
+        "the 95th percentile of the wait is {wait_ms} ms"
     );
 }
 
-/// Guards against transfers of what nobody keeps, and against waits for them, where all documents
-/// are new.
+/// Guards against fetches, and waits for them, when all documents are new and no engine has them.
 #[test]
 fn nothing_is_fetched_in_a_cold_start() {
     let results = simulate(
@@ -271,11 +272,11 @@
     let wait_ms = results.p95_wait_ms();
     assert!(
         wait_ms < FIRST_TOKEN_TARGET_MS,
-        "95 in 100 waited up to {wait_ms} ms"
+        "the 95th percentile of the wait is {wait_ms} ms"
     );
 }
 
-/// A host before a few engines, and which one has read the document.
+/// A host with a few engines, one of which (the home) has read the document.
 struct Scenario {
     home: SendOrder,
     host: Host,
@@ -283,7 +284,7 @@
 }
 
 impl Scenario {
-    /// A host whose engine has read the document.
+    /// Creates a host and lets an engine read the document.
     fn new(engines: BTreeMap<UpstreamId, Upstream>) -> Self {
         let mut host = Host::new(0);
         host.list_hosts(2);
@@ -298,14 +299,14 @@
         }
     }
 
-    /// Sends one more prompt with the document.
+    /// Sends another prompt with the document.
     fn ask(&mut self) -> (RequestId, SendOrder) {
         self.unique += 1;
         let (request, actions) = self.host.ask(prompt(self.unique));
         (request, sent(&actions).unwrap())
     }
 
-    /// Lets engines look so busy that no prompt is placed there.
+    /// Reports engines as so busy that no prompt is placed there.
     fn report_busy(&mut self, upstreams: &[&UpstreamId]) {
         self.unique += 1;
         let loads = upstreams.iter().map(|upstream| UpstreamLoad {
@@ -332,8 +333,8 @@
         self.host.handle(Event::LoadNoteReceived { from, note });
     }
 
-    /// Sends a prompt; the engine that read the document must not be its source, and no other
-    /// one is known to keep it.
+    /// Sends a prompt and checks that it is not fetched from the home engine. No other engine is
+    /// known to have the document.
     fn assert_home_is_not_source(&mut self) {
         let (_, order) = self.ask();
         assert_ne!(order.upstream, self.home.upstream);
@@ -341,7 +342,7 @@
         assert_eq!(order.inputs.fetch_tokens, Tokens::default());
     }
 
-    /// Sends a prompt while the home is crowded.
+    /// Sends a prompt while the home engine is busy.
     fn ask_with_busy_home(&mut self) -> (RequestId, SendOrder) {
         let home = self.home.upstream.clone();
         self.report_busy(&[&home]);
@@ -367,7 +368,7 @@
 
 const PROMPT_TOKENS: u32 = DOCUMENT_TOKENS + UNIQUE_TOKENS;
 
-/// Guards against a second home that reads a document again.
+/// Guards against a second engine reading a document again.
 #[test]
 fn an_engine_fetches_what_another_engine_has_read() {
     let mut scenario = Scenario::new(with_links(engines(3)));
@@ -380,7 +381,8 @@
     assert_eq!(order.inputs.fetch_tokens, Tokens::new(DOCUMENT_TOKENS));
 }
 
-/// Guards against any change where the operator's document does not name both figures.
+/// Guards against a change of behaviour if the operator's configuration does not set both the link
+/// and the bytes per token.
 #[test]
 fn nothing_is_fetched_unless_link_and_token_bytes_are_both_set() {
     let without_link = |engine: &mut Engine| engine.link = None;
@@ -407,7 +409,7 @@
     }
 }
 
-/// Guards against a fetch from an engine that has left the directory.
+/// Guards against a fetch from an engine that the directory no longer lists.
 #[test]
 fn an_unlisted_engine_is_not_a_fetch_source() {
     let mut scenario = Scenario::new(with_links(engines(3)));
@@ -417,7 +419,7 @@
     scenario.assert_home_is_not_source();
 }
 
-/// Guards against a fetch from an engine that refuses connections, before the directory knows.
+/// Guards against a fetch from an engine that refuses connections but is still in the directory.
 #[test]
 fn an_ejected_engine_is_not_a_fetch_source() {
     let mut scenario = Scenario::new(with_links(engines(3)));
@@ -431,7 +433,7 @@
     scenario.assert_home_is_not_source();
 }
 
-/// Guards against a fetch from an engine that is about to end.
+/// Guards against a fetch from an engine that is shutting down.
 #[test]
 fn a_leaving_engine_is_not_a_fetch_source() {
     let mut scenario = Scenario::new(with_links(engines(3)));
@@ -442,7 +444,8 @@
     scenario.assert_home_is_not_source();
 }
 
-/// Guards against a fetch from an engine that started again under its name and keeps nothing.
+/// Guards against a fetch from an engine that restarted under the same name and has an empty
+/// cache.
 #[test]
 fn a_restarted_engine_has_an_empty_cache() {
     let mut scenario = Scenario::new(with_links(engines(3)));
@@ -454,7 +457,7 @@
     scenario.home.upstream = id;
     let (request, order) = scenario.ask_with_busy_home();
     assert_eq!(order.inputs.prefill_tokens, Tokens::new(PROMPT_TOKENS));
-    // What the second engine read is fetched by the new incarnation.
+    // The new incarnation fetches what the second engine has read.
     scenario.host.pass(500);
     first_token(&mut scenario.host, request, &order);
     scenario.report_busy(&[&order.upstream]);
@@ -462,7 +465,8 @@
     assert_eq!(home_order.fetch_from, Some(order.address));
 }
 
-/// Guards against a late first token that nobody expected, where the source has evicted the parts.
+/// Guards against an unexpectedly late first token when the source has evicted the shared part:
+/// the estimates must not rely on the fetch.
 #[test]
 fn a_fetch_does_not_reduce_the_estimated_prefill() {
     let mut scenario = Scenario::new(with_links(engines(3)));
@@ -472,7 +476,7 @@
     assert_eq!(order.inputs.backlog, u64::from(PROMPT_TOKENS));
 }
 
-/// Guards against copies that other hosts are told of although the engine refused the prompt.
+/// Guards against reporting a copy to other hosts although the engine refused the prompt.
 #[test]
 fn an_engine_that_refused_a_prompt_has_no_copy() {
     let mut scenario = Scenario::new(with_links(engines(3)));
@@ -497,7 +501,7 @@
     assert_eq!(order.fetch_from, Some(scenario.home.address));
 }
 
-/// Guards against copies that end with the host that had them made.
+/// Guards against copies that no other host knows of once the host that caused them has stopped.
 #[test]
 fn other_hosts_learn_of_fetched_copies() {
     let mut scenario = Scenario::new(with_links(engines(3)));
@@ -525,7 +529,8 @@
     assert_eq!(order.fetch_from, Some(copy.address));
 }
 
-/// Guards against a stream that waits for its whole prompt to be read anew when its engine is lost.
+/// Guards against reading the whole prompt of a stream again when the engine of the stream is
+/// lost.
 #[test]
 fn a_resumed_stream_fetches_its_shared_part() {
     let mut scenario = Scenario::new(with_links(engines(3)));
@@ -549,7 +554,8 @@
     );
 }
 
-/// Guards against a document's home that serves its copies and none of its callers.
+/// Guards against a home engine whose link is so busy with transfers that it cannot serve its own
+/// callers.
 #[test]
 fn a_host_limits_concurrent_transfers_from_one_source() {
     let mut fast = with_links(engines(3));
@@ -563,14 +569,14 @@
     let from_home = |order: &&SendOrder| order.fetch_from == Some(scenario.home.address);
     let fetches = orders.iter().filter(from_home);
     assert_eq!(fetches.count(), 4);
-    // They are over after a while, whatever became of them.
+    // Transfers count as finished after a while, whether or not their end was reported.
     scenario.host.pass(500);
     let home = scenario.home.upstream.clone();
     scenario.report_busy(&[&home, &orders[0].upstream]);
     assert_eq!(scenario.ask().1.fetch_from, Some(scenario.home.address));
 }
 
-/// Guards against a fetch from another failure domain that takes longer than reading.
+/// Guards against a fetch from another failure domain that takes longer than reading the part.
 #[test]
 fn a_source_in_another_failure_domain_must_be_faster_than_prefill() {
     for (megabits_per_s, fetches) in [(550_000.0, true), (400_000.0, false)] {
