--- a/crates/policy/tests/installation/reach.rs
+++ b/crates/policy/tests/installation/reach.rs
@@ -1,4 +1,4 @@
-//! Hosts that lose their paths to upstreams while other hosts keep theirs.
+//! Hosts that lose their network paths to upstreams while other hosts keep theirs.
 
 use {
     crate::{
@@ -11,28 +11,30 @@
     types::prelude::*,
 };
 
-/// Time after the begin of a cut from which hosts must serve as others do.
+/// Time after the start of a cut by which hosts must have detected it and serve like other hosts.
 const DETECTION_TIME: Duration = Duration::from_secs(3);
 
-/// Length of a cut.
+/// Length of a network cut.
 const CUT_DURATION: Duration = Duration::from_secs(8);
 
-/// Time in which a request that came last ends.
+/// Time in which a request ends. Later requests may not have ended when a test counts them.
 const REQUEST_DURATION: Duration = Duration::from_secs(1);
 
-/// Time in which all hosts have heard of each other.
+/// Time in which all hosts have received notes from each other.
 const WARM_UP: Duration = Duration::from_secs(5);
 
-/// Requests a second at each host.
+/// Requests per second at each host.
 const REQUESTS_PER_HOST_S: f64 = 10.0;
 
-/// Part of what other hosts serve that hosts without a path must serve.
+/// Share of requests that hosts without a path must serve, relative to the share that other hosts
+/// serve.
 const MIN_SERVED_SHARE: f64 = 0.9;
 
-/// Part of the first tries at hosts without a path that may fail.
+/// Share of the requests of callers that may fail at hosts without a path.
 const MAX_FAILED_SHARE: f64 = 0.02;
 
-/// Plays a cut, and gives the moment at which it began.
+/// Runs the world through a cut, and returns the time at which the cut started. With `refuses`,
+/// connections across the cut are refused; otherwise their packets are lost.
 fn play_cut(world: &mut World, hosts: &[usize], replicas: &[usize], refuses: bool) -> Time {
     let began = world.now;
     world.cut(hosts, replicas, refuses, CUT_DURATION);
@@ -40,8 +42,8 @@
     began
 }
 
-/// First tries from the moment on at which hosts must have learned of a cut are served as well as
-/// they would be elsewhere.
+/// Checks that, once hosts must have detected a cut, requests at the hosts without a path are
+/// served as well as at other hosts.
 fn assert_served(world: &World, began: Time, hosts: &[usize], label: &str) {
     let (from, until) = (
         began + DETECTION_TIME,
@@ -51,7 +53,7 @@
     let others = world.tries(from, until, |host| !hosts.contains(&host));
     let share = |served: usize, all: usize| served as f64 / all.max(1) as f64;
     let served = share(cut.served, cut.all);
-    assert!(cut.all > 0, "{label}: nothing was asked");
+    assert!(cut.all > 0, "{label}: no request arrived");
     assert!(
         others.all == 0 || served >= MIN_SERVED_SHARE * share(others.served, others.all),
         "{label}: {cut:?}, others {others:?}"
@@ -65,7 +67,7 @@
     world
 }
 
-/// Hosts to be cut off, by how many there are.
+/// Sets of hosts to be cut off, with their descriptions.
 fn cuts_of(world: &World) -> Vec<(&'static str, Vec<usize>)> {
     let count = world.hosts.len();
     let own_domain = world.hosts_in(DOMAINS[0]);
@@ -86,7 +88,7 @@
     }
 }
 
-/// Guards against callers of hosts that are cut off being served by nobody.
+/// Guards against failed requests at hosts without a path to upstreams that other hosts reach.
 #[test]
 fn hosts_without_a_path_serve_like_others_where_packets_are_lost() {
     for hosts in [6, 22] {
@@ -101,7 +103,8 @@
     }
 }
 
-/// Guards against indirect paths that are known only where notes come often.
+/// Guards against indirect paths that are found only in small installations, whose hosts exchange
+/// notes often.
 #[test]
 fn many_hosts_without_a_path_serve_like_others() {
     for hosts in [66, 200] {
@@ -112,7 +115,7 @@
     }
 }
 
-/// Guards against a cut from some upstreams that is taken for one from all.
+/// Guards against treating a cut from some upstreams as a cut from all upstreams.
 #[test]
 fn a_host_without_a_path_to_some_upstreams_uses_its_own_paths_to_the_others() {
     let mut world = warmed_up_world(6, 5);
@@ -120,11 +123,11 @@
     let began = play_cut(&mut world, &[0, 1], &some, false);
     assert_served(&world, began, &[0, 1], "some upstreams");
     let cut = world.tries(began, began + CUT_DURATION, |host| host < 2);
-    assert!(world.through > 0, "no indirect path");
+    assert!(world.through > 0, "no request took an indirect path");
     assert!(world.through * 2 < cut.all, "{} of {cut:?}", world.through);
 }
 
-/// Guards against indirect paths that are kept when the own paths are restored.
+/// Guards against using indirect paths after the direct paths are restored.
 #[test]
 fn hosts_use_their_own_paths_again_within_a_second_after_a_cut() {
     let mut world = warmed_up_world(22, 7);
@@ -139,7 +142,7 @@
     }
 }
 
-/// Guards against hosts that take upstreams which are down for a loss of their own paths.
+/// Guards against a host treating upstreams that are down as a loss of its own paths.
 #[test]
 fn upstreams_that_no_host_reaches_are_not_out_of_reach_of_one() {
     let mut world = warmed_up_world(6, 9);
@@ -158,7 +161,7 @@
     assert_eq!(after.served, after.all);
 }
 
-/// Guards against hosts that wait for the one host through which they were served.
+/// Guards against waiting for a stopped host that was the indirect path so far.
 #[test]
 fn a_stopped_host_is_no_longer_used_as_an_indirect_path() {
     for dead in 1..6 {
@@ -173,7 +176,7 @@
     }
 }
 
-/// Guards against cuts that follow each other, overlap, and take other hosts each time.
+/// Guards against failed requests during successive cuts that each affect other hosts.
 #[test]
 fn random_cuts_are_served() {
     for seed in 0..12 {
@@ -195,7 +198,7 @@
     }
 }
 
-/// Guards against bytes between failure domains where hosts of the own one have a path.
+/// Guards against traffic between failure domains when hosts of the own domain have a path.
 #[test]
 fn indirect_paths_prefer_the_own_failure_domain() {
     let mut world = warmed_up_world(9, 13);
@@ -213,7 +216,8 @@
     assert_eq!(paths[3], Path::Direct);
 }
 
-/// Finds the path of a host to an upstream lost, as another host connects to it.
+/// Reports that the direct path of a host to an upstream failed while another host connected to
+/// it.
 fn lose_path(host: &mut Host, upstream: &UpstreamId) {
     let tried = |path, outcome| PathAttempt { outcome, path };
     host.handle(Event::PathsTried {
@@ -235,8 +239,8 @@
     requests.collect()
 }
 
-/// Guards against requests that wait for the kernel to take a peer for dead, where it is known that
-/// they could be answered elsewhere.
+/// Guards against requests that wait for a TCP timeout on a lost path although another upstream
+/// could answer them.
 #[test]
 fn idempotent_requests_do_not_wait_on_a_lost_path() {
     let mut host = Host::new(0);
@@ -244,7 +248,7 @@
     assert!(sent(&actions).is_some());
     host.ask(order());
     host.pass(2_000);
-    assert_eq!(abandoned(&mut host), [], "its path is not lost");
+    assert_eq!(abandoned(&mut host), [], "the path is not lost yet");
     let others = (0..3).map(|number| format!("shop-{number}").parse().unwrap());
     for other in others {
         lose_path(&mut host, &other);
@@ -252,10 +256,14 @@
     host.pass(200);
     assert_eq!(abandoned(&mut host), [repeatable]);
     host.pass(1_000);
-    assert_eq!(abandoned(&mut host), [], "it is given up once");
+    assert_eq!(
+        abandoned(&mut host),
+        [],
+        "the request is abandoned only once"
+    );
 }
 
-/// Guards against giving up what another host carries.
+/// Guards against abandoning a request that another host forwards.
 #[test]
 fn a_request_on_an_indirect_path_is_not_abandoned() {
     let mut host = Host::new(0);
--- a/crates/policy/tests/installation/refusals.rs
+++ b/crates/policy/tests/installation/refusals.rs
@@ -1,5 +1,5 @@
-//! Whatever happens to calls, their final answers are true, and those that must not run twice
-//! don't.
+//! Random events around calls: the final answer to a call must be true, and a call that must not
+//! run twice must not.
 
 use {
     crate::support::{Ask, Host, upstreams},
@@ -15,15 +15,16 @@
 const SEEDS: u64 = 24;
 const STEPS: u32 = 250;
 
-/// Bodies, few enough that some are seen to end upstreams.
+/// Request bodies. There are only two kinds, so that the host detects the one that crashes
+/// upstreams.
 const BODIES: [Option<&str>; 4] = [None, None, None, Some("fatal")];
 
 #[derive(Default)]
 struct Call {
     answered: bool,
-    /// Whether it ends the upstream that runs it.
+    /// Whether the call crashes the upstream that runs it.
     is_fatal: bool,
-    /// Whether an attempt ended on which it may have run.
+    /// Whether an attempt has ended in such a way that the call may have run.
     may_have_run: bool,
     may_repeat: bool,
     running: Option<SendOrder>,
@@ -31,10 +32,10 @@
 
 struct Simulation {
     calls: BTreeMap<RequestId, Call>,
-    /// Upstreams at which nobody listens any more.
+    /// Upstreams that have crashed and don't listen any more.
     crashed: BTreeSet<UpstreamId>,
     host: Host,
-    /// Number of the replicas that are listed.
+    /// Incarnation of the replicas that are listed.
     incarnation: u32,
     reasons: BTreeSet<&'static str>,
     rng: SmallRng,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// A caller leaves, whatever its call waits for.
+    /// Disconnects the caller of a random unanswered call.
     fn cancel(&mut self) {
         let waiting = self.calls.iter().filter(|(_, call)| !call.answered);
         let waiting: Vec<RequestId> = waiting.map(|(id, _)| *id).collect();
@@ -140,7 +141,7 @@
         }
     }
 
-    /// All replicas say the same of themselves.
+    /// Sends the same random notice from all replicas.
     fn notice(&mut self) {
         let notice = match self.rng.random_range(0..3) {
             0 => UpstreamNotice {
@@ -201,7 +202,7 @@
 
     fn check_action(&mut self, action: Action) {
         match action {
-            // Whoever breaks a connection has ended.
+            // An upstream that crashed does not listen at the first check.
             Action::CheckListening { upstream, .. } => {
                 let listening = match self.crashed.remove(&upstream) {
                     true => Listening::No,
@@ -227,7 +228,10 @@
                 assert!(!call.answered, "{request} is answered twice");
                 assert!(call.running.is_none(), "{request} is refused while it runs");
                 let is_true = refusal.verdict != Verdict::NotRun || !call.may_have_run;
-                assert!(is_true, "{request} is said not to have run");
+                assert!(
+                    is_true,
+                    "{request} is reported as not run, but may have run"
+                );
                 call.answered = true;
                 self.reasons.insert(refusal.reason.code());
             }
@@ -236,7 +240,8 @@
     }
 }
 
-/// Guards against a final answer that says not-run of a call that ran, runs or runs later.
+/// Guards against a final answer that says that a call did not run although it ran, is running or
+/// runs later.
 #[test]
 fn final_answers_match_whether_a_call_ran() {
     let mut reasons = BTreeSet::new();
@@ -258,7 +263,7 @@
     ] {
         assert!(
             reasons.contains(reason.code()),
-            "{reason} was never given: {reasons:?}"
+            "no call was refused with {reason}: {reasons:?}"
         );
     }
 }
--- a/crates/policy/tests/installation/retries_of_many.rs
+++ b/crates/policy/tests/installation/retries_of_many.rs
@@ -1,4 +1,5 @@
-//! Retries where hosts are so many that each has about one beyond the ratio.
+//! Retries in installations with so many hosts that the budget gives each host only about one
+//! retry beyond the ratio.
 
 use {
     crate::support::{APPLY_LIMIT, Host, KEY_KNOWLEDGE, lookup, sent},
@@ -11,7 +12,8 @@
 
 const RATIO: f64 = 0.2;
 
-/// A host of an installation of so many, whose hosts may make so many retries beyond the ratio.
+/// Creates a host of an installation with `hosts` hosts, which together may make `retry_extra`
+/// retries beyond the ratio.
 fn new_host(number: u64, hosts: usize, retry_extra: u32) -> Host {
     let mut host = Host::new(number);
     host.handle(Event::RulesChanged(RelayRules {
@@ -36,7 +38,7 @@
     }
 }
 
-/// Whether a call is sent again whose first attempt fails.
+/// Fails the first attempt of a call, and returns whether the host retries it.
 fn is_retried(host: &mut Host) -> bool {
     let (id, actions) = host.ask(lookup());
     let first = sent(&actions).unwrap();
@@ -54,9 +56,9 @@
     second.is_some()
 }
 
-/// Guards against failures that no host repeats, although the installation's budget is hardly
-/// used: two calls in ten seconds at each of a thousand hosts, and one of seven answers is an
-/// error.
+/// Guards against hosts that never retry although the retry budget of the installation is hardly
+/// used. Here, each of a thousand hosts gets two calls in ten seconds, and one answer in seven is
+/// an error.
 #[test]
 fn a_host_with_few_requests_retries_a_failed_one() {
     let mut host = new_host(0, 985, 1_040);
@@ -74,8 +76,8 @@
     assert_eq!(retried, 6);
 }
 
-/// Guards against more retries than the installation allows when all hosts need them at once,
-/// and half of them have just started again.
+/// Guards against exceeding the retry budget of the installation when all hosts retry at once
+/// after half of them have just restarted.
 #[test]
 fn all_hosts_together_stay_within_the_retry_budget() {
     const HOSTS: u64 = 200;
@@ -98,6 +100,9 @@
         }
     }
     let allowed = RATIO * f64::from(asked) + f64::from(EXTRA);
-    assert!(f64::from(retried) <= allowed, "{retried} of {allowed}");
-    assert!(u64::from(retried) >= HOSTS, "only {retried}");
+    assert!(
+        f64::from(retried) <= allowed,
+        "{retried} retries, {allowed} allowed"
+    );
+    assert!(u64::from(retried) >= HOSTS, "only {retried} retries");
 }
--- a/crates/policy/tests/installation/served_replica.rs
+++ b/crates/policy/tests/installation/served_replica.rs
@@ -1,4 +1,5 @@
-//! A replica of a service: so many requests run at a time, a few wait, the others are rejected.
+//! A simulated replica of a service: it runs a fixed number of requests at a time, queues a few,
+//! and rejects the others.
 
 use {
     policy::SendOrder,
@@ -6,13 +7,13 @@
     types::prelude::*,
 };
 
-/// Span in which rejections are counted.
+/// Window in which rejections are counted.
 const REJECTION_WINDOW: Duration = Duration::from_secs(1);
 
-/// Time for which a replica is down that fell over.
+/// Time for which a replica is down after a crash.
 const DOWNTIME: Duration = Duration::from_secs(4);
 
-/// A request at a replica.
+/// A request that runs or waits at a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaRequest {
     pub host: usize,
@@ -20,9 +21,9 @@
     pub request: RequestId,
 }
 
-/// What becomes of a request that arrives.
+/// What a replica does with a request that arrives.
 pub enum Admission {
-    /// The replica has fallen over; these requests were there.
+    /// The replica has crashed; these requests were running or waiting there, or had just arrived.
     Crashed(Vec<ReplicaRequest>),
     Rejected(ReplicaRequest),
     Started,
@@ -31,7 +32,7 @@
 
 #[derive(Debug, Default)]
 pub struct ServedReplica {
-    /// Rejections a second that it bears, if it is brittle.
+    /// Rejections per second above which the replica crashes, if there is such a limit.
     pub rejection_limit_per_s: Option<f64>,
     pub down_until: Time,
     pub crashes: usize,
@@ -82,7 +83,7 @@
         Admission::Crashed(interrupted)
     }
 
-    /// Ends a request that runs; gives the one that runs in its place.
+    /// Ends a running request, and returns it with the queued request that starts in its place.
     pub fn finish(
         &mut self,
         host: usize,
