--- a/crates/policy/tests/installation/brittle_replicas.rs
+++ b/crates/policy/tests/installation/brittle_replicas.rs
@@ -47,7 +47,7 @@
 fn become_brittle(world: &mut World, rejections_per_s: f64, load: f64) {
     let hosts = world.hosts.len();
     for replica in &mut world.replicas {
-        replica.brittle = Some(rejections_per_s);
+        replica.rejection_limit_per_s = Some(rejections_per_s);
     }
     world.pass(LEARNING_TIME, requests_per_host_s(hosts, load));
     world.make_brittle(&World::all_replicas(), Some(rejections_per_s));
@@ -117,7 +117,7 @@
 fn replicas_that_are_not_brittle_are_used_beyond_a_hosts_share() {
     let mut world = warmed_up(8, 3);
     for replica in &mut world.replicas[..6] {
-        replica.brittle = Some(2.0);
+        replica.rejection_limit_per_s = Some(2.0);
     }
     world.pass(LEARNING_TIME, requests_per_host_s(8, 0.5));
     world.make_brittle(&(0..6).collect::<Vec<_>>(), Some(2.0));
