--- a/crates/router/src/configuration_fetcher.rs
+++ b/crates/router/src/configuration_fetcher.rs
@@ -10,7 +10,7 @@
     pub(crate) events: flume::Sender<RingEvent>,
     pub(crate) jobs: flume::Receiver<FetchJob>,
     pub(crate) logger: Logger,
-    pub(crate) offers: flume::Sender<ReceivedConfiguration>,
+    pub(crate) received_configurations: flume::Sender<ReceivedConfiguration>,
     pub(crate) token: String,
 }
 
@@ -19,9 +19,11 @@
         while let Ok(job) = self.jobs.recv_async().await {
             let address = job.address;
             let end = match self.fetch(job).await {
-                Ok(Fetched::Offer(offer)) => self.hand_on(address, offer).await,
-                Ok(Fetched::Busy) => FetchEnd::Busy,
-                Ok(Fetched::NoneNewer) => FetchEnd::NoneNewer,
+                Ok(FetchAnswer::Configuration(configuration)) => {
+                    self.forward(address, configuration).await
+                }
+                Ok(FetchAnswer::Busy) => FetchEnd::Busy,
+                Ok(FetchAnswer::NoneNewer) => FetchEnd::NoneNewer,
                 Err(error) => {
                     warn!(self.logger, "peers: configuration not fetched";
                         "from" => %address, "error" => %error);
@@ -33,60 +35,57 @@
         }
     }
 
-    async fn hand_on(&self, from: SocketAddr, offer: ReceivedConfiguration) -> FetchEnd {
+    async fn forward(&self, from: SocketAddr, configuration: ReceivedConfiguration) -> FetchEnd {
         info!(self.logger, "peers: configuration fetched";
-            "bytes" => offer.read_stats.bytes.get(), "from" => %from,
-            "lasted_ms" => offer.read_stats.duration.as_millis() as u64,
-            "version" => %offer.document.version);
+            "bytes" => configuration.read_stats.bytes.get(), "from" => %from,
+            "lasted_ms" => configuration.read_stats.duration.as_millis() as u64,
+            "version" => %configuration.document.version);
         // Fails only when the host stops.
-        let _ = self.offers.send_async(offer).await;
+        let _ = self.received_configurations.send_async(configuration).await;
         FetchEnd::Received
     }
 
-    async fn fetch(&self, job: FetchJob) -> eyre::Result<Fetched> {
+    async fn fetch(&self, job: FetchJob) -> eyre::Result<FetchAnswer> {
         let newer_than = job.newer_than.map_or(0, ConfigVersion::get);
         let path = format!("{}{newer_than}", http_api::DOCUMENT_PATH);
         let request = Request::get(path)
             .header(AUTHORIZATION, http_api::bearer(&self.token))
             .body(Full::default())?;
-        let asked = self.clock.now();
+        let requested_at = self.clock.now();
         let calls = HttpCalls::new(job.address, 0);
         let answer = calls.begin(request, FETCH_TIMEOUT).await?;
-        let began = Instant::now();
+        let body_started = Instant::now();
         let (head, packed) = answer.whole().await?;
-        let lasted = began.elapsed();
+        let duration = body_started.elapsed();
         match head.status {
             StatusCode::OK => {}
-            StatusCode::NO_CONTENT => return Ok(Fetched::NoneNewer),
-            StatusCode::TOO_MANY_REQUESTS => return Ok(Fetched::Busy),
+            StatusCode::NO_CONTENT => return Ok(FetchAnswer::NoneNewer),
+            StatusCode::TOO_MANY_REQUESTS => return Ok(FetchAnswer::Busy),
             status => return Err(eyre!("the host answered {status}")),
         }
-        let number = |name| header_number(&head.headers, name);
-        let missing = || eyre!("the host's answer lacks a header");
-        let version = number(http_api::VERSION_HEADER).ok_or_else(missing)?;
-        let revision = number(http_api::REVISION_HEADER).ok_or_else(missing)?;
+        let header = |name| header_number(&head.headers, name);
+        let missing_header = || eyre!("the host's answer lacks a header");
+        let version = header(http_api::VERSION_HEADER).ok_or_else(missing_header)?;
+        let revision = header(http_api::REVISION_HEADER).ok_or_else(missing_header)?;
         let bytes = ByteSize::new(packed.len() as u64);
-        Ok(Fetched::Offer(ReceivedConfiguration {
+        Ok(FetchAnswer::Configuration(ReceivedConfiguration {
             // The host's word counts from before it was asked, so that an answer that was
             // long under way makes nothing look newer than it is.
-            as_of: number(http_api::CONFIGURATION_AGE_HEADER)
-                .map(|age_ms| asked - Duration::from_millis(age_ms)),
+            as_of: header(http_api::CONFIGURATION_AGE_HEADER)
+                .map(|age_ms| requested_at - Duration::from_millis(age_ms)),
             document: Arc::new(SourceDocument {
                 packed,
                 revision,
                 version: ConfigVersion::new(version),
             }),
-            read_stats: ReadStats {
-                bytes,
-                duration: lasted,
-            },
+            read_stats: ReadStats { bytes, duration },
         }))
     }
 }
 
 /// What another host answered.
-enum Fetched {
+enum FetchAnswer {
     Busy,
     NoneNewer,
-    Offer(ReceivedConfiguration),
+    Configuration(ReceivedConfiguration),
 }
--- a/crates/router/src/connection_reuse.rs
+++ b/crates/router/src/connection_reuse.rs
@@ -4,24 +4,24 @@
 
 /// Time for which a connection is kept whose upstream names no time: it may
 /// close it within the second.
-const UNNAMED_IDLE: Duration = Duration::from_millis(400);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(400);
 
 /// How long before the time that an upstream names its connection is given up:
 /// a request that crosses the close may be lost.
-const IDLE_MARGIN: Duration = Duration::from_millis(300);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(300);
 
 /// How long the connection of an answer may be kept after it; `None` if the
 /// upstream closes it.
-pub(crate) fn keep_time(response: &Response<Incoming>) -> Option<Duration> {
+pub(crate) fn keep_alive_time(response: &Response<Incoming>) -> Option<Duration> {
     let header = |name: HeaderName| {
         let value = response.headers().get(name);
         value.and_then(|value| value.to_str().ok())
     };
-    let closes = header(hyper::header::CONNECTION);
-    if closes.is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
+    let connection = header(hyper::header::CONNECTION);
+    if connection.is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
         return None;
     }
-    let named = header(HeaderName::from_static("keep-alive"))
+    let advertised = header(HeaderName::from_static("keep-alive"))
         .and_then(|value| {
             value
                 .split(',')
@@ -29,8 +29,8 @@
         })
         .and_then(|seconds| seconds.trim().parse().ok())
         .map(Duration::from_secs);
-    Some(match named {
-        Some(named) => named.saturating_sub(IDLE_MARGIN),
-        None => UNNAMED_IDLE,
+    Some(match advertised {
+        Some(timeout) => timeout.saturating_sub(KEEP_ALIVE_MARGIN),
+        None => DEFAULT_KEEP_ALIVE,
     })
 }
--- a/crates/router/src/controller_thread.rs
+++ b/crates/router/src/controller_thread.rs
@@ -217,7 +217,7 @@
                 let wanted = ask.wanted.iter().map(|wanted| u64::from(wanted.count));
                 counter!("rhubarbcove_limit_tokens_asked_total").increment(wanted.sum());
                 if let Some(sender) = &self.thread.notes {
-                    sender.ask_tokens(&ask, to);
+                    sender.send_token_request(&ask, to);
                 }
             }
             Action::FailStream { refusal, request } => {
@@ -226,13 +226,13 @@
             // The task that found its caller gone has cut the stream itself.
             Action::Cancel { .. } => {}
             Action::CheckListening { address, upstream } => {
-                self.probe(address, Vec::new(), ProbeQuestion::Listening, upstream);
+                self.probe(address, Vec::new(), ProbeKind::Listening, upstream);
             }
             Action::CheckPath {
                 address,
                 paths,
                 upstream,
-            } => self.probe(address, paths, ProbeQuestion::Path, upstream),
+            } => self.probe(address, paths, ProbeKind::Path, upstream),
             Action::Claim(claim) => self.claim(claim),
             // Where the ring is full, one is under way.
             Action::FetchConfiguration {
@@ -249,7 +249,7 @@
                 counter!("rhubarbcove_limit_tokens_granted_total")
                     .increment(u64::from(grant.count));
                 if let Some(sender) = &self.thread.notes {
-                    sender.grant_tokens(&grant, to);
+                    sender.send_token_grant(&grant, to);
                 }
             }
             // Where the ring is full the store has been away for long; the other hosts were
@@ -292,7 +292,7 @@
                 path,
                 paths,
                 upstream,
-            } => self.probe(address, paths, ProbeQuestion::Health(path), upstream),
+            } => self.probe(address, paths, ProbeKind::Health(path), upstream),
             Action::ReadConfiguration => self.thread.read_configuration.notify_one(),
             Action::Record(outcome) => self.end(&outcome),
             Action::Refuse { refusal, request } => {
@@ -319,29 +319,29 @@
             } => self.send_heartbeat(address, heartbeat, host),
             Action::SendLoadNotes { notes } => {
                 if let Some(sender) = &self.thread.notes {
-                    sender.send(&notes);
+                    sender.send_load_notes(&notes);
                 }
             }
             Action::Settle(settlement) => self.settle(settlement),
             Action::SendCrashNote { note, to } => {
                 if let Some(sender) = &self.thread.notes {
-                    sender.tell_crashes(&note, &to);
+                    sender.send_crash_note(&note, &to);
                 }
             }
             Action::SendDutyNote { note, to } => {
                 if let Some(sender) = &self.thread.notes {
-                    sender.tell_duty(&note, &to);
+                    sender.send_duty_note(&note, &to);
                 }
             }
             Action::SendUpstreamNote { note, to } => {
                 if let Some(sender) = &self.thread.notes {
-                    sender.tell_upstreams(&note, &to);
+                    sender.send_upstream_note(&note, &to);
                 }
             }
             Action::SendUsageNote { note, to } => self.tell_usage(note, to),
             Action::SendVersionNote { note, to } => {
                 if let Some(sender) = &self.thread.notes {
-                    sender.tell_version(&note, &to);
+                    sender.send_version_note(&note, &to);
                 }
             }
         }
@@ -351,7 +351,7 @@
         let unix_ms = unix_ms();
         let note = UsageNote { unix_ms, ..note };
         match (to, &self.thread.notes) {
-            (Some(to), Some(sender)) => sender.tell_usage(&note, to),
+            (Some(to), Some(sender)) => sender.send_usage_note(&note, to),
             (Some(_), None) => {}
             // A full ring drops it: the next one says all again.
             (None, _) => {
@@ -447,7 +447,7 @@
     fn send_heartbeat(&mut self, address: SocketAddr, heartbeat: Heartbeat, host: HostId) {
         let job = PeerJob {
             address,
-            asked: self.thread.clock.now(),
+            sent_at: self.thread.clock.now(),
             heartbeat,
             host,
         };
@@ -460,14 +460,14 @@
         &mut self,
         address: SocketAddr,
         paths: Vec<Path>,
-        question: ProbeQuestion,
+        kind: ProbeKind,
         upstream: UpstreamId,
     ) {
         debug!(self.thread.logger, "controller: probe"; "upstream" => %upstream);
         let job = ProbeJob {
             address,
             paths,
-            question,
+            kind,
             upstream,
         };
         let _ = self.thread.probes.try_send(job);
--- a/crates/router/src/directory_thread.rs
+++ b/crates/router/src/directory_thread.rs
@@ -148,12 +148,12 @@
             } => {
                 info!(logger, "directory: reachable again";
                     "silent_ms" => silent.as_millis() as u64);
-                self.received().note_reachable_again();
+                self.received().note_store_reachable();
                 Event::DirectoryReachableAgain
             }
             DirectoryUpdate::StoreLost { error } => {
                 warn!(logger, "directory: lost"; "error" => error);
-                self.received().note_lost();
+                self.received().note_store_lost();
                 Event::DirectoryLost
             }
             DirectoryUpdate::Peers {
@@ -170,7 +170,7 @@
                 info!(logger, "directory: regained";
                     "ago_ms" => ago.as_millis() as u64, "silent_ms" => silent.as_millis() as u64);
                 let at = self.clock.now() - ago;
-                self.received().note_regained(at);
+                self.received().note_store_regained(at);
                 Event::DirectoryRegained { at }
             }
             DirectoryUpdate::UnusableAnswer { error } => {
@@ -182,13 +182,13 @@
                     "division" => coverage.division,
                     "known" => levels.iter().filter(|(_, level)| *level <= WorkingSet::KNOWN_LEVEL).count(),
                     "upstreams" => levels.len());
-                self.received().divide(coverage, levels);
+                self.received().set_coverage(coverage, levels);
                 return None;
             }
             DirectoryUpdate::TableRead(reading) => {
                 let mut received = self.received();
-                received.take(self.clock.now(), reading);
-                for (table, rows) in received.rows() {
+                received.apply(self.clock.now(), reading);
+                for (table, rows) in received.row_counts() {
                     gauge!("rhubarbcove_table_rows", "table" => table).set(rows as f64);
                 }
                 return None;
--- a/crates/router/src/http_listener.rs
+++ b/crates/router/src/http_listener.rs
@@ -11,24 +11,24 @@
 
 impl HttpListener {
     /// Serves in a thread of its own.
-    pub(crate) fn spawn<A, F>(
+    pub(crate) fn spawn<H, F>(
         self,
         name: &str,
-        answer: A,
+        handler: H,
     ) -> eyre::Result<JoinHandle<eyre::Result<()>>>
     where
-        A: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
+        H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
         F: Future<Output = Response<AnswerBody>> + Send + 'static,
     {
         std::thread::Builder::new()
             .name(name.to_string())
-            .spawn(move || single_thread_runtime()?.block_on(self.run(answer)))
+            .spawn(move || single_thread_runtime()?.block_on(self.run(handler)))
             .wrap_err("cannot start an HTTP thread")
     }
 
-    async fn run<A, F>(self, answer: A) -> eyre::Result<()>
+    async fn run<H, F>(self, handler: H) -> eyre::Result<()>
     where
-        A: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
+        H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
         F: Future<Output = Response<AnswerBody>> + Send + 'static,
     {
         let listener = TcpListener::from_std(self.listener)?;
@@ -40,15 +40,15 @@
                 () = self.shutdown.started() => break,
             };
             let Ok((stream, _)) = accepted else { continue };
-            let answer = answer.clone();
+            let handler = handler.clone();
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(self.head_timeout)
                 .serve_connection(
                     TokioIo::new(stream),
                     service_fn(move |request| {
-                        let answer = answer(request);
-                        async move { Ok::<_, Infallible>(answer.await) }
+                        let response = handler(request);
+                        async move { Ok::<_, Infallible>(response.await) }
                     }),
                 );
             connections.spawn(async move {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -109,6 +109,7 @@
 mod duty_log;
 mod event_splitter;
 mod fetch_job;
+mod forwarded_connection;
 mod host;
 mod host_metrics;
 mod host_status;
@@ -124,7 +125,6 @@
 mod note_sender;
 mod note_thread;
 mod operator_service;
-mod passed_connection;
 mod peer_job;
 mod peer_service;
 mod peer_thread;
@@ -190,6 +190,7 @@
     directory_thread::DirectoryThread,
     event_splitter::EventSplitter,
     fetch_job::FetchJob,
+    forwarded_connection::ForwardedConnection,
     host_metrics::HostMetrics,
     http_listener::HttpListener,
     instruction::Instruction,
@@ -201,17 +202,16 @@
     note_sender::NoteSender,
     note_thread::NoteThread,
     operator_service::OperatorService,
-    passed_connection::PassedConnection,
     peer_job::PeerJob,
-    peer_service::{Lending, PeerService},
+    peer_service::{ConfigurationTransfers, PeerService},
     peer_thread::PeerThread,
     platform_job::PlatformJob,
     platform_thread::PlatformThread,
-    probe_job::{ProbeJob, ProbeQuestion},
+    probe_job::{ProbeJob, ProbeKind},
     pump::Pump,
     pumps::Pumps,
     reader_signals::ReaderSignals,
-    received_tables::{ReceivedTables, TablesAdvertised},
+    received_tables::{ReceivedTables, TablesAvailability},
     relay::Relay,
     relay_service::RelayService,
     relayed_request::RelayedRequest,
--- a/crates/router/src/note_thread.rs
+++ b/crates/router/src/note_thread.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 /// Largest datagram that is read.
-const MAX_DATAGRAM: usize = 64 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// Time between two looks at whether the host is to stop.
-const STOP_CHECK: Duration = Duration::from_millis(200);
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What the thread is given.
 pub(crate) struct NoteThread {
@@ -22,7 +22,7 @@
 impl NoteThread {
     pub(crate) fn spawn(self) -> eyre::Result<JoinHandle<eyre::Result<()>>> {
         self.socket.set_nonblocking(false)?;
-        self.socket.set_read_timeout(Some(STOP_CHECK))?;
+        self.socket.set_read_timeout(Some(SHUTDOWN_POLL_INTERVAL))?;
         std::thread::Builder::new()
             .name("notes".to_string())
             .spawn(move || {
@@ -33,18 +33,18 @@
     }
 
     fn run(self) {
-        let mut buffer = vec![0; MAX_DATAGRAM];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         while !self.shutdown.is_started() {
             let Ok((len, from)) = self.socket.recv_from(&mut buffer) else {
                 // Nothing came, or a host that was notified is not there.
                 continue;
             };
-            match read(from, &buffer[..len], &self.token) {
+            match parse_datagram(from, &buffer[..len], &self.token) {
                 // A full ring drops either: the next one says all again.
-                Ok(Received::Usage(note)) => {
+                Ok(ReceivedNote::Usage(note)) => {
                     let _ = self.usage.try_send(note);
                 }
-                Ok(Received::Event(event)) => {
+                Ok(ReceivedNote::Event(event)) => {
                     let _ = self.events.try_send(RingEvent::Happened(event));
                 }
                 Err(error) => {
@@ -56,33 +56,37 @@
 }
 
 /// What a datagram holds.
-enum Received {
+enum ReceivedNote {
     Event(Event),
     Usage(UsageNote),
 }
 
-fn read(from: SocketAddr, datagram: &[u8], token: &str) -> Result<Received, MessageError> {
+fn parse_datagram(
+    from: SocketAddr,
+    datagram: &[u8],
+    token: &str,
+) -> Result<ReceivedNote, MessageError> {
     if let Ok(note) = LoadNote::from_datagram(datagram, token) {
-        return Ok(Received::Event(Event::LoadNoteReceived { from, note }));
+        return Ok(ReceivedNote::Event(Event::LoadNoteReceived { from, note }));
     }
     if let Ok(ask) = TokenRequest::from_datagram(datagram, token) {
-        return Ok(Received::Event(Event::TokensRequested { ask, from }));
+        return Ok(ReceivedNote::Event(Event::TokensRequested { ask, from }));
     }
     if let Ok(grant) = TokenGrant::from_datagram(datagram, token) {
-        return Ok(Received::Event(Event::TokensGranted(grant)));
+        return Ok(ReceivedNote::Event(Event::TokensGranted(grant)));
     }
     if let Ok(note) = UsageNote::from_datagram(datagram, token) {
-        return Ok(Received::Usage(note));
+        return Ok(ReceivedNote::Usage(note));
     }
     if let Ok(note) = DutyNote::from_datagram(datagram, token) {
-        return Ok(Received::Event(Event::DutyAdvertised { from, note }));
+        return Ok(ReceivedNote::Event(Event::DutyAdvertised { from, note }));
     }
     if let Ok(note) = CrashNote::from_datagram(datagram, token) {
-        return Ok(Received::Event(Event::CrashesReceived(note)));
+        return Ok(ReceivedNote::Event(Event::CrashesReceived(note)));
     }
     if let Ok(note) = UpstreamNote::from_datagram(datagram, token) {
-        return Ok(Received::Event(Event::UpstreamNoticesReceived(note)));
+        return Ok(ReceivedNote::Event(Event::UpstreamNoticesReceived(note)));
     }
     let note = VersionNote::from_datagram(datagram, token)?;
-    Ok(Received::Event(Event::VersionAdvertised { from, note }))
+    Ok(ReceivedNote::Event(Event::VersionAdvertised { from, note }))
 }
--- a/crates/router/src/operator_service.rs
+++ b/crates/router/src/operator_service.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 /// Largest body of an operator's request.
-const MAX_BODY: usize = 1024 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 /// Requests of operators: health checks, metrics, reports, configuration.
 #[derive(Clone)]
 pub(crate) struct OperatorService {
     pub(crate) clock: Clock,
     pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
-    pub(crate) ledger: Arc<Mutex<Ledger>>,
+    pub(crate) statistics: Arc<Mutex<Ledger>>,
     pub(crate) metrics: PrometheusHandle,
     /// Whether it serves the metrics to anyone, and nothing else.
     pub(crate) only_metrics: bool,
@@ -19,27 +19,27 @@
     pub(crate) token: Arc<String>,
 }
 
-type Answered = Response<AnswerBody>;
+type HttpAnswer = Response<AnswerBody>;
 
 impl OperatorService {
-    pub(crate) async fn answer(&self, request: Request<Incoming>) -> Answered {
+    pub(crate) async fn answer(&self, request: Request<Incoming>) -> HttpAnswer {
         let method = request.method().clone();
         let path = request.uri().path().to_string();
         if self.only_metrics {
             return match (&method, path.as_str()) {
                 (&Method::GET, "/metrics") => self.metrics(),
-                _ => plain_error(StatusCode::NOT_FOUND, "not_found", "no such path"),
+                _ => error_answer(StatusCode::NOT_FOUND, "not_found", "no such path"),
             };
         }
         match (&method, path.as_str()) {
             (&Method::GET, "/livez") => return text_answer(StatusCode::OK, "text/plain", "ok\n"),
-            (&Method::GET, "/readyz") => return self.ready(),
+            (&Method::GET, "/readyz") => return self.readiness(),
             _ => {}
         }
         if !self.is_operator(&request) {
             let message =
                 "expected the header `Authorization: Bearer TOKEN` with the operator's token";
-            return plain_error(StatusCode::UNAUTHORIZED, "not_an_operator", message);
+            return error_answer(StatusCode::UNAUTHORIZED, "not_an_operator", message);
         }
         match (&method, path.as_str()) {
             (&Method::GET, "/metrics") => self.metrics(),
@@ -47,19 +47,19 @@
             (&Method::GET, "/report") => self.report(),
             (&Method::GET, "/config") => match self.configuration.load().as_ref() {
                 Some(numbered) => json_answer(&**numbered),
-                None => not_ready(),
+                None => not_ready_answer(),
             },
-            (&Method::POST, "/config/patches") => self.submit(request).await,
-            _ => plain_error(StatusCode::NOT_FOUND, "not_found", "no such path"),
+            (&Method::POST, "/config/patches") => self.submit_patch(request).await,
+            _ => error_answer(StatusCode::NOT_FOUND, "not_found", "no such path"),
         }
     }
 
-    fn metrics(&self) -> Answered {
+    fn metrics(&self) -> HttpAnswer {
         let metrics = self.metrics.render();
         text_answer(StatusCode::OK, "text/plain; version=0.0.4", metrics)
     }
 
-    fn ready(&self) -> Answered {
+    fn readiness(&self) -> HttpAnswer {
         let status = self.status.load();
         match status.phase {
             HostPhase::Serving if status.current => {
@@ -79,42 +79,48 @@
         presented.ct_eq(self.token.as_bytes()).into()
     }
 
-    fn report(&self) -> Answered {
+    fn report(&self) -> HttpAnswer {
         let Some(numbered) = self.configuration.load_full() else {
-            return not_ready();
+            return not_ready_answer();
         };
-        let ledger = self.ledger.lock().unwrap_or_else(PoisonError::into_inner);
-        json_answer(&ledger.report(self.clock.now(), &numbered.document))
+        let statistics = self
+            .statistics
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        json_answer(&statistics.report(self.clock.now(), &numbered.document))
     }
 
-    async fn submit(&self, request: Request<Incoming>) -> Answered {
-        let body = match Limited::new(request.into_body(), MAX_BODY).collect().await {
+    async fn submit_patch(&self, request: Request<Incoming>) -> HttpAnswer {
+        let body = match Limited::new(request.into_body(), MAX_BODY_BYTES)
+            .collect()
+            .await
+        {
             Ok(body) => body.to_bytes(),
             Err(error) => {
-                return plain_error(StatusCode::BAD_REQUEST, "bad_body", &error.to_string());
+                return error_answer(StatusCode::BAD_REQUEST, "bad_body", &error.to_string());
             }
         };
         let patch: Patch = match serde_json::from_slice(&body) {
             Ok(patch) => patch,
             Err(error) => {
-                return plain_error(StatusCode::BAD_REQUEST, "bad_patch", &error.to_string());
+                return error_answer(StatusCode::BAD_REQUEST, "bad_patch", &error.to_string());
             }
         };
         let Some(store) = &self.store else {
             let message = "the configuration of this installation is changed at its own store";
-            return plain_error(StatusCode::CONFLICT, "not_here", message);
+            return error_answer(StatusCode::CONFLICT, "not_here", message);
         };
         match store.submit(&patch).await {
             Ok(version) => json_answer(&json!({ "version": version })),
             Err(error) => {
-                let (status, code) = submit_error(&error);
-                plain_error(status, code, &error.to_string())
+                let (status, code) = submit_error_status(&error);
+                error_answer(status, code, &error.to_string())
             }
         }
     }
 }
 
-fn submit_error(error: &ConfigStoreError) -> (StatusCode, &'static str) {
+fn submit_error_status(error: &ConfigStoreError) -> (StatusCode, &'static str) {
     match error {
         ConfigStoreError::Invalid { .. } => (StatusCode::UNPROCESSABLE_ENTITY, "invalid"),
         ConfigStoreError::Missing => (StatusCode::NOT_FOUND, "missing"),
@@ -124,20 +130,20 @@
     }
 }
 
-fn plain_error(status: StatusCode, code: &str, message: &str) -> Answered {
+fn error_answer(status: StatusCode, code: &str, message: &str) -> HttpAnswer {
     let body = json!({"error": {"code": code, "message": message}}).to_string();
     text_answer(status, "application/json", body)
 }
 
-fn not_ready() -> Answered {
+fn not_ready_answer() -> HttpAnswer {
     let message = "the host has no configuration yet";
-    plain_error(StatusCode::SERVICE_UNAVAILABLE, "not_ready", message)
+    error_answer(StatusCode::SERVICE_UNAVAILABLE, "not_ready", message)
 }
 
-fn json_answer<T: Serialize>(value: &T) -> Answered {
+fn json_answer<T: Serialize>(value: &T) -> HttpAnswer {
     match serde_json::to_string_pretty(value) {
         Ok(text) => text_answer(StatusCode::OK, "application/json", text),
-        Err(error) => plain_error(
+        Err(error) => error_answer(
             StatusCode::INTERNAL_SERVER_ERROR,
             "internal",
             &error.to_string(),
--- a/crates/router/src/peer_job.rs
+++ b/crates/router/src/peer_job.rs
@@ -4,7 +4,7 @@
 #[derive(Debug)]
 pub(crate) struct PeerJob {
     pub(crate) address: SocketAddr,
-    pub(crate) asked: Time,
+    pub(crate) sent_at: Time,
     pub(crate) heartbeat: Heartbeat,
     pub(crate) host: HostId,
 }
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -12,14 +12,14 @@
 
 /// Hosts that are handed the configuration at one time; others are sent elsewhere.
 /// Four packed documents of 7,000 routes take half a second on a link of 10 Mbit/s.
-const MAX_LENT: usize = 4;
+const MAX_CONFIGURATION_TRANSFERS: usize = 4;
 
 /// Time after which a host that was handed the configuration counts no more, so that four
 /// that lost their power on the way do not keep all others from it.
-const LENT_FOR: Duration = Duration::from_secs(3);
+const CONFIGURATION_TRANSFER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Rows from which an answer counts as large: about 10 KB of upstreams.
-const LARGE_ROWS: usize = 256;
+const LARGE_ANSWER_ROWS: usize = 256;
 
 /// Serves the configuration to hosts with the same secret.
 ///
@@ -30,14 +30,14 @@
 #[derive(Clone)]
 pub(crate) struct PeerService {
     /// Notified when another host asks for what this one cannot tell.
-    pub(crate) asked: flume::Sender<()>,
+    pub(crate) unanswered_requests: flume::Sender<()>,
     pub(crate) clock: Clock,
-    pub(crate) allocation: Arc<ArcSwapOption<Allocation>>,
-    pub(crate) received: Arc<Mutex<ReceivedTables>>,
-    pub(crate) lending: Lending,
-    pub(crate) packed: Arc<Mutex<PackedNews>>,
+    pub(crate) served_configuration: Arc<ArcSwapOption<Allocation>>,
+    pub(crate) received_tables: Arc<Mutex<ReceivedTables>>,
+    pub(crate) configuration_transfers: ConfigurationTransfers,
+    pub(crate) encoded_tables: Arc<Mutex<EncodedTables>>,
     pub(crate) token: String,
-    pub(crate) transfers: Arc<Mutex<TableTransferSlots>>,
+    pub(crate) table_transfers: Arc<Mutex<TableTransferSlots>>,
     pub(crate) transit: TransitService,
 }
 
@@ -45,9 +45,9 @@
     pub(crate) async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         let presented = request.headers().get(AUTHORIZATION);
         let presented = presented.map_or(&b""[..], HeaderValue::as_bytes);
-        let known: bool = presented.ct_eq(bearer(&self.token).as_bytes()).into();
+        let authorized: bool = presented.ct_eq(bearer(&self.token).as_bytes()).into();
         let path = request.uri().path();
-        if !known {
+        if !authorized {
             return text_answer(StatusCode::NOT_FOUND, "text/plain", "no such path\n");
         }
         if path == TRANSIT_PATH {
@@ -55,99 +55,112 @@
         }
         let document = path.strip_prefix(DOCUMENT_PATH);
         if let Some(newer_than) = document.and_then(|rest| rest.parse().ok()) {
-            return self.document(newer_than);
+            return self.answer_document(newer_than);
         }
-        let to = listens(request.headers());
-        if let Some(question) = question(path, TABLES_PATH) {
-            return self.tables(&question, to);
+        let recipient = listen_address(request.headers());
+        if let Some(tables_request) = parse_tables_request(path, TABLES_PATH) {
+            return self.answer_tables(&tables_request, recipient);
         }
-        match question(path, TABLES_COPY_PATH) {
-            Some(question) => self.copy(&question, to),
+        match parse_tables_request(path, TABLES_COPY_PATH) {
+            Some(tables_request) => self.answer_tables_copy(&tables_request, recipient),
             None => text_answer(StatusCode::NOT_FOUND, "text/plain", "no such path\n"),
         }
     }
 
-    fn document(&self, newer_than: u64) -> Response<AnswerBody> {
-        let allocation = self.allocation.load_full();
-        let newer = allocation.filter(|allocation| allocation.document.version.get() > newer_than);
-        let Some(allocation) = newer else {
+    fn answer_document(&self, newer_than: u64) -> Response<AnswerBody> {
+        let configuration = self.served_configuration.load_full();
+        let newer =
+            configuration.filter(|configuration| configuration.document.version.get() > newer_than);
+        let Some(configuration) = newer else {
             return text_answer(StatusCode::NO_CONTENT, "text/plain", Bytes::new());
         };
-        match self.lending.lend(allocation.document.packed.clone()) {
-            Some(packed) => self.hand_over(&allocation, packed),
+        match self
+            .configuration_transfers
+            .begin(configuration.document.packed.clone())
+        {
+            Some(compressed) => self.document_answer(&configuration, compressed),
             None => text_answer(StatusCode::TOO_MANY_REQUESTS, "text/plain", "busy\n"),
         }
     }
 
     /// What the store said of its tables, and how old the configuration is.
-    fn tables(&self, question: &TablesRequest, to: Option<SocketAddr>) -> Response<AnswerBody> {
-        let advertised = lock(&self.received).advertised(self.clock.now());
-        let allocation = self.allocation.load_full();
-        if !matches!(advertised, TablesAdvertised::News { .. }) {
+    fn answer_tables(
+        &self,
+        tables_request: &TablesRequest,
+        recipient: Option<SocketAddr>,
+    ) -> Response<AnswerBody> {
+        let availability = lock(&self.received_tables).availability(self.clock.now());
+        let configuration = self.served_configuration.load_full();
+        if !matches!(availability, TablesAvailability::Available { .. }) {
             // A full ring holds the same news.
-            let _ = self.asked.try_send(());
+            let _ = self.unanswered_requests.try_send(());
         }
-        match (advertised, allocation) {
-            (TablesAdvertised::StoreLost, _) => {
-                let mut response = refused();
+        match (availability, configuration) {
+            (TablesAvailability::StoreLost, _) => {
+                let mut response = unavailable();
                 response.headers_mut().insert(STORE_LOST_HEADER, 1.into());
                 response
             }
-            (TablesAdvertised::News { regained }, Some(allocation)) => {
-                let mut response = self.send_news(question, to);
+            (TablesAvailability::Available { store_regained_ago }, Some(configuration)) => {
+                let mut response = self.changes_answer(tables_request, recipient);
                 let headers = response.headers_mut();
-                if let Some(since) = regained {
+                if let Some(since) = store_regained_ago {
                     headers.insert(STORE_REGAINED_HEADER, (since.as_millis() as u64).into());
                 }
-                self.tell_knowledge(&allocation, headers);
+                self.insert_version_and_age(&configuration, headers);
                 response
             }
-            _ => refused(),
+            _ => unavailable(),
         }
     }
 
     /// A copy of the tables, for a host that found the one busy that asks the store.
-    fn copy(&self, question: &TablesRequest, to: Option<SocketAddr>) -> Response<AnswerBody> {
-        match lock(&self.received).rows_for(question) {
-            Some(_) => self.send_news(question, to),
-            None => refused(),
+    fn answer_tables_copy(
+        &self,
+        tables_request: &TablesRequest,
+        recipient: Option<SocketAddr>,
+    ) -> Response<AnswerBody> {
+        match lock(&self.received_tables).max_rows_for(tables_request) {
+            Some(_) => self.changes_answer(tables_request, recipient),
+            None => unavailable(),
         }
     }
 
     /// Sends what changed after the revisions; where that is large and others get it
     /// already, refers to hosts that have it.
-    fn send_news(&self, question: &TablesRequest, to: Option<SocketAddr>) -> Response<AnswerBody> {
-        let rows = lock(&self.received).rows_for(question);
-        let slot = if rows.unwrap_or_default() < LARGE_ROWS {
+    fn changes_answer(
+        &self,
+        tables_request: &TablesRequest,
+        recipient: Option<SocketAddr>,
+    ) -> Response<AnswerBody> {
+        let rows = lock(&self.received_tables).max_rows_for(tables_request);
+        let slot_number = if rows.unwrap_or_default() < LARGE_ANSWER_ROWS {
             None
         } else {
-            match lock(&self.transfers).begin(self.clock.now(), to) {
-                None => return self.refer(),
+            match lock(&self.table_transfers).begin(self.clock.now(), recipient) {
+                None => return self.referral(),
                 taken => taken,
             }
         };
-        let sending = slot.map(|number| Sending {
+        let slot = slot_number.map(|number| TransferSlot {
             number,
-            transfers: Arc::clone(&self.transfers),
+            transfers: Arc::clone(&self.table_transfers),
         });
-        let news = lock(&self.received).news_for(question);
-        let packed = news.map(|news| lock(&self.packed).pack(news));
-        let Some(Ok(bytes)) = packed else {
-            return refused();
+        let response = lock(&self.received_tables).response_to(tables_request);
+        let encoded = response.map(|response| lock(&self.encoded_tables).encode(response));
+        let Some(Ok(bytes)) = encoded else {
+            return unavailable();
         };
-        let body = match sending {
-            Some(sending) => Bytes::from_owner(Sent {
-                bytes,
-                _sending: sending,
-            }),
+        let body = match slot {
+            Some(slot) => Bytes::from_owner(TableTransfer { bytes, _slot: slot }),
             None => bytes,
         };
         text_answer(StatusCode::OK, "application/octet-stream", body)
     }
 
-    fn refer(&self) -> Response<AnswerBody> {
+    fn referral(&self) -> Response<AnswerBody> {
         let mut response = text_answer(StatusCode::TOO_MANY_REQUESTS, "text/plain", "busy\n");
-        let recipients = lock(&self.transfers).recipients();
+        let recipients = lock(&self.table_transfers).recipients();
         let recipients: Vec<String> = recipients.iter().map(SocketAddr::to_string).collect();
         if let Ok(value) = recipients.join(",").parse() {
             response.headers_mut().insert(REFERRAL_HEADER, value);
@@ -155,24 +168,28 @@
         response
     }
 
-    fn hand_over(&self, allocation: &Allocation, packed: Bytes) -> Response<AnswerBody> {
-        let mut response = text_answer(StatusCode::OK, "application/gzip", packed);
+    fn document_answer(
+        &self,
+        configuration: &Allocation,
+        compressed: Bytes,
+    ) -> Response<AnswerBody> {
+        let mut response = text_answer(StatusCode::OK, "application/gzip", compressed);
         let headers = response.headers_mut();
-        headers.insert(REVISION_HEADER, allocation.document.revision.into());
-        self.tell_knowledge(allocation, headers);
+        headers.insert(REVISION_HEADER, configuration.document.revision.into());
+        self.insert_version_and_age(configuration, headers);
         response
     }
 
-    fn tell_knowledge(&self, allocation: &Allocation, headers: &mut HeaderMap) {
-        headers.insert(VERSION_HEADER, allocation.document.version.get().into());
-        if let Some(as_of) = allocation.as_of {
+    fn insert_version_and_age(&self, configuration: &Allocation, headers: &mut HeaderMap) {
+        headers.insert(VERSION_HEADER, configuration.document.version.get().into());
+        if let Some(as_of) = configuration.as_of {
             let age = self.clock.now().since(as_of);
             headers.insert(CONFIGURATION_AGE_HEADER, (age.as_millis() as u64).into());
         }
     }
 }
 
-fn refused() -> Response<AnswerBody> {
+fn unavailable() -> Response<AnswerBody> {
     text_answer(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "unknown\n")
 }
 
@@ -181,7 +198,7 @@
 }
 
 /// Where the asking host serves others, if it says so.
-fn listens(headers: &HeaderMap) -> Option<SocketAddr> {
+fn listen_address(headers: &HeaderMap) -> Option<SocketAddr> {
     headers
         .get(LISTEN_ADDRESS_HEADER)?
         .to_str()
@@ -191,24 +208,24 @@
 }
 
 /// A slot for a large answer; it is given back with this value.
-struct Sending {
+struct TransferSlot {
     number: u64,
     transfers: Arc<Mutex<TableTransferSlots>>,
 }
 
-impl Drop for Sending {
+impl Drop for TransferSlot {
     fn drop(&mut self) {
         lock(&self.transfers).end(self.number);
     }
 }
 
 /// Bytes of a large answer on their way.
-struct Sent {
+struct TableTransfer {
     bytes: Bytes,
-    _sending: Sending,
+    _slot: TransferSlot,
 }
 
-impl AsRef<[u8]> for Sent {
+impl AsRef<[u8]> for TableTransfer {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
@@ -216,71 +233,73 @@
 
 /// The large news packed last: hosts that start together ask for the same.
 #[derive(Default)]
-pub(crate) struct PackedNews {
+pub(crate) struct EncodedTables {
     last: Option<(TablesResponse, Bytes)>,
 }
 
-impl PackedNews {
-    fn pack(&mut self, news: TablesResponse) -> Result<Bytes, MessageError> {
-        if news.rows() < LARGE_ROWS {
-            return Ok(news.to_bytes()?.into());
+impl EncodedTables {
+    fn encode(&mut self, response: TablesResponse) -> Result<Bytes, MessageError> {
+        if response.rows() < LARGE_ANSWER_ROWS {
+            return Ok(response.to_bytes()?.into());
         }
         if let Some((last, bytes)) = &self.last
-            && *last == news
+            && *last == response
         {
             return Ok(bytes.clone());
         }
-        let bytes = Bytes::from(news.to_bytes()?);
-        self.last = Some((news, bytes.clone()));
+        let bytes = Bytes::from(response.to_bytes()?);
+        self.last = Some((response, bytes.clone()));
         Ok(bytes)
     }
 }
 
-/// The question for the tables in a path that begins so.
-fn question(path: &str, prefix: &str) -> Option<TablesRequest> {
+/// The request for the tables in a path that begins so.
+fn parse_tables_request(path: &str, prefix: &str) -> Option<TablesRequest> {
     path.strip_prefix(prefix)?.parse().ok()
 }
 
 /// Counts the hosts that are being handed the configuration.
 #[derive(Clone, Default)]
-pub(crate) struct Lending {
+pub(crate) struct ConfigurationTransfers {
     /// When each of them began, under a number of its own.
-    began: Arc<Mutex<BTreeMap<u64, Instant>>>,
+    started_at: Arc<Mutex<BTreeMap<u64, Instant>>>,
 }
 
-impl Lending {
+impl ConfigurationTransfers {
     /// Bytes to be sent to one more host; `None` if there are enough.
-    fn lend(&self, bytes: Bytes) -> Option<Bytes> {
-        let mut began = lock(&self.began);
-        began.retain(|_, began| began.elapsed() < LENT_FOR);
-        if began.len() >= MAX_LENT {
+    fn begin(&self, bytes: Bytes) -> Option<Bytes> {
+        let mut started_at = lock(&self.started_at);
+        started_at.retain(|_, started_at| started_at.elapsed() < CONFIGURATION_TRANSFER_TIMEOUT);
+        if started_at.len() >= MAX_CONFIGURATION_TRANSFERS {
             return None;
         }
-        let number = began.last_key_value().map_or(0, |(number, _)| number + 1);
-        began.insert(number, Instant::now());
-        Some(Bytes::from_owner(Lent {
+        let number = started_at
+            .last_key_value()
+            .map_or(0, |(number, _)| number + 1);
+        started_at.insert(number, Instant::now());
+        Some(Bytes::from_owner(ConfigurationTransfer {
             bytes,
-            lending: self.clone(),
+            transfers: self.clone(),
             number,
         }))
     }
 }
 
 /// Bytes on their way to another host; they are given back when they have been written.
-struct Lent {
+struct ConfigurationTransfer {
     bytes: Bytes,
-    lending: Lending,
+    transfers: ConfigurationTransfers,
     number: u64,
 }
 
-impl AsRef<[u8]> for Lent {
+impl AsRef<[u8]> for ConfigurationTransfer {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-impl Drop for Lent {
+impl Drop for ConfigurationTransfer {
     fn drop(&mut self) {
-        lock(&self.lending.began).remove(&self.number);
+        lock(&self.transfers.started_at).remove(&self.number);
     }
 }
--- a/crates/router/src/peer_thread.rs
+++ b/crates/router/src/peer_thread.rs
@@ -27,7 +27,7 @@
     }
 
     async fn run(self) -> eyre::Result<()> {
-        let handler = answer_by_controller(self.events.clone());
+        let handler = heartbeat_handler(self.events.clone());
         let server = PeerServer::start(self.listener, self.token.clone(), handler).await?;
         tokio::select! {
             () = send_heartbeats(&self.jobs, &self.token, &self.events, &self.logger) => {}
@@ -40,7 +40,7 @@
 
 /// Heartbeats of others go through the controller's ring like all else; where
 /// it is full, the asking host gets no answer and tries another one.
-fn answer_by_controller(events: flume::Sender<RingEvent>) -> PeerHandler {
+fn heartbeat_handler(events: flume::Sender<RingEvent>) -> PeerHandler {
     Arc::new(move |heartbeat| {
         let (sender, answer) = oneshot::channel();
         let sent = events.try_send(RingEvent::HeartbeatAsked(heartbeat, sender));
@@ -72,7 +72,7 @@
         }
         let event = Event::HeartbeatAnswered {
             answer,
-            sent: job.asked,
+            sent: job.sent_at,
             host: job.host,
         };
         let _ = events.send_async(RingEvent::Happened(event)).await;
--- a/crates/router/src/platform_thread.rs
+++ b/crates/router/src/platform_thread.rs
@@ -13,13 +13,13 @@
 const WATCH_INTERVAL: Duration = Duration::from_millis(5_000);
 
 /// Shortest time between two looks at the newest version.
-const MIN_WATCH_PAUSE: Duration = Duration::from_millis(100);
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two reads of the host list.
-const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
+const HOST_LIST_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Claims written in one call.
-const MAX_BATCH: usize = 64;
+const MAX_CLAIM_BATCH: usize = 64;
 
 /// What the platform's thread is given.
 pub(crate) struct PlatformThread {
@@ -47,7 +47,7 @@
         let client = Arc::new(PlatformClient::new(self.address, CALL_TIMEOUT));
         let claims = TableClaims::new(Arc::clone(&client));
         let store = ConfigStore::new(Arc::clone(&client));
-        let watching = async {
+        let watch = async {
             futures::join!(
                 watch_configuration(
                     &store,
@@ -60,7 +60,7 @@
             );
         };
         tokio::select! {
-            () = watching => {}
+            () = watch => {}
             // Settlements are finished first: the ring closes only after the
             // controller's thread has ended.
             () = serve_jobs(&self.jobs, &claims, &self.events) => {}
@@ -72,19 +72,19 @@
 
 async fn watch_configuration(
     store: &ConfigStore,
-    read_now: &Notify,
+    read_requested: &Notify,
     status: &ArcSwap<HostStatus>,
     events: &flume::Sender<RingEvent>,
     logger: &Logger,
 ) {
-    let mut known: Option<Arc<Numbered>> = None;
+    let mut newest_read: Option<Arc<Numbered>> = None;
     let mut last_error = String::new();
     loop {
-        match store.read_newer(known.as_deref()).await {
+        match store.read_newer(newest_read.as_deref()).await {
             Ok(newer) => {
                 last_error.clear();
                 if let Some(newest) = newer.map(Arc::new) {
-                    known = Some(Arc::clone(&newest));
+                    newest_read = Some(Arc::clone(&newest));
                     let event = RingEvent::Happened(Event::ConfigurationRead(newest));
                     let _ = events.send_async(event).await;
                 }
@@ -101,14 +101,14 @@
         // A peer's word of a newer version cuts the wait short, but never below
         // a pause: peers that are ahead of a slow platform must not make every
         // host ask it at once and again.
-        sleep(MIN_WATCH_PAUSE).await;
+        sleep(MIN_WATCH_INTERVAL).await;
         let interval = if is_coordinator(&status.load()) {
             COORDINATOR_WATCH_INTERVAL
         } else {
             WATCH_INTERVAL
         };
-        let wait = jittered(interval).saturating_sub(MIN_WATCH_PAUSE);
-        let _ = timeout(wait, read_now.notified()).await;
+        let wait = jittered(interval).saturating_sub(MIN_WATCH_INTERVAL);
+        let _ = timeout(wait, read_requested.notified()).await;
     }
 }
 
@@ -123,16 +123,16 @@
             Ok(Some(newest)) => {
                 debug!(logger, "platform: host list"; "hosts" => newest.list.hosts.len());
                 tag = newest.tag;
-                tell_list(&newest.list, events).await;
+                send_host_list(&newest.list, events).await;
             }
             Ok(None) => {}
             Err(error) => debug!(logger, "platform: host list not read"; "error" => %error),
         }
-        sleep(jittered(LIST_INTERVAL)).await;
+        sleep(jittered(HOST_LIST_INTERVAL)).await;
     }
 }
 
-async fn tell_list(list: &HostList, events: &flume::Sender<RingEvent>) {
+async fn send_host_list(list: &HostList, events: &flume::Sender<RingEvent>) {
     let hosts = list.hosts.iter().map(peer_host).collect();
     let event = Event::HostsListed { hosts };
     let _ = events.send_async(RingEvent::Happened(event)).await;
@@ -178,7 +178,7 @@
                     tasks.spawn(async move { claims.settle(&settlement).await });
                 }
             }
-            next = (batch.len() < MAX_BATCH)
+            next = (batch.len() < MAX_CLAIM_BATCH)
                 .then(|| jobs.try_recv().ok())
                 .flatten();
         }
@@ -200,7 +200,7 @@
 ) {
     // The most urgent first, should the platform cut the batch short.
     batch.sort_by_key(|claim| claim.tier);
-    for round in split_by_key(batch) {
+    for round in split_duplicate_keys(batch) {
         claim_round(claims, round, events).await;
     }
 }
@@ -210,7 +210,7 @@
 /// What goes wrong otherwise: a table may judge all the conditions of a call
 /// before it carries the first write out; then two claims of one key in one
 /// call are both granted, and the request runs twice.
-fn split_by_key(batch: Vec<ClaimRequest>) -> Vec<Vec<ClaimRequest>> {
+fn split_duplicate_keys(batch: Vec<ClaimRequest>) -> Vec<Vec<ClaimRequest>> {
     let mut seen: HashMap<(TeamId, IdempotencyKey), usize> = HashMap::default();
     let mut rounds: Vec<Vec<ClaimRequest>> = Vec::new();
     for claim in batch {
--- a/crates/router/src/received_tables.rs
+++ b/crates/router/src/received_tables.rs
@@ -2,11 +2,11 @@
 
 /// Time after which a host that has received nothing of the store tells others nothing: the
 /// store is asked every 1.8 s at the latest, and has 0.4 s to answer.
-const MAX_SILENCE: Duration = Duration::from_millis(3_000);
+const MAX_STORE_READ_AGE: Duration = Duration::from_millis(3_000);
 
 /// Time after the store's return for which other hosts are notified of it: they must not take
 /// entries for gone that have only lapsed, which are back within two seconds.
-const RETURN_ANNOUNCED_FOR: Duration = Duration::from_millis(2_000);
+const STORE_REGAINED_NOTICE_TIME: Duration = Duration::from_millis(2_000);
 
 /// What this host knows of the installation's tables, for hosts that ask it in the store's
 /// place. What another host announced is passed on as a copy only, as it may be old.
@@ -14,22 +14,22 @@
 pub(crate) struct ReceivedTables {
     /// Which upstreams the copy holds.
     coverage: Coverage,
-    divided: Vec<ServiceDivision>,
+    service_divisions: Vec<ServiceDivision>,
     /// When the store last said something of the upstreams.
-    received: Option<Time>,
+    store_read_at: Option<Time>,
     hosts: TableCopy,
     hosts_in_all: u32,
-    is_lost: bool,
-    regained: Option<Time>,
+    store_lost: bool,
+    store_regained_at: Option<Time>,
     upstreams: TableCopy,
 }
 
 /// Whether another host learns what the tables hold.
 #[derive(Debug, Eq, PartialEq)]
-pub(crate) enum TablesAdvertised {
-    News {
+pub(crate) enum TablesAvailability {
+    Available {
         /// How long ago the store was found again, if that was a moment ago.
-        regained: Option<Duration>,
+        store_regained_ago: Option<Duration>,
     },
     StoreLost,
     /// This host does not ask the store, or has not read all of it yet.
@@ -38,66 +38,68 @@
 
 impl ReceivedTables {
     /// Takes what the store or another host said just now.
-    pub(crate) fn take(&mut self, now: Time, reading: SharedTableUpdate) {
-        match reading.table {
+    pub(crate) fn apply(&mut self, now: Time, update: SharedTableUpdate) {
+        match update.table {
             SharedTable::Hosts => {
-                self.hosts.take(reading.update);
-                self.hosts_in_all = reading.hosts_in_all;
+                self.hosts.apply(update.update);
+                self.hosts_in_all = update.hosts_in_all;
             }
             SharedTable::Upstreams => {
-                if reading.source == TableSource::Store {
-                    self.received = Some(now);
+                if update.source == TableSource::Store {
+                    self.store_read_at = Some(now);
                 }
-                self.upstreams.take(reading.update);
-                if reading.coverage.level < self.coverage.level {
-                    self.upstreams.keep_up_to(reading.coverage.level);
+                self.upstreams.apply(update.update);
+                if update.coverage.level < self.coverage.level {
+                    self.upstreams.remove_above_level(update.coverage.level);
                 }
-                self.coverage = reading.coverage;
-                if !reading.divided.is_empty() {
-                    self.divided = reading.divided;
+                self.coverage = update.coverage;
+                if !update.divided.is_empty() {
+                    self.service_divisions = update.divided;
                 }
             }
         }
     }
 
     /// Takes new levels of the upstreams: hosts that know another division learn all anew.
-    pub(crate) fn divide(&mut self, coverage: Coverage, levels: Vec<(String, u8)>) {
+    pub(crate) fn set_coverage(&mut self, coverage: Coverage, levels: Vec<(String, u8)>) {
         self.coverage = coverage;
         self.upstreams.set_levels(levels);
     }
 
     /// What a host lacks that asks a question, as far as it is known here.
-    pub(crate) fn news_for(&self, question: &TablesRequest) -> Option<TablesResponse> {
-        let (coverage, upstreams) = self.part_for(question)?;
-        let upstreams = self.upstreams.after(upstreams, coverage.level)?;
-        let divided = upstreams.whole && coverage.division != 0;
+    pub(crate) fn response_to(&self, request: &TablesRequest) -> Option<TablesResponse> {
+        let (coverage, revision) = self.coverage_and_revision_for(request)?;
+        let upstreams = self.upstreams.changes_after(revision, coverage.level)?;
+        let with_divisions = upstreams.whole && coverage.division != 0;
         Some(TablesResponse {
             coverage,
-            divided: if divided {
-                self.divided.clone()
+            divided: if with_divisions {
+                self.service_divisions.clone()
             } else {
                 Vec::new()
             },
-            hosts: self.hosts_after(question.hosts_revision),
+            hosts: self.host_changes_after(request.hosts_revision),
             hosts_in_all: self.hosts_in_all,
             upstreams,
         })
     }
 
     /// Rows that such a host lacks, at the most; `None` if it lacks nothing of the upstreams.
-    pub(crate) fn rows_for(&self, question: &TablesRequest) -> Option<usize> {
-        let (coverage, upstreams) = self.part_for(question)?;
-        let (known_to, upstream_rows) = self.upstreams.rows_after(upstreams, coverage.level)?;
-        let host_rows = self.hosts.rows_after(question.hosts_revision, 0);
+    pub(crate) fn max_rows_for(&self, request: &TablesRequest) -> Option<usize> {
+        let (coverage, revision) = self.coverage_and_revision_for(request)?;
+        let (known_to, upstream_rows) = self
+            .upstreams
+            .count_changes_after(revision, coverage.level)?;
+        let host_rows = self.hosts.count_changes_after(request.hosts_revision, 0);
         let host_rows = host_rows.map_or(0, |(_, rows)| rows);
-        (known_to > upstreams).then_some(upstream_rows + host_rows)
+        (known_to > revision).then_some(upstream_rows + host_rows)
     }
 
     /// What changed of the hosts; nothing before they were read here, as what upstreams say
     /// must not wait for that.
-    fn hosts_after(&self, revision: u64) -> TableUpdate {
-        let news = self.hosts.after(revision, 0);
-        news.unwrap_or_else(|| TableUpdate {
+    fn host_changes_after(&self, revision: u64) -> TableUpdate {
+        let update = self.hosts.changes_after(revision, 0);
+        update.unwrap_or_else(|| TableUpdate {
             revision,
             rows: Vec::new(),
             whole: false,
@@ -106,13 +108,13 @@
 
     /// Which upstreams a host is notified of, and after which revision: it needs all of them if
     /// it knows another division.
-    fn part_for(&self, question: &TablesRequest) -> Option<(Coverage, u64)> {
-        let coverage = self.coverage.at_level(question.coverage.level)?;
-        let is_known = coverage.division == question.coverage.division;
+    fn coverage_and_revision_for(&self, request: &TablesRequest) -> Option<(Coverage, u64)> {
+        let coverage = self.coverage.at_level(request.coverage.level)?;
+        let same_division = coverage.division == request.coverage.division;
         Some((
             coverage,
-            if is_known {
-                question.upstreams_revision
+            if same_division {
+                request.upstreams_revision
             } else {
                 0
             },
@@ -120,45 +122,45 @@
     }
 
     /// Rows that are held for other hosts, by table.
-    pub(crate) fn rows(&self) -> [(&'static str, usize); 2] {
+    pub(crate) fn row_counts(&self) -> [(&'static str, usize); 2] {
         [
-            ("hosts", self.hosts.rows()),
-            ("upstreams", self.upstreams.rows()),
+            ("hosts", self.hosts.row_count()),
+            ("upstreams", self.upstreams.row_count()),
         ]
     }
 
     /// The store gives no answer. What it said before is kept, as hosts that know as much
     /// need only the changes after its return.
-    pub(crate) fn note_lost(&mut self) {
-        self.is_lost = true;
-        self.received = None;
+    pub(crate) fn note_store_lost(&mut self) {
+        self.store_lost = true;
+        self.store_read_at = None;
     }
 
     /// Another host reaches the store, and never lost it.
-    pub(crate) fn note_reachable_again(&mut self) {
-        self.is_lost = false;
+    pub(crate) fn note_store_reachable(&mut self) {
+        self.store_lost = false;
     }
 
-    pub(crate) fn note_regained(&mut self, at: Time) {
-        self.is_lost = false;
-        self.regained = Some(at);
+    pub(crate) fn note_store_regained(&mut self, at: Time) {
+        self.store_lost = false;
+        self.store_regained_at = Some(at);
     }
 
     /// Whether other hosts learn what the tables hold.
-    pub(crate) fn advertised(&self, now: Time) -> TablesAdvertised {
-        if self.is_lost {
-            return TablesAdvertised::StoreLost;
+    pub(crate) fn availability(&self, now: Time) -> TablesAvailability {
+        if self.store_lost {
+            return TablesAvailability::StoreLost;
         }
-        let fresh = |received: Time| now.since(received) <= MAX_SILENCE;
-        if !self.received.is_some_and(fresh) {
-            return TablesAdvertised::Unknown;
+        let is_recent = |read_at: Time| now.since(read_at) <= MAX_STORE_READ_AGE;
+        if !self.store_read_at.is_some_and(is_recent) {
+            return TablesAvailability::Unknown;
         }
         if !self.upstreams.is_known() {
-            return TablesAdvertised::Unknown;
+            return TablesAvailability::Unknown;
         }
-        let regained = self.regained.map(|at| now.since(at));
-        TablesAdvertised::News {
-            regained: regained.filter(|since| *since < RETURN_ANNOUNCED_FOR),
+        let regained_ago = self.store_regained_at.map(|at| now.since(at));
+        TablesAvailability::Available {
+            store_regained_ago: regained_ago.filter(|since| *since < STORE_REGAINED_NOTICE_TIME),
         }
     }
 }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -201,7 +201,7 @@
         response: Response<Incoming>,
         sender: UpstreamSender,
     ) {
-        let keep_for = connection_reuse::keep_time(&response);
+        let keep_for = connection_reuse::keep_alive_time(&response);
         let body = Limited::new(response.into_body(), MAX_REFUSAL);
         if let Ok(Ok(_)) = timeout(REFUSAL_TIMEOUT, body.collect()).await {
             self.keep(order, sender, keep_for);
@@ -221,7 +221,7 @@
         response: Response<Incoming>,
         sender: UpstreamSender,
     ) -> Result<Response<WholeAnswer>, Stopped> {
-        let keep_for = connection_reuse::keep_time(&response);
+        let keep_for = connection_reuse::keep_alive_time(&response);
         let (parts, body) = response.into_parts();
         let max = self.limits.max_whole_answer_bytes;
         let max = max.min(self.limits.max_unread_bytes);
@@ -270,7 +270,7 @@
     ) -> Result<(), Stopped> {
         // It is of no use any more, and would count as unread.
         self.held = None;
-        let keep_for = connection_reuse::keep_time(&response);
+        let keep_for = connection_reuse::keep_alive_time(&response);
         let (parts, mut body) = response.into_parts();
         let mut head = Response::new(());
         *head.status_mut() = parts.status;
--- a/crates/router/src/table_claims.rs
+++ b/crates/router/src/table_claims.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 /// Times that an unanswered claim is read back.
-const READ_BACKS: u32 = 3;
+const MAX_READ_BACKS: u32 = 3;
 
 /// Pause before a read-back or another try of a settlement, doubled each time.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Longest pause.
-const MAX_PAUSE: Duration = Duration::from_secs(5);
+/// Longest backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 /// Claims and settlements in the platform's table.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
         let mut answers = Vec::with_capacity(claims.len());
         for (claim, row) in claims.iter().zip(rows) {
             let answer = match row {
-                Some(row) => self.answer_or_take(claim, &row).await,
+                Some(row) => self.resolve_row(claim, &row).await,
                 None => ClaimResult::Unknown,
             };
             answers.push(answer);
@@ -43,18 +43,18 @@
     }
 
     /// What a row says of a claim; a released key is taken.
-    async fn answer_or_take(&self, claim: &ClaimRequest, row: &Row) -> ClaimResult {
+    async fn resolve_row(&self, claim: &ClaimRequest, row: &Row) -> ClaimResult {
         match serde_json::from_value::<ClaimRow>(row.value.clone()) {
             Ok(found) if found.state == ClaimState::Released => {}
-            Ok(found) => return answer_of_row(claim, found),
+            Ok(found) => return claim_result(claim, found),
             Err(_) => return ClaimResult::MayHaveRun,
         }
-        let take = TableOperation::Replace {
+        let replace = TableOperation::Replace {
             expected_row_version: row.row_version,
             key: row.key.clone(),
             value: claim_value(claim, ClaimState::Claimed),
         };
-        let row = match self.write(vec![take]).await {
+        let row = match self.write(vec![replace]).await {
             Ok(mut results) => results.pop().and_then(|result| result.row),
             Err(error) if error.may_have_taken_effect() => self
                 .read_back(std::slice::from_ref(claim))
@@ -64,7 +64,7 @@
         };
         match row.map(|row| serde_json::from_value::<ClaimRow>(row.value)) {
             Some(Ok(found)) if found.state == ClaimState::Released => ClaimResult::Unknown,
-            Some(Ok(found)) => answer_of_row(claim, found),
+            Some(Ok(found)) => claim_result(claim, found),
             Some(Err(_)) => ClaimResult::MayHaveRun,
             None => ClaimResult::Unknown,
         }
@@ -87,10 +87,10 @@
     /// too. The row's attempt id tells whose it is.
     async fn read_back(&self, claims: &[ClaimRequest]) -> Option<Vec<Option<Row>>> {
         let keys: Vec<String> = claims.iter().map(claim_key).collect();
-        let mut pause = FIRST_PAUSE;
-        for _ in 0..READ_BACKS {
-            sleep(pause).await;
-            pause *= 2;
+        let mut backoff = INITIAL_BACKOFF;
+        for _ in 0..MAX_READ_BACKS {
+            sleep(backoff).await;
+            backoff *= 2;
             if let Ok(rows) = self.client.read(keys.clone()).await {
                 return Some(rows);
             }
@@ -101,19 +101,19 @@
     /// Writes how a claimed request ended, for as long as it takes: nobody
     /// else can settle it.
     pub(crate) async fn settle(&self, settlement: &Settlement) {
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         while !self.try_settle(settlement).await {
-            sleep(jittered(pause)).await;
-            pause = (pause * 2).min(MAX_PAUSE);
+            sleep(jittered(backoff)).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
     /// Releases a claim that was never sent and may or may not exist.
     pub(crate) async fn release(&self, claim: &ClaimRequest) {
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         while !self.try_release(claim).await {
-            sleep(jittered(pause)).await;
-            pause = (pause * 2).min(MAX_PAUSE);
+            sleep(jittered(backoff)).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
@@ -207,7 +207,7 @@
     }
 }
 
-fn answer_of_row(claim: &ClaimRequest, found: ClaimRow) -> ClaimResult {
+fn claim_result(claim: &ClaimRequest, found: ClaimRow) -> ClaimResult {
     if found.fingerprint != claim.fingerprint {
         return ClaimResult::KeyReused;
     }
--- a/crates/router/src/table_copy.rs
+++ b/crates/router/src/table_copy.rs
@@ -2,7 +2,7 @@
 
 /// Removed rows that are remembered, so that hosts that are a little behind need only the
 /// changes: those of a minute in which all of 2,100 upstreams are replaced.
-const MAX_REMOVED: usize = 4_096;
+const MAX_REMOVED_ROWS: usize = 4_096;
 
 /// A table of the installation's store as this host received it.
 #[derive(Debug, Default)]
@@ -10,15 +10,15 @@
     /// Revision and key of each row: what changed after a revision is found without a look
     /// at all rows.
     by_revision: BTreeSet<(u64, String)>,
-    known: Option<Span>,
+    covered: Option<RevisionRange>,
     /// The removed ones that are remembered, among them.
     rows: BTreeMap<String, TableRow>,
 }
 
 /// Revisions that a copy covers.
 #[derive(Clone, Copy, Debug)]
-struct Span {
-    /// All changes after this one are known, removals included.
+struct RevisionRange {
+    /// All changes after this one are covered, removals included.
     from: u64,
     to: u64,
 }
@@ -26,46 +26,46 @@
 impl TableCopy {
     /// Takes what the store said. Changes to a table that was never read whole are of no
     /// use, and an answer that was overtaken by a newer one is dropped.
-    pub(crate) fn take(&mut self, news: TableUpdate) {
-        let before = self.known.map(|known| known.to);
-        if before.is_some_and(|before| news.revision < before) {
+    pub(crate) fn apply(&mut self, update: TableUpdate) {
+        let before = self.covered.map(|covered| covered.to);
+        if before.is_some_and(|before| update.revision < before) {
             return;
         }
-        if news.whole {
-            self.remove_missing(&news);
+        if update.whole {
+            self.mark_missing_removed(&update);
         } else if before.is_none() {
             return;
         }
-        for mut row in news.rows {
-            let is_old = before.is_some_and(|before| row.revision <= before);
-            if !news.whole && is_old {
+        for mut row in update.rows {
+            let is_outdated = before.is_some_and(|before| row.revision <= before);
+            if !update.whole && is_outdated {
                 // Announced as a change, so whoever knows the table up to `before` lacks it.
-                row.revision = news.revision;
+                row.revision = update.revision;
             }
             self.insert(row);
         }
-        let from = self.known.map_or(news.revision, |known| known.from);
-        self.known = Some(Span {
-            from: from.max(self.forget_removed().unwrap_or_default()),
-            to: news.revision,
+        let from = self.covered.map_or(update.revision, |covered| covered.from);
+        self.covered = Some(RevisionRange {
+            from: from.max(self.drop_oldest_removed().unwrap_or_default()),
+            to: update.revision,
         });
     }
 
     /// Rows that are held, removed ones among them.
-    pub(crate) fn rows(&self) -> usize {
+    pub(crate) fn row_count(&self) -> usize {
         self.rows.len()
     }
 
     /// Whether the table was ever read whole.
     pub(crate) const fn is_known(&self) -> bool {
-        self.known.is_some()
+        self.covered.is_some()
     }
 
     /// What has changed after a revision in rows up to a level; all of those if that is too
-    /// long ago. `None` if the table is not known.
-    pub(crate) fn after(&self, revision: u64, level: u8) -> Option<TableUpdate> {
-        let known = self.known?;
-        let whole = revision < known.from;
+    /// long ago. `None` if the table is not covered.
+    pub(crate) fn changes_after(&self, revision: u64, level: u8) -> Option<TableUpdate> {
+        let covered = self.covered?;
+        let whole = revision < covered.from;
         let rows = if whole {
             let rows = self.rows.values();
             let rows = rows.filter(|row| !row.removed && row.level <= level);
@@ -77,23 +77,23 @@
             rows
         };
         Some(TableUpdate {
-            revision: known.to,
+            revision: covered.to,
             rows,
             whole,
         })
     }
 
-    /// Revision up to which the table is known, and how many rows it has to tell after
+    /// Revision up to which the table is covered, and how many rows it has to tell after
     /// another one, at the most.
-    pub(crate) fn rows_after(&self, revision: u64, level: u8) -> Option<(u64, usize)> {
-        let known = self.known?;
-        let rows = if revision < known.from {
+    pub(crate) fn count_changes_after(&self, revision: u64, level: u8) -> Option<(u64, usize)> {
+        let covered = self.covered?;
+        let rows = if revision < covered.from {
             let rows = self.rows.values();
             rows.filter(|row| row.level <= level).count()
         } else {
             self.changed_after(revision, level).count()
         };
-        Some((known.to, rows))
+        Some((covered.to, rows))
     }
 
     /// Sets the levels of rows by key.
@@ -106,7 +106,7 @@
     }
 
     /// Forgets rows beyond a level.
-    pub(crate) fn keep_up_to(&mut self, level: u8) {
+    pub(crate) fn remove_above_level(&mut self, level: u8) {
         let by_revision = &mut self.by_revision;
         self.rows.retain(|_, row| {
             let keep = row.level <= level;
@@ -131,15 +131,15 @@
             // Nothing says any more where it stood.
             row.level = before.level;
         }
-        let place = (row.revision, row.key.clone());
+        let index_entry = (row.revision, row.key.clone());
         if let Some(before) = self.rows.insert(row.key.clone(), row) {
             self.by_revision.remove(&(before.revision, before.key));
         }
-        self.by_revision.insert(place);
+        self.by_revision.insert(index_entry);
     }
 
-    fn remove_missing(&mut self, news: &TableUpdate) {
-        let read: BTreeSet<&str> = news.rows.iter().map(|row| row.key.as_str()).collect();
+    fn mark_missing_removed(&mut self, update: &TableUpdate) {
+        let read: BTreeSet<&str> = update.rows.iter().map(|row| row.key.as_str()).collect();
         let is_missing = |row: &&TableRow| !row.removed && !read.contains(row.key.as_str());
         let missing = self.rows.values().filter(is_missing);
         let missing: Vec<String> = missing.map(|row| row.key.clone()).collect();
@@ -148,7 +148,7 @@
                 key,
                 level: 0,
                 removed: true,
-                revision: news.revision,
+                revision: update.revision,
                 value: Vec::new(),
             });
         }
@@ -156,10 +156,10 @@
 
     /// Forgets the oldest removed rows beyond the most that are remembered; gives the
     /// newest revision of those.
-    fn forget_removed(&mut self) -> Option<u64> {
+    fn drop_oldest_removed(&mut self) -> Option<u64> {
         let removed = self.rows.values().filter(|row| row.removed);
         let mut revisions: Vec<u64> = removed.map(|row| row.revision).collect();
-        let excess = revisions.len().checked_sub(MAX_REMOVED + 1)?;
+        let excess = revisions.len().checked_sub(MAX_REMOVED_ROWS + 1)?;
         revisions.sort_unstable();
         let last = revisions[excess];
         let by_revision = &mut self.by_revision;
--- a/crates/router/src/transit_service.rs
+++ b/crates/router/src/transit_service.rs
@@ -7,7 +7,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Longest time for the controller to say where to connect.
-const ASK_TIMEOUT: Duration = Duration::from_millis(100);
+const ADDRESS_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Connections that are passed on at one time.
 const MAX_CONNECTIONS: usize = 512;
@@ -22,7 +22,7 @@
     pub(crate) activity: Activity,
     pub(crate) events: flume::Sender<RingEvent>,
     pub(crate) logger: Logger,
-    pub(crate) passing: Pumps,
+    pub(crate) connections: Pumps,
 }
 
 impl TransitService {
@@ -30,20 +30,20 @@
         let upstream = request.headers().get(UPSTREAM_HEADER);
         let upstream = upstream.and_then(|value| value.to_str().ok()?.parse().ok());
         let Some(upstream) = upstream else {
-            return said(StatusCode::BAD_REQUEST, "declined");
+            return counted_answer(StatusCode::BAD_REQUEST, "declined");
         };
-        let Some(address) = self.where_to(&upstream).await else {
+        let Some(address) = self.request_address(&upstream).await else {
             debug!(self.logger, "transit: declined"; "upstream" => %upstream);
-            return said(StatusCode::SERVICE_UNAVAILABLE, "declined");
+            return counted_answer(StatusCode::SERVICE_UNAVAILABLE, "declined");
         };
         let connected = timeout(CONNECT_TIMEOUT, ConnectionPool::connect_directly(address)).await;
         let Ok(Ok(stream)) = connected else {
             info!(self.logger, "transit: upstream not reached"; "upstream" => %upstream);
-            return said(StatusCode::BAD_GATEWAY, "unreached");
+            return counted_answer(StatusCode::BAD_GATEWAY, "unreached");
         };
         info!(self.logger, "transit: connected"; "upstream" => %upstream);
-        self.pass_on(request, stream);
-        let mut response = said(StatusCode::SWITCHING_PROTOCOLS, "connected");
+        self.forward(request, stream);
+        let mut response = counted_answer(StatusCode::SWITCHING_PROTOCOLS, "connected");
         *response.body_mut() = Full::default()
             .map_err(|never| match never {})
             .boxed_unsync();
@@ -53,14 +53,14 @@
         response
     }
 
-    fn pass_on(&self, request: Request<Incoming>, upstream: TcpStream) {
+    fn forward(&self, request: Request<Incoming>, upstream: TcpStream) {
         let activity = self.activity.clone();
-        self.passing.spawn(async move {
+        self.connections.spawn(async move {
             let Ok(upgraded) = hyper::upgrade::on(request).await else {
                 return;
             };
             if let Ok(parts) = upgraded.downcast::<TokioIo<TcpStream>>() {
-                let connection = PassedConnection {
+                let connection = ForwardedConnection {
                     activity,
                     host: parts.io.into_inner(),
                     upstream,
@@ -72,20 +72,20 @@
     }
 
     /// Where an upstream listens, if this host connects to it for others now.
-    async fn where_to(&self, upstream: &UpstreamId) -> Option<SocketAddr> {
-        let passed = self.passing.count();
-        gauge!("rhubarbcove_transit_connections").set(passed as f64);
-        if passed >= MAX_CONNECTIONS {
+    async fn request_address(&self, upstream: &UpstreamId) -> Option<SocketAddr> {
+        let count = self.connections.count();
+        gauge!("rhubarbcove_transit_connections").set(count as f64);
+        if count >= MAX_CONNECTIONS {
             return None;
         }
         let (sender, answer) = oneshot::channel();
-        let asked = RingEvent::TransitAsked(upstream.clone(), sender);
-        self.events.try_send(asked).ok()?;
-        timeout(ASK_TIMEOUT, answer).await.ok()?.ok()?
+        let message = RingEvent::TransitAsked(upstream.clone(), sender);
+        self.events.try_send(message).ok()?;
+        timeout(ADDRESS_TIMEOUT, answer).await.ok()?.ok()?
     }
 }
 
-fn said(status: StatusCode, outcome: &'static str) -> Response<AnswerBody> {
+fn counted_answer(status: StatusCode, outcome: &'static str) -> Response<AnswerBody> {
     counter!("rhubarbcove_transit_total", "outcome" => outcome).increment(1);
     text_answer(status, "text/plain", "")
 }
--- a/crates/router/src/upstream_thread.rs
+++ b/crates/router/src/upstream_thread.rs
@@ -3,16 +3,16 @@
 use super::*;
 
 /// Pause between two polls of engines: four a second.
-const POLL_PAUSE: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Engines of a domain up to which each host asks all of them.
-const FEW_ENGINES: usize = 8;
+const MAX_FULLY_POLLED_ENGINES: usize = 8;
 
 /// Engines beyond its own share that a host asks in a larger domain.
-const MORE_ENGINES: usize = 4;
+const EXTRA_POLLED_ENGINES: usize = 4;
 
 /// Probes under way at one time: each of an upstream out of reach takes 0.3 s.
-const MAX_PROBES: usize = 8;
+const MAX_CONCURRENT_PROBES: usize = 8;
 
 /// What the thread is given.
 pub(crate) struct UpstreamThread {
@@ -52,30 +52,34 @@
 
     async fn serve_probes(&self, adapter: &EngineAdapter, connections: &ConnectionPool) {
         let jobs = self.probes.stream();
-        jobs.for_each_concurrent(MAX_PROBES, |job| self.probe(job, adapter, connections))
-            .await;
+        jobs.for_each_concurrent(MAX_CONCURRENT_PROBES, |job| {
+            self.probe(job, adapter, connections)
+        })
+        .await;
     }
 
     async fn probe(&self, job: ProbeJob, adapter: &EngineAdapter, connections: &ConnectionPool) {
         let ProbeJob {
             address,
             paths,
-            question,
+            kind,
             upstream,
         } = job;
-        let to = Destination {
+        let destination = Destination {
             address,
             paths,
             upstream: Some(upstream.clone()),
         };
-        let event = match question {
-            ProbeQuestion::Health(path) => {
-                let healthy = self.check_health(adapter, &to, &path, &upstream).await;
+        let event = match kind {
+            ProbeKind::Health(path) => {
+                let healthy = self
+                    .check_health(adapter, &destination, &path, &upstream)
+                    .await;
                 info!(self.logger, "upstreams: probed";
                     "upstream" => %upstream, "healthy" => healthy);
                 Event::ProbeAnswered { healthy, upstream }
             }
-            ProbeQuestion::Listening => {
+            ProbeKind::Listening => {
                 let listening = check_listening(address).await;
                 info!(self.logger, "upstreams: looked whether it listens";
                     "upstream" => %upstream, "listening" => format!("{listening:?}"));
@@ -84,25 +88,25 @@
                     upstream,
                 }
             }
-            ProbeQuestion::Path => Event::PathsTried {
+            ProbeKind::Path => Event::PathsTried {
                 request: None,
-                attempts: connections.open(&to).await.attempts,
+                attempts: connections.open(&destination).await.attempts,
                 upstream,
             },
         };
-        self.tell(event).await;
+        self.send_event(event).await;
     }
 
     /// Whether an upstream is well. What its answer says of it besides is reported before.
     async fn check_health(
         &self,
         adapter: &EngineAdapter,
-        to: &Destination,
+        destination: &Destination,
         path: &str,
         upstream: &UpstreamId,
     ) -> bool {
         let sent = self.clock.now();
-        let Some((status, headers)) = adapter.check_health(to, path).await else {
+        let Some((status, headers)) = adapter.check_health(destination, path).await else {
             return false;
         };
         let Some(protocol) = &self.protocol else {
@@ -113,7 +117,7 @@
         }
         let notice = protocol.read_notice(status, &headers);
         if !notice.is_empty() {
-            self.tell(Event::NoticeAnswered {
+            self.send_event(Event::NoticeAnswered {
                 notice,
                 sent,
                 upstream: upstream.clone(),
@@ -123,7 +127,7 @@
         status.is_success()
     }
 
-    async fn tell(&self, event: Event) {
+    async fn send_event(&self, event: Event) {
         // The controller outlives this thread.
         let _ = self.events.send_async(RingEvent::Happened(event)).await;
     }
@@ -140,11 +144,11 @@
     loop {
         let polled = polled_engines(configuration.load_full().as_deref(), &status.load());
         if polled.is_empty() {
-            sleep(POLL_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
         for (upstream, address) in polled {
             let poll = poll_load(adapter, upstream, address, events);
-            futures::join!(poll, sleep(jittered(POLL_PAUSE)));
+            futures::join!(poll, sleep(jittered(POLL_INTERVAL)));
         }
     }
 }
@@ -166,12 +170,12 @@
         .filter(|(_, upstream)| *upstream.failure_domain() == status.failure_domain)
         .map(|(id, upstream)| (id, upstream.address()))
         .collect();
-    if engines.len() > FEW_ENGINES {
+    if engines.len() > MAX_FULLY_POLLED_ENGINES {
         engines.sort_by_key(|(id, _)| {
             let is_home = status.home.contains(id);
             (!is_home, rendezvous_weight(id.name(), &status.host))
         });
-        engines.truncate(status.home.len() + MORE_ENGINES);
+        engines.truncate(status.home.len() + EXTRA_POLLED_ENGINES);
     }
     let engines = engines.into_iter();
     engines.map(|(id, address)| (id.clone(), address)).collect()
--- a/crates/router/src/wiring.rs
+++ b/crates/router/src/wiring.rs
@@ -84,7 +84,7 @@
                 events: self.events(),
                 jobs: self.rings.fetches.1.clone(),
                 logger: self.logger.clone(),
-                offers: offer,
+                received_configurations: offer,
                 token: self.settings.peer_token.clone(),
             },
             allocation: Arc::clone(&self.shared.allocation),
@@ -176,19 +176,19 @@
         };
         self.threads.push(thread.spawn()?);
         let service = PeerService {
-            asked: self.rings.asked.0.clone(),
-            received: Arc::clone(&self.shared.received),
+            unanswered_requests: self.rings.asked.0.clone(),
+            received_tables: Arc::clone(&self.shared.received),
             clock: self.shared.clock,
-            allocation: Arc::clone(&self.shared.allocation),
-            lending: Lending::default(),
-            packed: Arc::default(),
+            served_configuration: Arc::clone(&self.shared.allocation),
+            configuration_transfers: ConfigurationTransfers::default(),
+            encoded_tables: Arc::default(),
             token,
-            transfers: Arc::default(),
+            table_transfers: Arc::default(),
             transit: TransitService {
                 activity: self.shared.activity.clone(),
                 events: self.events(),
                 logger: self.logger.clone(),
-                passing: self.shared.passing.clone(),
+                connections: self.shared.passing.clone(),
             },
         };
         self.serve("peers", listener, move |request| {
@@ -207,7 +207,7 @@
         let service = OperatorService {
             clock: self.shared.clock,
             configuration: Arc::clone(&self.shared.configuration),
-            ledger: Arc::clone(&self.shared.ledger),
+            statistics: Arc::clone(&self.shared.ledger),
             metrics: self.metrics.handle(),
             only_metrics: false,
             status: Arc::clone(&self.shared.status),
--- a/crates/router/tests/unit/received_tables.rs
+++ b/crates/router/tests/unit/received_tables.rs
@@ -12,18 +12,18 @@
     }
 }
 
-fn reading(table: SharedTable, division: u32, news: TableUpdate) -> SharedTableUpdate {
+fn table_update(table: SharedTable, division: u32, update: TableUpdate) -> SharedTableUpdate {
     SharedTableUpdate {
         coverage: Coverage::all(division),
         divided: Vec::new(),
         hosts_in_all: 0,
-        update: news,
+        update,
         source: TableSource::Store,
         table,
     }
 }
 
-fn news(revision: u64, whole: bool, rows: Vec<TableRow>) -> TableUpdate {
+fn update(revision: u64, whole: bool, rows: Vec<TableRow>) -> TableUpdate {
     TableUpdate {
         revision,
         rows,
@@ -32,22 +32,22 @@
 }
 
 /// A host that read all of a divided table from the store.
-fn asked_host() -> ReceivedTables {
+fn host_with_all_rows() -> ReceivedTables {
     let mut received = ReceivedTables::default();
     let rows = vec![row("a", 1, 0), row("b", 2, 1), row("c", 3, 2)];
     let now = Time::from_ms(1_000);
-    received.take(
+    received.apply(
         now,
-        reading(SharedTable::Upstreams, DIVISION, news(9, true, rows)),
+        table_update(SharedTable::Upstreams, DIVISION, update(9, true, rows)),
     );
-    received.take(
+    received.apply(
         now,
-        reading(SharedTable::Hosts, 0, news(9, true, Vec::new())),
+        table_update(SharedTable::Hosts, 0, update(9, true, Vec::new())),
     );
     received
 }
 
-fn question(upstreams: u64, division: u32, level: u8) -> TablesRequest {
+fn tables_request(upstreams: u64, division: u32, level: u8) -> TablesRequest {
     TablesRequest {
         coverage: Coverage { division, level },
         hosts_revision: 9,
@@ -56,17 +56,17 @@
 }
 
 /// What is announced: the coverage, `all` or `changes`, and the rows.
-fn advertised(received: &ReceivedTables, question: &TablesRequest) -> String {
-    let Some(news) = received.news_for(question) else {
+fn describe_response(received: &ReceivedTables, request: &TablesRequest) -> String {
+    let Some(response) = received.response_to(request) else {
         return "unknown".to_string();
     };
-    let Coverage { division, level } = news.coverage;
-    let kind = if news.upstreams.whole {
+    let Coverage { division, level } = response.coverage;
+    let kind = if response.upstreams.whole {
         "all"
     } else {
         "changes"
     };
-    let rows = news.upstreams.rows.iter().map(|row| match row.removed {
+    let rows = response.upstreams.rows.iter().map(|row| match row.removed {
         true => format!("-{}", row.key),
         false => row.key.clone(),
     });
@@ -76,22 +76,25 @@
 
 /// Guards against every host being sent the whole table of a large installation.
 #[test]
-fn tells_a_host_the_rows_of_its_level_only() {
-    let mut received = asked_host();
-    assert_eq!(advertised(&received, &question(0, 0, 0)), "77/0 all: a");
+fn a_host_gets_only_the_rows_up_to_its_level() {
+    let mut received = host_with_all_rows();
     assert_eq!(
-        advertised(&received, &question(0, DIVISION, 1)),
+        describe_response(&received, &tables_request(0, 0, 0)),
+        "77/0 all: a"
+    );
+    assert_eq!(
+        describe_response(&received, &tables_request(0, DIVISION, 1)),
         "77/1 all: a b"
     );
     let changed = vec![row("a", 10, 0), row("c", 11, 2)];
-    let changes = reading(SharedTable::Upstreams, DIVISION, news(11, false, changed));
-    received.take(Time::from_ms(2_000), changes);
+    let changes = table_update(SharedTable::Upstreams, DIVISION, update(11, false, changed));
+    received.apply(Time::from_ms(2_000), changes);
     assert_eq!(
-        advertised(&received, &question(9, DIVISION, 0)),
+        describe_response(&received, &tables_request(9, DIVISION, 0)),
         "77/0 changes: a"
     );
     assert_eq!(
-        advertised(&received, &question(11, DIVISION, 0)),
+        describe_response(&received, &tables_request(11, DIVISION, 0)),
         "77/0 changes: "
     );
 }
@@ -99,10 +102,10 @@
 /// Guards against changes that are put onto rows of another division: upstreams that are gone
 /// would stay, and others would be missing.
 #[test]
-fn tells_all_rows_to_a_host_that_knows_another_division() {
-    let received = asked_host();
+fn a_host_that_knows_another_division_gets_all_rows() {
+    let received = host_with_all_rows();
     assert_eq!(
-        advertised(&received, &question(9, DIVISION + 1, 0)),
+        describe_response(&received, &tables_request(9, DIVISION + 1, 0)),
         "77/0 all: a"
     );
 }
@@ -110,88 +113,117 @@
 /// Guards against an upstream that stays with the hosts that know it after it was removed: its
 /// row no longer says where it stood.
 #[test]
-fn tells_removals_to_those_who_know_the_row() {
-    let mut received = asked_host();
+fn a_removal_is_sent_to_hosts_that_have_the_row() {
+    let mut received = host_with_all_rows();
     let gone = |key: &str, revision| TableRow {
         removed: true,
         ..row(key, revision, 0)
     };
     let removed = vec![gone("a", 10), gone("c", 11)];
-    let changes = reading(SharedTable::Upstreams, DIVISION, news(11, false, removed));
-    received.take(Time::from_ms(2_000), changes);
+    let changes = table_update(SharedTable::Upstreams, DIVISION, update(11, false, removed));
+    received.apply(Time::from_ms(2_000), changes);
     assert_eq!(
-        advertised(&received, &question(9, DIVISION, 0)),
+        describe_response(&received, &tables_request(9, DIVISION, 0)),
         "77/0 changes: -a"
     );
     assert_eq!(
-        advertised(&received, &question(9, DIVISION, 2)),
+        describe_response(&received, &tables_request(9, DIVISION, 2)),
         "77/2 changes: -a -c"
     );
 }
 
 /// Guards against a copy that passes on less than the asking host takes it for.
 #[test]
-fn a_copy_of_some_rows_tells_nothing_to_a_host_that_needs_more() {
-    let mut received = asked_host();
+fn a_partial_copy_is_not_sent_to_a_host_that_needs_more_rows() {
+    let mut received = host_with_all_rows();
     let from_nothing = TablesRequest {
         hosts_revision: 0,
-        ..question(0, 0, 1)
+        ..tables_request(0, 0, 1)
     };
-    let news = received.news_for(&from_nothing).unwrap();
+    let response = received.response_to(&from_nothing).unwrap();
     let mut copy = ReceivedTables::default();
-    let hosts = reading(SharedTable::Hosts, 0, news.hosts);
-    copy.take(Time::from_ms(2_000), hosts);
+    let hosts = table_update(SharedTable::Hosts, 0, response.hosts);
+    copy.apply(Time::from_ms(2_000), hosts);
     let upstreams = SharedTableUpdate {
-        coverage: news.coverage,
+        coverage: response.coverage,
         divided: Vec::new(),
         hosts_in_all: 0,
-        update: news.upstreams,
+        update: response.upstreams,
         source: TableSource::Host,
         table: SharedTable::Upstreams,
     };
-    copy.take(Time::from_ms(2_000), upstreams.clone());
-    assert_eq!(advertised(&copy, &question(0, 0, 0)), "77/0 all: a");
-    assert_eq!(advertised(&copy, &question(0, 0, 2)), "unknown");
+    copy.apply(Time::from_ms(2_000), upstreams.clone());
+    assert_eq!(
+        describe_response(&copy, &tables_request(0, 0, 0)),
+        "77/0 all: a"
+    );
+    assert_eq!(
+        describe_response(&copy, &tables_request(0, 0, 2)),
+        "unknown"
+    );
 
     // A host that no longer asks the store forgets what it does not need itself.
-    received.take(Time::from_ms(3_000), upstreams);
-    assert_eq!(advertised(&received, &question(0, 0, 1)), "77/1 all: a b");
-    assert_eq!(advertised(&received, &question(0, 0, 2)), "unknown");
+    received.apply(Time::from_ms(3_000), upstreams);
+    assert_eq!(
+        describe_response(&received, &tables_request(0, 0, 1)),
+        "77/1 all: a b"
+    );
+    assert_eq!(
+        describe_response(&received, &tables_request(0, 0, 2)),
+        "unknown"
+    );
 }
 
 #[test]
-fn tells_all_hosts_all_rows_where_nothing_is_divided() {
+fn every_host_gets_all_rows_of_an_undivided_table() {
     let mut received = ReceivedTables::default();
     let now = Time::from_ms(1_000);
-    received.take(
+    received.apply(
         now,
-        reading(
+        table_update(
             SharedTable::Upstreams,
             0,
-            news(5, true, vec![row("a", 1, 0)]),
+            update(5, true, vec![row("a", 1, 0)]),
         ),
     );
-    received.take(
+    received.apply(
         now,
-        reading(SharedTable::Hosts, 0, news(5, true, Vec::new())),
+        table_update(SharedTable::Hosts, 0, update(5, true, Vec::new())),
+    );
+    assert_eq!(
+        describe_response(&received, &tables_request(0, 0, 0)),
+        "0/0 all: a"
+    );
+    assert_eq!(
+        describe_response(&received, &tables_request(5, 0, 3)),
+        "0/0 changes: "
     );
-    assert_eq!(advertised(&received, &question(0, 0, 0)), "0/0 all: a");
-    assert_eq!(advertised(&received, &question(5, 0, 3)), "0/0 changes: ");
 }
 
 /// Guards against hosts that learn too late that an upstream leaves, as the one that they ask has
 /// just started and still reads the table of hosts, part by part.
 #[test]
-fn tells_of_upstreams_before_it_has_read_the_hosts() {
+fn upstreams_are_sent_before_the_host_table_is_read() {
     let mut received = ReceivedTables::default();
     let now = Time::from_ms(1_000);
     let rows = vec![row("a", 1, 0)];
-    received.take(now, reading(SharedTable::Upstreams, 0, news(5, true, rows)));
+    received.apply(
+        now,
+        table_update(SharedTable::Upstreams, 0, update(5, true, rows)),
+    );
+    assert_eq!(
+        received.availability(now),
+        TablesAvailability::Available {
+            store_regained_ago: None
+        }
+    );
     assert_eq!(
-        received.advertised(now),
-        TablesAdvertised::News { regained: None }
+        describe_response(&received, &tables_request(0, 0, 0)),
+        "0/0 all: a"
     );
-    assert_eq!(advertised(&received, &question(0, 0, 0)), "0/0 all: a");
-    let hosts = received.news_for(&question(0, 0, 0)).unwrap().hosts;
+    let hosts = received
+        .response_to(&tables_request(0, 0, 0))
+        .unwrap()
+        .hosts;
     assert_eq!((hosts.revision, hosts.whole), (9, false));
 }
--- a/crates/router/tests/unit/table_copy.rs
+++ b/crates/router/tests/unit/table_copy.rs
@@ -18,7 +18,7 @@
     }
 }
 
-fn news(revision: u64, whole: bool, rows: Vec<TableRow>) -> TableUpdate {
+fn update(revision: u64, whole: bool, rows: Vec<TableRow>) -> TableUpdate {
     TableUpdate {
         revision,
         rows,
@@ -27,73 +27,80 @@
 }
 
 /// What is announced after a revision: `all` or `changes`, the revision and the rows.
-fn advertised(copy: &TableCopy, revision: u64) -> String {
-    let Some(news) = copy.after(revision, u8::MAX) else {
+fn describe_changes(copy: &TableCopy, revision: u64) -> String {
+    let Some(update) = copy.changes_after(revision, u8::MAX) else {
         return "unknown".to_string();
     };
-    let rows = news.rows.iter().map(|row| match row.removed {
+    let rows = update.rows.iter().map(|row| match row.removed {
         true => format!("-{}", row.key),
         false => String::from_utf8(row.value.clone()).unwrap(),
     });
     let rows: Vec<String> = rows.collect();
-    let kind = if news.whole { "all" } else { "changes" };
-    format!("{kind} up to {}: {}", news.revision, rows.join(" "))
+    let kind = if update.whole { "all" } else { "changes" };
+    format!("{kind} up to {}: {}", update.revision, rows.join(" "))
 }
 
 #[test]
-fn tells_changes_to_who_knows_enough_and_all_to_others() {
+fn changes_are_sent_for_a_covered_revision_and_all_rows_otherwise() {
     let mut copy = TableCopy::default();
-    copy.take(news(3, false, vec![row("a", 3)]));
-    assert_eq!(advertised(&copy, 0), "unknown", "it was never read whole");
-    copy.take(news(10, true, vec![row("a", 4), row("b", 9)]));
-    copy.take(news(12, false, vec![row("a", 11), removed("b", 12)]));
-    assert_eq!(advertised(&copy, 0), "all up to 12: a@11");
-    assert_eq!(advertised(&copy, 10), "changes up to 12: a@11 -b");
-    assert_eq!(advertised(&copy, 11), "changes up to 12: -b");
-    assert_eq!(advertised(&copy, 12), "changes up to 12: ");
+    copy.apply(update(3, false, vec![row("a", 3)]));
+    assert_eq!(
+        describe_changes(&copy, 0),
+        "unknown",
+        "it was never read whole"
+    );
+    copy.apply(update(10, true, vec![row("a", 4), row("b", 9)]));
+    copy.apply(update(12, false, vec![row("a", 11), removed("b", 12)]));
+    assert_eq!(describe_changes(&copy, 0), "all up to 12: a@11");
+    assert_eq!(describe_changes(&copy, 10), "changes up to 12: a@11 -b");
+    assert_eq!(describe_changes(&copy, 11), "changes up to 12: -b");
+    assert_eq!(describe_changes(&copy, 12), "changes up to 12: ");
 }
 
 /// Symptom: a server that is gone stays on most hosts. Events: the store forgets its
 /// history, or the host loses it for a while, and reads the table whole; an entry has gone
 /// meanwhile. Cause: a whole reading names only what is there.
 #[test]
-fn a_whole_reading_tells_others_what_is_gone() {
+fn a_complete_read_reports_missing_rows_as_removed() {
     let mut copy = TableCopy::default();
-    copy.take(news(10, true, vec![row("a", 4), row("b", 9)]));
-    copy.take(news(20, true, vec![row("a", 4), row("c", 15)]));
-    assert_eq!(advertised(&copy, 10), "changes up to 20: -b c@15");
+    copy.apply(update(10, true, vec![row("a", 4), row("b", 9)]));
+    copy.apply(update(20, true, vec![row("a", 4), row("c", 15)]));
+    assert_eq!(describe_changes(&copy, 10), "changes up to 20: -b c@15");
 }
 
 /// Symptom: one change never reaches some hosts. Events: the store tells of a removal and
 /// names no revision, or the one at which the row was written. Cause: others are notified only
 /// of revisions after the one that they know.
 #[test]
-fn a_change_counts_from_when_it_was_announced() {
+fn a_change_with_an_old_revision_gets_the_revision_of_its_update() {
     let mut copy = TableCopy::default();
-    copy.take(news(10, true, vec![row("a", 4), row("b", 9)]));
-    copy.take(news(12, false, vec![removed("b", 0), removed("a", 4)]));
-    assert_eq!(advertised(&copy, 10), "changes up to 12: -a -b");
+    copy.apply(update(10, true, vec![row("a", 4), row("b", 9)]));
+    copy.apply(update(12, false, vec![removed("b", 0), removed("a", 4)]));
+    assert_eq!(describe_changes(&copy, 10), "changes up to 12: -a -b");
 }
 
 #[test]
-fn an_answer_that_was_overtaken_changes_nothing() {
+fn an_outdated_update_changes_nothing() {
     let mut copy = TableCopy::default();
-    copy.take(news(10, true, vec![row("a", 9)]));
-    copy.take(news(8, true, vec![row("a", 7)]));
-    copy.take(news(9, false, vec![removed("a", 9)]));
-    assert_eq!(advertised(&copy, 0), "all up to 10: a@9");
+    copy.apply(update(10, true, vec![row("a", 9)]));
+    copy.apply(update(8, true, vec![row("a", 7)]));
+    copy.apply(update(9, false, vec![removed("a", 9)]));
+    assert_eq!(describe_changes(&copy, 0), "all up to 10: a@9");
 }
 
 #[test]
-fn removed_rows_are_not_remembered_for_ever() {
+fn the_oldest_removed_rows_are_dropped() {
     let mut copy = TableCopy::default();
-    copy.take(news(1, true, Vec::new()));
-    let removals = MAX_REMOVED as u64 + 10;
+    copy.apply(update(1, true, Vec::new()));
+    let removals = MAX_REMOVED_ROWS as u64 + 10;
     for revision in 2..2 + removals {
         let gone = removed(&format!("s-{revision}"), revision);
-        copy.take(news(revision, false, vec![gone]));
+        copy.apply(update(revision, false, vec![gone]));
     }
-    assert_eq!(copy.rows.len(), MAX_REMOVED);
-    assert!(advertised(&copy, 5).starts_with("all"), "too long ago");
-    assert!(advertised(&copy, 12).starts_with("changes"));
+    assert_eq!(copy.rows.len(), MAX_REMOVED_ROWS);
+    assert!(
+        describe_changes(&copy, 5).starts_with("all"),
+        "too long ago"
+    );
+    assert!(describe_changes(&copy, 12).starts_with("changes"));
 }
