--- a/crates/router/src/configuration_fetcher.rs
+++ b/crates/router/src/configuration_fetcher.rs
@@ -1,10 +1,10 @@
 use {super::*, peer::http_api};
 
-/// Time in which the answer of another host must begin: it is only looked up there, and
-/// some hundred milliseconds under way on a link that is full.
+/// Time within which the answer of another host must start. The other host reads the
+/// configuration from memory, but the answer takes some hundred milliseconds on a full link.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Fetches the configuration of other hosts, when the controller asks for it.
+/// Fetches the configuration from other hosts when the controller requests it.
 pub(crate) struct ConfigurationFetcher {
     pub(crate) clock: Clock,
     pub(crate) events: flume::Sender<RingEvent>,
@@ -40,7 +40,7 @@
             "bytes" => configuration.read_stats.bytes.get(), "from" => %from,
             "lasted_ms" => configuration.read_stats.duration.as_millis() as u64,
             "version" => %configuration.document.version);
-        // Fails only when the host stops.
+        // Sending fails only when this host stops.
         let _ = self.received_configurations.send_async(configuration).await;
         FetchEnd::Received
     }
@@ -69,8 +69,8 @@
         let revision = header(http_api::REVISION_HEADER).ok_or_else(missing_header)?;
         let bytes = ByteSize::new(packed.len() as u64);
         Ok(FetchAnswer::Configuration(ReceivedConfiguration {
-            // The host's word counts from before it was asked, so that an answer that was
-            // long under way makes nothing look newer than it is.
+            // The age counts from the time of the request, so that an answer that took long
+            // does not make the configuration look newer than it is.
             as_of: header(http_api::CONFIGURATION_AGE_HEADER)
                 .map(|age_ms| requested_at - Duration::from_millis(age_ms)),
             document: Arc::new(SourceDocument {
@@ -83,7 +83,7 @@
     }
 }
 
-/// What another host answered.
+/// Answer of another host to a request for its configuration.
 enum FetchAnswer {
     Busy,
     NoneNewer,
--- a/crates/router/src/connection_reuse.rs
+++ b/crates/router/src/connection_reuse.rs
@@ -1,17 +1,17 @@
-//! How long a connection to an upstream may be kept for the next request.
+//! Time for which an idle connection to an upstream may be kept for the next request.
 
 use super::*;
 
-/// Time for which a connection is kept whose upstream names no time: it may
-/// close it within the second.
+/// Time for which a connection is kept if the upstream sends no `keep-alive` timeout: the
+/// upstream may close such a connection within a second.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(400);
 
-/// How long before the time that an upstream names its connection is given up:
-/// a request that crosses the close may be lost.
+/// Time before the upstream's `keep-alive` timeout at which a connection is dropped: a request
+/// that is sent while the upstream closes the connection may be lost.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(300);
 
-/// How long the connection of an answer may be kept after it; `None` if the
-/// upstream closes it.
+/// Time for which the connection may be kept after this response; `None` if the upstream
+/// closes the connection.
 pub(crate) fn keep_alive_time(response: &Response<Incoming>) -> Option<Duration> {
     let header = |name: HeaderName| {
         let value = response.headers().get(name);
--- a/crates/router/src/forwarded_connection.rs
+++ b/crates/router/src/forwarded_connection.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Bytes that are held of each direction.
+/// Buffer size of each direction.
 const BUFFER_BYTES: usize = 8 * 1024;
 
-/// A connection of another host that is passed on to an upstream.
+/// A connection of another host that is forwarded to an upstream.
 pub(crate) struct ForwardedConnection {
     pub(crate) activity: Activity,
     pub(crate) host: TcpStream,
@@ -11,11 +11,13 @@
 }
 
 impl ForwardedConnection {
-    /// Passes bytes until either side ends. A host closes only when it wants nothing more.
+    /// Forwards bytes until either side closes its connection. A host closes its side only when
+    /// it needs nothing more from the upstream.
     ///
-    /// The host's side ends in order only after the upstream's did, and is reset in all other
-    /// cases, the end of this process among them: an answer without a length ends with its
-    /// connection, and would look whole.
+    /// The connection to the host is closed in order only after the upstream closed its own in
+    /// order. In all other cases, including the end of this process, it is reset: a response
+    /// without a length ends when its connection closes, so that a truncated one would look
+    /// complete.
     pub(crate) async fn run(mut self, buffered: &[u8]) -> std::io::Result<()> {
         self.host.set_nodelay(true)?;
         SockRef::from(&self.host).set_linger(Some(Duration::ZERO))?;
--- a/crates/router/src/http_listener.rs
+++ b/crates/router/src/http_listener.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// A small HTTP server: it takes connections until the host stops, and then drops
-/// those that are open. For operators and other hosts, whose requests are short.
+/// A small HTTP server for operators and other hosts, whose requests are short. It accepts
+/// connections until the host stops, and then drops the open ones.
 pub(crate) struct HttpListener {
-    /// Time to send a request's head.
+    /// Time within which a client must send the head of a request.
     pub(crate) head_timeout: Duration,
     pub(crate) listener: std::net::TcpListener,
     pub(crate) shutdown: Shutdown,
 }
 
 impl HttpListener {
-    /// Serves in a thread of its own.
+    /// Starts the server in a thread of its own.
     pub(crate) fn spawn<H, F>(
         self,
         name: &str,
--- a/crates/router/src/note_sender.rs
+++ b/crates/router/src/note_sender.rs
@@ -1,51 +1,55 @@
 use super::*;
 
-/// Sends notes to other hosts.
+/// Sends notes to other hosts as UDP datagrams.
 pub(crate) struct NoteSender {
     pub(crate) socket: std::net::UdpSocket,
     pub(crate) token: String,
 }
 
 impl NoteSender {
-    /// Sends what can be sent at once. A datagram that is lost, here or on its
-    /// way, is made good by the next one, so failures are not looked at.
+    /// Sends load notes without waiting. Send errors are ignored, as the next note replaces one
+    /// that is lost on this host or on the network.
     pub(crate) fn send_load_notes(&self, notes: &[(SocketAddr, LoadNote)]) {
         for (address, note) in notes {
             self.send_to("load", &note.to_datagram(&self.token), *address);
         }
     }
 
-    /// Tells hosts of a version that this one can hand over; lost ones learn it from others.
+    /// Announces a configuration version that this host can serve. A host that misses the note
+    /// learns the version from other hosts.
     pub(crate) fn send_version_note(&self, note: &VersionNote, to: &[SocketAddr]) {
         self.send_to_all("version", &note.to_datagram(&self.token), to);
     }
 
-    /// Tells hosts which requests were on upstreams that ended.
+    /// Reports the requests that were running on upstreams that crashed.
     pub(crate) fn send_crash_note(&self, note: &CrashNote, to: &[SocketAddr]) {
         self.send_to_all("crashes", &note.to_datagram(&self.token), to);
     }
 
-    /// Tells hosts that this one holds the duties; lost ones learn it with the next one.
+    /// Announces that this host holds the lease for the duties that one host does for all. The
+    /// next note replaces a lost one.
     pub(crate) fn send_duty_note(&self, note: &DutyNote, to: &[SocketAddr]) {
         self.send_to_all("duty", &note.to_datagram(&self.token), to);
     }
 
-    /// Tells the holder of the duties what began here.
+    /// Reports the usage counted on this host to the holder of the duties lease.
     pub(crate) fn send_usage_note(&self, note: &UsageNote, to: SocketAddr) {
         self.send_to("usage", &note.to_datagram(&self.token), to);
     }
 
-    /// Tells hosts what upstreams say of themselves.
+    /// Passes on the notices that upstreams sent about themselves.
     pub(crate) fn send_upstream_note(&self, note: &UpstreamNote, to: &[SocketAddr]) {
         self.send_to_all("upstreams", &note.to_datagram(&self.token), to);
     }
 
-    /// Asks the keeper of an upstream's limit; a lost question is asked again.
+    /// Requests tokens from the host that keeps an upstream's rate limit. A lost request is
+    /// repeated.
     pub(crate) fn send_token_request(&self, request: &TokenRequest, to: SocketAddr) {
         self.send_to("ask", &request.to_datagram(&self.token), to);
     }
 
-    /// Answers a host that asks for tokens; lost ones are not given again.
+    /// Grants tokens to a host that requested them. The tokens of a lost grant are not granted
+    /// again.
     pub(crate) fn send_token_grant(&self, grant: &TokenGrant, to: SocketAddr) {
         self.send_to("grant", &grant.to_datagram(&self.token), to);
     }
--- a/crates/router/src/note_thread.rs
+++ b/crates/router/src/note_thread.rs
@@ -1,21 +1,21 @@
-//! The thread that exchanges notes with the other hosts, as datagrams.
+//! The thread that receives notes of other hosts as UDP datagrams.
 
 use super::*;
 
-/// Largest datagram that is read.
+/// Size of the receive buffer; no UDP datagram is longer.
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// Time between two looks at whether the host is to stop.
+/// Time between two checks whether the host is stopping.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the thread is given.
+/// State of the thread that receives notes.
 pub(crate) struct NoteThread {
     pub(crate) events: flume::Sender<RingEvent>,
     pub(crate) logger: Logger,
     pub(crate) shutdown: Shutdown,
     pub(crate) socket: std::net::UdpSocket,
     pub(crate) token: String,
-    /// Where counts for the usage reports go.
+    /// Receives the usage counts of other hosts for the usage reports.
     pub(crate) usage: flume::Sender<UsageNote>,
 }
 
@@ -29,18 +29,18 @@
                 self.run();
                 Ok(())
             })
-            .wrap_err("cannot start the notes' thread")
+            .wrap_err("cannot start the note thread")
     }
 
     fn run(self) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         while !self.shutdown.is_started() {
             let Ok((len, from)) = self.socket.recv_from(&mut buffer) else {
-                // Nothing came, or a host that was notified is not there.
+                // The read timed out, or a host to which a note was sent is unreachable.
                 continue;
             };
             match parse_datagram(from, &buffer[..len], &self.token) {
-                // A full ring drops either: the next one says all again.
+                // A full channel drops the note: the next one repeats its content.
                 Ok(ReceivedNote::Usage(note)) => {
                     let _ = self.usage.try_send(note);
                 }
@@ -55,7 +55,7 @@
     }
 }
 
-/// What a datagram holds.
+/// Content of a datagram.
 enum ReceivedNote {
     Event(Event),
     Usage(UsageNote),
--- a/crates/router/src/operator_service.rs
+++ b/crates/router/src/operator_service.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-/// Largest body of an operator's request.
+/// Largest accepted body of an operator's request.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
-/// Requests of operators: health checks, metrics, reports, configuration.
+/// Serves requests of operators: health checks, metrics, reports and configuration.
 #[derive(Clone)]
 pub(crate) struct OperatorService {
     pub(crate) clock: Clock,
     pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
     pub(crate) statistics: Arc<Mutex<Ledger>>,
     pub(crate) metrics: PrometheusHandle,
-    /// Whether it serves the metrics to anyone, and nothing else.
+    /// Whether this service serves only the metrics, without authentication.
     pub(crate) only_metrics: bool,
     pub(crate) status: Arc<ArcSwap<HostStatus>>,
-    /// Where patches are submitted; `None` where the configuration comes from a
-    /// directory.
+    /// Store to which patches are submitted; `None` if the configuration comes from an
+    /// installation's directory.
     pub(crate) store: Option<ConfigStore>,
     pub(crate) token: Arc<String>,
 }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Compares in a time that does not tell how much of the token is right.
+    /// Compares the token in constant time, so that the duration does not reveal matching bytes.
     fn is_operator(&self, request: &Request<Incoming>) -> bool {
         let presented = request
             .headers()
--- a/crates/router/src/peer_job.rs
+++ b/crates/router/src/peer_job.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A heartbeat to be sent to another host.
+/// A request to send a heartbeat to another host.
 #[derive(Debug)]
 pub(crate) struct PeerJob {
     pub(crate) address: SocketAddr,
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -1,5 +1,5 @@
-//! What a host answers other hosts of an installation: its configuration, and what it
-//! learned of the store's tables.
+//! Answers requests of other hosts of an installation for this host's configuration and for its
+//! copy of the store's tables.
 
 use {
     super::*,
@@ -10,26 +10,26 @@
     },
 };
 
-/// Hosts that are handed the configuration at one time; others are sent elsewhere.
-/// Four packed documents of 7,000 routes take half a second on a link of 10 Mbit/s.
+/// Number of hosts that are sent the configuration at the same time; others are told that this
+/// host is busy, and ask another host. Four compressed documents of 7,000 routes take half a
+/// second on a link of 10 Mbit/s.
 const MAX_CONFIGURATION_TRANSFERS: usize = 4;
 
-/// Time after which a host that was handed the configuration counts no more, so that four
-/// that lost their power on the way do not keep all others from it.
+/// Time after which a transfer of the configuration no longer counts, so that four hosts that
+/// lose power during their transfers do not block the transfers to all others.
 const CONFIGURATION_TRANSFER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Rows from which an answer counts as large: about 10 KB of upstreams.
+/// Number of rows from which an answer counts as large: about 10 KB of upstream rows.
 const LARGE_ANSWER_ROWS: usize = 256;
 
-/// Serves the configuration to hosts with the same secret.
+/// Serves the configuration and the tables to hosts that have the same secret.
 ///
-/// What goes wrong without it: the store turns a host away and serves the others;
-/// a new version comes, and the host must refuse every key, although its
-/// neighbors know the version. One would notice `configuration_stale` on some
-/// hosts while the store is well.
+/// Without this service, a host that the store rejects while it serves the others would miss a
+/// new configuration version. The host would have to refuse every API key although its neighbors
+/// know the version, and some hosts would report `configuration_stale` while the store works.
 #[derive(Clone)]
 pub(crate) struct PeerService {
-    /// Notified when another host asks for what this one cannot tell.
+    /// Notified when another host requests tables that this host cannot serve now.
     pub(crate) unanswered_requests: flume::Sender<()>,
     pub(crate) clock: Clock,
     pub(crate) served_configuration: Arc<ArcSwapOption<Allocation>>,
@@ -83,7 +83,8 @@
         }
     }
 
-    /// What the store said of its tables, and how old the configuration is.
+    /// Answers with the changes of the store's tables, and with the version and age of the
+    /// configuration.
     fn answer_tables(
         &self,
         tables_request: &TablesRequest,
@@ -92,7 +93,7 @@
         let availability = lock(&self.received_tables).availability(self.clock.now());
         let configuration = self.served_configuration.load_full();
         if !matches!(availability, TablesAvailability::Available { .. }) {
-            // A full ring holds the same news.
+            // A full channel holds the same notification already.
             let _ = self.unanswered_requests.try_send(());
         }
         match (availability, configuration) {
@@ -114,7 +115,8 @@
         }
     }
 
-    /// A copy of the tables, for a host that found the one busy that asks the store.
+    /// Answers with this host's copy of the tables, for a host whose request was refused as busy
+    /// by the host that reads the store.
     fn answer_tables_copy(
         &self,
         tables_request: &TablesRequest,
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Sends what changed after the revisions; where that is large and others get it
-    /// already, refers to hosts that have it.
+    /// Answers with the changes after the requested revisions. If the answer is large and other
+    /// hosts are already receiving theirs, it refers to hosts that have the tables.
     fn changes_answer(
         &self,
         tables_request: &TablesRequest,
@@ -197,7 +199,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Where the asking host serves others, if it says so.
+/// Address at which the requesting host serves others, if its request has one.
 fn listen_address(headers: &HeaderMap) -> Option<SocketAddr> {
     headers
         .get(LISTEN_ADDRESS_HEADER)?
@@ -207,7 +209,7 @@
         .ok()
 }
 
-/// A slot for a large answer; it is given back with this value.
+/// A slot for the transfer of a large answer; dropping this value releases the slot.
 struct TransferSlot {
     number: u64,
     transfers: Arc<Mutex<TableTransferSlots>>,
@@ -219,7 +221,7 @@
     }
 }
 
-/// Bytes of a large answer on their way.
+/// Bytes of a large answer; they hold a transfer slot until they are sent.
 struct TableTransfer {
     bytes: Bytes,
     _slot: TransferSlot,
@@ -231,7 +233,8 @@
     }
 }
 
-/// The large news packed last: hosts that start together ask for the same.
+/// The last large answer in its encoded form. Hosts that start together request the same answer,
+/// which is then encoded once.
 #[derive(Default)]
 pub(crate) struct EncodedTables {
     last: Option<(TablesResponse, Bytes)>,
@@ -253,20 +256,21 @@
     }
 }
 
-/// The request for the tables in a path that begins so.
+/// Parses a request for the tables from a path that starts with `prefix`.
 fn parse_tables_request(path: &str, prefix: &str) -> Option<TablesRequest> {
     path.strip_prefix(prefix)?.parse().ok()
 }
 
-/// Counts the hosts that are being handed the configuration.
+/// Counts the running transfers of the configuration to other hosts.
 #[derive(Clone, Default)]
 pub(crate) struct ConfigurationTransfers {
-    /// When each of them began, under a number of its own.
+    /// Start time of each transfer, by the transfer's number.
     started_at: Arc<Mutex<BTreeMap<u64, Instant>>>,
 }
 
 impl ConfigurationTransfers {
-    /// Bytes to be sent to one more host; `None` if there are enough.
+    /// Starts a transfer and returns its bytes; `None` if the maximum number of transfers is
+    /// running.
     fn begin(&self, bytes: Bytes) -> Option<Bytes> {
         let mut started_at = lock(&self.started_at);
         started_at.retain(|_, started_at| started_at.elapsed() < CONFIGURATION_TRANSFER_TIMEOUT);
@@ -285,7 +289,8 @@
     }
 }
 
-/// Bytes on their way to another host; they are given back when they have been written.
+/// Bytes that are sent to another host. The transfer ends when they are dropped after they have
+/// been written.
 struct ConfigurationTransfer {
     bytes: Bytes,
     transfers: ConfigurationTransfers,
--- a/crates/router/src/peer_thread.rs
+++ b/crates/router/src/peer_thread.rs
@@ -1,14 +1,15 @@
-//! The thread that talks to other hosts.
+//! The thread that exchanges heartbeats with other hosts.
 
 use super::*;
 
-/// Longest time of one call to another host.
+/// Timeout of one call to another host.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Clients kept; a host asks one coordinator at a time.
+/// Number of clients that are kept: more are not needed, as a host calls one coordinator at a
+/// time.
 const MAX_CLIENTS: usize = 16;
 
-/// What the thread is given.
+/// State of the thread that exchanges heartbeats.
 pub(crate) struct PeerThread {
     pub(crate) events: flume::Sender<RingEvent>,
     pub(crate) jobs: flume::Receiver<PeerJob>,
@@ -23,7 +24,7 @@
         std::thread::Builder::new()
             .name("peers".to_string())
             .spawn(move || single_thread_runtime()?.block_on(self.run()))
-            .wrap_err("cannot start the peers' thread")
+            .wrap_err("cannot start the peer thread")
     }
 
     async fn run(self) -> eyre::Result<()> {
@@ -38,8 +39,8 @@
     }
 }
 
-/// Heartbeats of others go through the controller's ring like all else; where
-/// it is full, the asking host gets no answer and tries another one.
+/// Passes heartbeats of other hosts to the controller through its event channel. If the channel
+/// is full, the sender gets no answer and tries another host.
 fn heartbeat_handler(events: flume::Sender<RingEvent>) -> PeerHandler {
     Arc::new(move |heartbeat| {
         let (sender, answer) = oneshot::channel();
@@ -67,7 +68,7 @@
             None => None,
         };
         if answer.is_none() {
-            debug!(logger, "peers: no answer"; "peer" => %job.host);
+            debug!(logger, "peers: heartbeat not answered"; "peer" => %job.host);
             clients.remove(&job.address);
         }
         let event = Event::HeartbeatAnswered {
--- a/crates/router/src/platform_job.rs
+++ b/crates/router/src/platform_job.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// What the controller asks of the platform's thread.
+/// A job of the controller for the platform thread.
 #[derive(Debug)]
 pub(crate) enum PlatformJob {
     /// Claim an idempotency key.
     Claim(ClaimRequest),
-    /// Write how a claimed request ended.
+    /// Write the outcome of a claimed request.
     Settle(Settlement),
 }
--- a/crates/router/src/platform_thread.rs
+++ b/crates/router/src/platform_thread.rs
@@ -1,27 +1,28 @@
-//! The thread that talks to the platform: configuration, host list, claims.
+//! The thread that communicates with the platform: configuration, host list and claims.
 
 use super::*;
 
-/// Longest time of one call to the platform.
+/// Timeout of one call to the platform.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Time between two looks of a coordinator at the newest version.
+/// Time between two reads of the newest configuration version by a coordinator.
 const COORDINATOR_WATCH_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The same for other hosts: they learn of a new version from their coordinator, so
-/// that the platform's reads grow with the domains and not with the hosts.
+/// Time between two reads of the newest configuration version by any other host. Such a host
+/// learns of a new version from its coordinator, so that the platform's read load grows with the
+/// number of failure domains and not with the number of hosts.
 const WATCH_INTERVAL: Duration = Duration::from_millis(5_000);
 
-/// Shortest time between two looks at the newest version.
+/// Shortest time between two reads of the newest configuration version.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two reads of the host list.
 const HOST_LIST_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Claims written in one call.
+/// Maximum number of claims that are written in one call.
 const MAX_CLAIM_BATCH: usize = 64;
 
-/// What the platform's thread is given.
+/// State of the platform thread.
 pub(crate) struct PlatformThread {
     pub(crate) address: SocketAddr,
     pub(crate) events: flume::Sender<RingEvent>,
@@ -40,7 +41,7 @@
                 single_thread_runtime()?.block_on(self.run());
                 Ok(())
             })
-            .wrap_err("cannot start the platform's thread")
+            .wrap_err("cannot start the platform thread")
     }
 
     async fn run(self) {
@@ -61,8 +62,8 @@
         };
         tokio::select! {
             () = watch => {}
-            // Settlements are finished first: the ring closes only after the
-            // controller's thread has ended.
+            // Ends after all settlements are written: the job channel closes only after the
+            // controller thread has ended.
             () = serve_jobs(&self.jobs, &claims, &self.events) => {}
         }
         self.shutdown.started().await;
@@ -90,7 +91,7 @@
                 }
             }
             Err(error) => {
-                // Once for each new trouble, not once a second.
+                // An error is logged once and not at each retry.
                 let error = error.to_string();
                 if error != last_error {
                     warn!(logger, "platform: configuration not read"; "error" => &error);
@@ -98,9 +99,9 @@
                 }
             }
         }
-        // A peer's word of a newer version cuts the wait short, but never below
-        // a pause: peers that are ahead of a slow platform must not make every
-        // host ask it at once and again.
+        // A peer's note of a newer version ends the wait early, but not before the minimum
+        // interval: if the platform lags behind the peers, every host would otherwise read from
+        // it at once and repeatedly.
         sleep(MIN_WATCH_INTERVAL).await;
         let interval = if is_coordinator(&status.load()) {
             COORDINATOR_WATCH_INTERVAL
@@ -155,7 +156,7 @@
     }
 }
 
-/// Carries jobs out until the ring is closed and empty, and joins them.
+/// Executes jobs until the channel is closed and empty, and waits for the running ones.
 async fn serve_jobs(
     jobs: &flume::Receiver<PlatformJob>,
     claims: &TableClaims,
@@ -191,25 +192,25 @@
     while tasks.join_next().await.is_some() {}
 }
 
-/// Claims a batch and tells the controller. A claim of which nothing is known
-/// is released afterwards, since nothing was sent for it.
+/// Writes a batch of claims and reports the results to the controller. A claim whose result is
+/// unknown is released afterwards, since its request was not sent to an upstream.
 async fn claim_batch(
     claims: &TableClaims,
     mut batch: Vec<ClaimRequest>,
     events: &flume::Sender<RingEvent>,
 ) {
-    // The most urgent first, should the platform cut the batch short.
+    // The most urgent claims come first, in case the platform executes only the start of a batch.
     batch.sort_by_key(|claim| claim.tier);
     for round in split_duplicate_keys(batch) {
         claim_round(claims, round, events).await;
     }
 }
 
-/// Splits a batch so that no key stands in one call twice.
+/// Splits a batch into rounds so that no key occurs twice in one call.
 ///
-/// What goes wrong otherwise: a table may judge all the conditions of a call
-/// before it carries the first write out; then two claims of one key in one
-/// call are both granted, and the request runs twice.
+/// A table may check the conditions of all writes in a call before it executes the first one. Two
+/// claims of the same key in one call would then both be granted, and the request would run
+/// twice.
 fn split_duplicate_keys(batch: Vec<ClaimRequest>) -> Vec<Vec<ClaimRequest>> {
     let mut seen: HashMap<(TeamId, IdempotencyKey), usize> = HashMap::default();
     let mut rounds: Vec<Vec<ClaimRequest>> = Vec::new();
--- a/crates/router/src/probe_job.rs
+++ b/crates/router/src/probe_job.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// An upstream that is to be looked at.
+/// A request to probe an upstream.
 #[derive(Debug)]
 pub(crate) struct ProbeJob {
     pub(crate) address: SocketAddr,
-    /// Paths to it, in the order in which they are tried.
+    /// Network paths to the upstream, in the order in which they are tried.
     pub(crate) paths: Vec<Path>,
     pub(crate) kind: ProbeKind,
     pub(crate) upstream: UpstreamId,
 }
 
-/// What is to be known of it.
+/// What a probe checks.
 #[derive(Debug)]
 pub(crate) enum ProbeKind {
-    /// Whether it is well again, by the health check at a path.
+    /// Whether the upstream is healthy again, by the health check at this HTTP path.
     Health(String),
-    /// By which paths it can be reached.
+    /// By which network paths the upstream can be reached.
     Path,
-    /// Whether it still listens, after connections to it broke.
+    /// Whether the upstream still listens, after connections to it broke.
     Listening,
 }
--- a/crates/router/src/received_tables.rs
+++ b/crates/router/src/received_tables.rs
@@ -1,21 +1,23 @@
 use super::*;
 
-/// Time after which a host that has received nothing of the store tells others nothing: the
-/// store is asked every 1.8 s at the latest, and has 0.4 s to answer.
+/// Age of the store's last answer from which a host no longer serves the tables to others as
+/// current: the store is read every 1.8 s at the latest, and has 0.4 s to answer.
 const MAX_STORE_READ_AGE: Duration = Duration::from_millis(3_000);
 
-/// Time after the store's return for which other hosts are notified of it: they must not take
-/// entries for gone that have only lapsed, which are back within two seconds.
+/// Time for which other hosts are told that the store is reachable again. Entries that expired
+/// while the store was lost are back within two seconds; without the notice, other hosts would
+/// treat them as removed.
 const STORE_REGAINED_NOTICE_TIME: Duration = Duration::from_millis(2_000);
 
-/// What this host knows of the installation's tables, for hosts that ask it in the store's
-/// place. What another host announced is passed on as a copy only, as it may be old.
+/// This host's copy of the installation's tables, served to hosts that ask it instead of the
+/// store. Data that came from another host is served only to requests for a copy, as it may be
+/// old.
 #[derive(Debug, Default)]
 pub(crate) struct ReceivedTables {
-    /// Which upstreams the copy holds.
+    /// Part of the upstream table that this host holds.
     coverage: Coverage,
     service_divisions: Vec<ServiceDivision>,
-    /// When the store last said something of the upstreams.
+    /// Time of the store's last answer about the upstreams.
     store_read_at: Option<Time>,
     hosts: TableCopy,
     hosts_in_all: u32,
@@ -24,20 +26,21 @@
     upstreams: TableCopy,
 }
 
-/// Whether another host learns what the tables hold.
+/// Whether this host can serve the store's tables to other hosts.
 #[derive(Debug, Eq, PartialEq)]
 pub(crate) enum TablesAvailability {
     Available {
-        /// How long ago the store was found again, if that was a moment ago.
+        /// Time since the store became reachable again, within the first
+        /// [`STORE_REGAINED_NOTICE_TIME`].
         store_regained_ago: Option<Duration>,
     },
     StoreLost,
-    /// This host does not ask the store, or has not read all of it yet.
+    /// This host does not read the store, or has not read the whole upstream table yet.
     Unknown,
 }
 
 impl ReceivedTables {
-    /// Takes what the store or another host said just now.
+    /// Applies an update that the store or another host has just sent.
     pub(crate) fn apply(&mut self, now: Time, update: SharedTableUpdate) {
         match update.table {
             SharedTable::Hosts => {
@@ -60,13 +63,15 @@
         }
     }
 
-    /// Takes new levels of the upstreams: hosts that know another division learn all anew.
+    /// Sets the coverage and levels of a new division of the upstreams. Hosts that know another
+    /// division then get all rows again.
     pub(crate) fn set_coverage(&mut self, coverage: Coverage, levels: Vec<(String, u8)>) {
         self.coverage = coverage;
         self.upstreams.set_levels(levels);
     }
 
-    /// What a host lacks that asks a question, as far as it is known here.
+    /// Changes that the requesting host lacks; `None` if this host does not hold the requested
+    /// part of the upstream table.
     pub(crate) fn response_to(&self, request: &TablesRequest) -> Option<TablesResponse> {
         let (coverage, revision) = self.coverage_and_revision_for(request)?;
         let upstreams = self.upstreams.changes_after(revision, coverage.level)?;
@@ -84,7 +89,8 @@
         })
     }
 
-    /// Rows that such a host lacks, at the most; `None` if it lacks nothing of the upstreams.
+    /// Upper bound of the rows that the requesting host lacks; `None` if this host has no newer
+    /// upstream rows for it.
     pub(crate) fn max_rows_for(&self, request: &TablesRequest) -> Option<usize> {
         let (coverage, revision) = self.coverage_and_revision_for(request)?;
         let (known_to, upstream_rows) = self
@@ -95,8 +101,8 @@
         (known_to > revision).then_some(upstream_rows + host_rows)
     }
 
-    /// What changed of the hosts; nothing before they were read here, as what upstreams say
-    /// must not wait for that.
+    /// Changes of the host table after a revision. They are empty until the host table has been
+    /// read, as changes of upstreams must not wait for that.
     fn host_changes_after(&self, revision: u64) -> TableUpdate {
         let update = self.hosts.changes_after(revision, 0);
         update.unwrap_or_else(|| TableUpdate {
@@ -106,8 +112,8 @@
         })
     }
 
-    /// Which upstreams a host is notified of, and after which revision: it needs all of them if
-    /// it knows another division.
+    /// Part of the upstream table to send, and the revision after which changes are sent. A host
+    /// that knows another division needs all rows, so its revision is 0.
     fn coverage_and_revision_for(&self, request: &TablesRequest) -> Option<(Coverage, u64)> {
         let coverage = self.coverage.at_level(request.coverage.level)?;
         let same_division = coverage.division == request.coverage.division;
@@ -121,7 +127,7 @@
         ))
     }
 
-    /// Rows that are held for other hosts, by table.
+    /// Number of rows that are held for other hosts, by table.
     pub(crate) fn row_counts(&self) -> [(&'static str, usize); 2] {
         [
             ("hosts", self.hosts.row_count()),
@@ -129,24 +135,25 @@
         ]
     }
 
-    /// The store gives no answer. What it said before is kept, as hosts that know as much
-    /// need only the changes after its return.
+    /// Records that the store does not answer. The rows are kept, as other hosts with the same
+    /// rows need only the changes after the store is back.
     pub(crate) fn note_store_lost(&mut self) {
         self.store_lost = true;
         self.store_read_at = None;
     }
 
-    /// Another host reaches the store, and never lost it.
+    /// Records that the store is reachable through another host that never lost it.
     pub(crate) fn note_store_reachable(&mut self) {
         self.store_lost = false;
     }
 
+    /// Records when the store became reachable again.
     pub(crate) fn note_store_regained(&mut self, at: Time) {
         self.store_lost = false;
         self.store_regained_at = Some(at);
     }
 
-    /// Whether other hosts learn what the tables hold.
+    /// Whether the tables can be served to other hosts as current.
     pub(crate) fn availability(&self, now: Time) -> TablesAvailability {
         if self.store_lost {
             return TablesAvailability::StoreLost;
--- a/crates/router/src/table_claims.rs
+++ b/crates/router/src/table_claims.rs
@@ -1,15 +1,16 @@
 use super::*;
 
-/// Times that an unanswered claim is read back.
+/// Number of attempts to read back a claim whose write got no answer.
 const MAX_READ_BACKS: u32 = 3;
 
-/// Pause before a read-back or another try of a settlement, doubled each time.
+/// Wait before the first read-back, or before the first retry of a settlement or release. It
+/// doubles each time.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Longest backoff.
+/// Longest wait between two retries of a settlement or release.
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Claims and settlements in the platform's table.
+/// Writes claims of idempotency keys and their settlements to the platform's table.
 #[derive(Clone, Debug)]
 pub(crate) struct TableClaims {
     client: Arc<PlatformClient>,
@@ -20,7 +21,7 @@
         Self { client }
     }
 
-    /// Claims several keys in one call and says what became of each.
+    /// Claims several keys in one call and returns the result of each.
     pub(crate) async fn claim(&self, claims: &[ClaimRequest]) -> Vec<ClaimResult> {
         let operations = claims.iter().map(insert_claim).collect();
         let rows = match self.write(operations).await {
@@ -42,7 +43,7 @@
         answers
     }
 
-    /// What a row says of a claim; a released key is taken.
+    /// Determines a claim's result from its row. If the row is released, the key is claimed.
     async fn resolve_row(&self, claim: &ClaimRequest, row: &Row) -> ClaimResult {
         match serde_json::from_value::<ClaimRow>(row.value.clone()) {
             Ok(found) if found.state == ClaimState::Released => {}
@@ -81,10 +82,12 @@
         Ok(self.client.write(&batch).await?.results)
     }
 
-    /// Reads claims whose write may have taken effect. What goes wrong
-    /// otherwise: a claim that stands is taken for lost, and its key is refused
-    /// for ever; or one that is lost is taken to stand, and a second host sends
-    /// too. The row's attempt id tells whose it is.
+    /// Reads back claims whose write may have taken effect. The attempt id in a row shows which
+    /// attempt wrote it.
+    ///
+    /// Without this, a written claim could be treated as lost, and its key would be refused for
+    /// ever. Or a lost claim could be treated as written, and a second host would send the
+    /// request, too.
     async fn read_back(&self, claims: &[ClaimRequest]) -> Option<Vec<Option<Row>>> {
         let keys: Vec<String> = claims.iter().map(claim_key).collect();
         let mut backoff = INITIAL_BACKOFF;
@@ -98,8 +101,8 @@
         None
     }
 
-    /// Writes how a claimed request ended, for as long as it takes: nobody
-    /// else can settle it.
+    /// Writes the outcome of a claimed request. It retries without a limit, as no other host can
+    /// settle the claim.
     pub(crate) async fn settle(&self, settlement: &Settlement) {
         let mut backoff = INITIAL_BACKOFF;
         while !self.try_settle(settlement).await {
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Releases a claim that was never sent and may or may not exist.
+    /// Releases a claim that may have been written and whose request was never sent.
     pub(crate) async fn release(&self, claim: &ClaimRequest) {
         let mut backoff = INITIAL_BACKOFF;
         while !self.try_release(claim).await {
@@ -117,9 +120,9 @@
         }
     }
 
-    /// One try; true once the claim can neither stand nor come to stand. Not
-    /// finding a row proves nothing: the write may still be on its way. So a
-    /// released row is put in its place, and the late write finds it there.
+    /// Tries once to release a claim. Returns true if the claim neither exists nor can be written
+    /// later. A missing row does not prove that, as the claim's write may still be in flight. So
+    /// a released row is inserted, and a late write of the claim conflicts with it.
     async fn try_release(&self, claim: &ClaimRequest) -> bool {
         let insert = TableOperation::Insert {
             key: claim_key(claim),
@@ -144,7 +147,7 @@
         .await
     }
 
-    /// One try; true once there is nothing left to do.
+    /// Tries once to settle a claim. Returns true if nothing is left to do.
     async fn try_settle(&self, settlement: &Settlement) -> bool {
         let key = ClaimRow::key(&settlement.team, &settlement.key);
         let Ok(rows) = self.client.read(vec![key]).await else {
@@ -159,8 +162,8 @@
         if claim.attempt != settlement.attempt || claim.state != ClaimState::Claimed {
             return true;
         }
-        // A conflict means that the write has been carried out by an earlier
-        // try whose answer was lost; the next read shows it.
+        // A conflict means that an earlier try took effect although its answer was lost. The next
+        // try reads the row and returns true.
         let operation = settle_operation(&row, claim, settlement);
         matches!(self.write(vec![operation]).await, Ok(results) if results[0].applied)
     }
--- a/crates/router/src/table_copy.rs
+++ b/crates/router/src/table_copy.rs
@@ -1,31 +1,32 @@
 use super::*;
 
-/// Removed rows that are remembered, so that hosts that are a little behind need only the
-/// changes: those of a minute in which all of 2,100 upstreams are replaced.
+/// Number of removed rows that are kept, so that hosts that are slightly behind need only the
+/// changes. It covers the removals of a minute in which all of 2,100 upstreams are replaced.
 const MAX_REMOVED_ROWS: usize = 4_096;
 
-/// A table of the installation's store as this host received it.
+/// This host's copy of a table of the installation's store.
 #[derive(Debug, Default)]
 pub(crate) struct TableCopy {
-    /// Revision and key of each row: what changed after a revision is found without a look
-    /// at all rows.
+    /// Revision and key of each row. This index finds the changes after a revision without a
+    /// scan of all rows.
     by_revision: BTreeSet<(u64, String)>,
     covered: Option<RevisionRange>,
-    /// The removed ones that are remembered, among them.
+    /// Rows by key, including the removed rows that are kept.
     rows: BTreeMap<String, TableRow>,
 }
 
-/// Revisions that a copy covers.
+/// Range of revisions whose changes a copy holds.
 #[derive(Clone, Copy, Debug)]
 struct RevisionRange {
-    /// All changes after this one are covered, removals included.
+    /// All changes after this revision are held, including removals.
     from: u64,
+    /// Newest revision of the copy.
     to: u64,
 }
 
 impl TableCopy {
-    /// Takes what the store said. Changes to a table that was never read whole are of no
-    /// use, and an answer that was overtaken by a newer one is dropped.
+    /// Applies an update. Changes to a table that was never read completely are dropped, as the
+    /// rest of the table is unknown. An update that is older than the copy is dropped, too.
     pub(crate) fn apply(&mut self, update: TableUpdate) {
         let before = self.covered.map(|covered| covered.to);
         if before.is_some_and(|before| update.revision < before) {
@@ -39,7 +40,8 @@
         for mut row in update.rows {
             let is_outdated = before.is_some_and(|before| row.revision <= before);
             if !update.whole && is_outdated {
-                // Announced as a change, so whoever knows the table up to `before` lacks it.
+                // The row arrived as a change, so hosts that know the table up to `before` lack
+                // it. With its own, older revision the row would not be sent to them.
                 row.revision = update.revision;
             }
             self.insert(row);
@@ -51,18 +53,18 @@
         });
     }
 
-    /// Rows that are held, removed ones among them.
+    /// Number of rows that are held, including removed ones.
     pub(crate) fn row_count(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether the table was ever read whole.
+    /// Whether the table was ever read completely.
     pub(crate) const fn is_known(&self) -> bool {
         self.covered.is_some()
     }
 
-    /// What has changed after a revision in rows up to a level; all of those if that is too
-    /// long ago. `None` if the table is not covered.
+    /// Rows up to a level that changed after a revision, or all rows up to that level if the
+    /// revision is too old. `None` if the table was never read completely.
     pub(crate) fn changes_after(&self, revision: u64, level: u8) -> Option<TableUpdate> {
         let covered = self.covered?;
         let whole = revision < covered.from;
@@ -83,8 +85,8 @@
         })
     }
 
-    /// Revision up to which the table is covered, and how many rows it has to tell after
-    /// another one, at the most.
+    /// Newest revision of the copy, and an upper bound of the rows that
+    /// [`Self::changes_after`] returns. `None` if the table was never read completely.
     pub(crate) fn count_changes_after(&self, revision: u64, level: u8) -> Option<(u64, usize)> {
         let covered = self.covered?;
         let rows = if revision < covered.from {
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Forgets rows beyond a level.
+    /// Drops rows above a level.
     pub(crate) fn remove_above_level(&mut self, level: u8) {
         let by_revision = &mut self.by_revision;
         self.rows.retain(|_, row| {
@@ -128,7 +130,8 @@
         if row.removed
             && let Some(before) = self.rows.get(&row.key)
         {
-            // Nothing says any more where it stood.
+            // A removal does not carry the level of the row. The old level is kept, so that the
+            // removal is sent to the hosts that have the row.
             row.level = before.level;
         }
         let index_entry = (row.revision, row.key.clone());
@@ -138,6 +141,7 @@
         self.by_revision.insert(index_entry);
     }
 
+    /// Marks rows as removed that a complete read no longer has.
     fn mark_missing_removed(&mut self, update: &TableUpdate) {
         let read: BTreeSet<&str> = update.rows.iter().map(|row| row.key.as_str()).collect();
         let is_missing = |row: &&TableRow| !row.removed && !read.contains(row.key.as_str());
@@ -154,8 +158,8 @@
         }
     }
 
-    /// Forgets the oldest removed rows beyond the most that are remembered; gives the
-    /// newest revision of those.
+    /// Drops the oldest removed rows beyond [`MAX_REMOVED_ROWS`], and returns the newest revision
+    /// among the dropped rows.
     fn drop_oldest_removed(&mut self) -> Option<u64> {
         let removed = self.rows.values().filter(|row| row.removed);
         let mut revisions: Vec<u64> = removed.map(|row| row.revision).collect();
--- a/crates/router/src/transit_service.rs
+++ b/crates/router/src/transit_service.rs
@@ -3,20 +3,22 @@
     peer::http_api::{TRANSIT_PROTOCOL, UPSTREAM_HEADER},
 };
 
-/// Longest time to connect to an upstream for another host, which tries several ones.
+/// Timeout of a connection to an upstream for another host. It is short, as the other host tries
+/// several hosts in turn.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Longest time for the controller to say where to connect.
+/// Timeout of the request for the upstream's address to the controller.
 const ADDRESS_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Connections that are passed on at one time.
+/// Maximum number of connections that are forwarded at the same time.
 const MAX_CONNECTIONS: usize = 512;
 
-/// Passes connections of other hosts on to upstreams that they do not reach. Only upstreams that
-/// the controller knows are connected to, so that nothing else can be reached by it.
+/// Forwards connections of other hosts to upstreams that those hosts cannot reach. It connects
+/// only to upstreams that the controller knows, so that no other destination can be reached
+/// through it.
 ///
-/// Who asks keeps the request, its verdict and its accounts: bytes pass unchanged, and what
-/// happens to one side happens to the other.
+/// The requesting host stays responsible for the request, its verdict and its accounting: bytes
+/// are forwarded unchanged, and a close or failure of one side is passed on to the other side.
 #[derive(Clone)]
 pub(crate) struct TransitService {
     pub(crate) activity: Activity,
@@ -65,13 +67,14 @@
                     host: parts.io.into_inner(),
                     upstream,
                 };
-                // Who asked for it notices the end.
+                // The requesting host detects a failure by the end of its connection.
                 let _ = connection.run(&parts.read_buf).await;
             }
         });
     }
 
-    /// Where an upstream listens, if this host connects to it for others now.
+    /// Asks the controller for the address of an upstream. `None` if this host does not forward
+    /// connections to the upstream now.
     async fn request_address(&self, upstream: &UpstreamId) -> Option<SocketAddr> {
         let count = self.connections.count();
         gauge!("rhubarbcove_transit_connections").set(count as f64);
@@ -85,6 +88,7 @@
     }
 }
 
+/// Builds an empty answer and counts its outcome in the metrics.
 fn counted_answer(status: StatusCode, outcome: &'static str) -> Response<AnswerBody> {
     counter!("rhubarbcove_transit_total", "outcome" => outcome).increment(1);
     text_answer(status, "text/plain", "")
--- a/crates/router/src/upstream_thread.rs
+++ b/crates/router/src/upstream_thread.rs
@@ -1,31 +1,31 @@
-//! The thread that looks at upstreams: load reports and probes.
+//! The thread that polls the load of engines and probes upstreams.
 
 use super::*;
 
-/// Pause between two polls of engines: four a second.
+/// Time between two polls of engines: four polls a second.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Engines of a domain up to which each host asks all of them.
+/// Largest number of engines in a failure domain for which each host polls all of them.
 const MAX_FULLY_POLLED_ENGINES: usize = 8;
 
-/// Engines beyond its own share that a host asks in a larger domain.
+/// Number of engines that a host polls besides those of its own share in a larger failure domain.
 const EXTRA_POLLED_ENGINES: usize = 4;
 
-/// Probes under way at one time: each of an upstream out of reach takes 0.3 s.
+/// Number of probes that run at the same time: each probe of an unreachable upstream takes 0.3 s.
 const MAX_CONCURRENT_PROBES: usize = 8;
 
-/// What the thread is given.
+/// State of the upstream thread.
 pub(crate) struct UpstreamThread {
     pub(crate) clock: Clock,
     pub(crate) configuration: Arc<ArcSwapOption<Numbered>>,
     pub(crate) events: flume::Sender<RingEvent>,
     pub(crate) logger: Logger,
     pub(crate) probes: flume::Receiver<ProbeJob>,
-    /// How answers look in an installation; `None` outside one.
+    /// Format of the upstreams' answers in an installation; `None` outside of one.
     pub(crate) protocol: Option<Arc<dyn Protocol>>,
     pub(crate) shutdown: Shutdown,
     pub(crate) status: Arc<ArcSwap<HostStatus>>,
-    /// By which other hosts know this one.
+    /// Secret with which this host authenticates to other hosts.
     pub(crate) token: String,
 }
 
@@ -37,7 +37,7 @@
                 single_thread_runtime()?.block_on(self.run());
                 Ok(())
             })
-            .wrap_err("cannot start the upstreams' thread")
+            .wrap_err("cannot start the upstream thread")
     }
 
     async fn run(self) {
@@ -81,7 +81,7 @@
             }
             ProbeKind::Listening => {
                 let listening = check_listening(address).await;
-                info!(self.logger, "upstreams: looked whether it listens";
+                info!(self.logger, "upstreams: checked whether it listens";
                     "upstream" => %upstream, "listening" => format!("{listening:?}"));
                 Event::ListeningChecked {
                     listening,
@@ -97,7 +97,8 @@
         self.send_event(event).await;
     }
 
-    /// Whether an upstream is well. What its answer says of it besides is reported before.
+    /// Checks whether an upstream is healthy. A notice in its answer is reported to the controller
+    /// before the result.
     async fn check_health(
         &self,
         adapter: &EngineAdapter,
@@ -128,13 +129,13 @@
     }
 
     async fn send_event(&self, event: Event) {
-        // The controller outlives this thread.
+        // Sending does not fail, as the controller runs longer than this thread.
         let _ = self.events.send_async(RingEvent::Happened(event)).await;
     }
 }
 
-/// Asks one engine after the other, a fixed number a second, so that the cost
-/// of control does not grow with the domain.
+/// Polls one engine after the other at a fixed rate, so that the cost of polling does not grow
+/// with the failure domain.
 async fn poll_loads(
     configuration: &ArcSwapOption<Numbered>,
     status: &ArcSwap<HostStatus>,
@@ -153,8 +154,9 @@
     }
 }
 
-/// The engines that this host asks: all of its domain where they are few, else
-/// those that its share lies on and some others, different for each host.
+/// Returns the engines that this host polls. In a small failure domain, these are all engines. In
+/// a larger one, these are the engines of this host's share and some others that differ between
+/// hosts.
 fn polled_engines(
     numbered: Option<&Numbered>,
     status: &HostStatus,
--- a/crates/router/tests/unit/received_tables.rs
+++ b/crates/router/tests/unit/received_tables.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// A host that read all of a divided table from the store.
+/// The tables of a host that read all rows of a divided upstream table from the store.
 fn host_with_all_rows() -> ReceivedTables {
     let mut received = ReceivedTables::default();
     let rows = vec![row("a", 1, 0), row("b", 2, 1), row("c", 3, 2)];
@@ -55,7 +55,7 @@
     }
 }
 
-/// What is announced: the coverage, `all` or `changes`, and the rows.
+/// Formats a response: the coverage, `all` or `changes`, and the keys of the rows.
 fn describe_response(received: &ReceivedTables, request: &TablesRequest) -> String {
     let Some(response) = received.response_to(request) else {
         return "unknown".to_string();
@@ -74,7 +74,7 @@
     format!("{division}/{level} {kind}: {}", rows.join(" "))
 }
 
-/// Guards against every host being sent the whole table of a large installation.
+/// Guards against sending the whole table of a large installation to every host.
 #[test]
 fn a_host_gets_only_the_rows_up_to_its_level() {
     let mut received = host_with_all_rows();
@@ -99,7 +99,7 @@
     );
 }
 
-/// Guards against changes that are put onto rows of another division: upstreams that are gone
+/// Guards against changes that a host applies to rows of another division: removed upstreams
 /// would stay, and others would be missing.
 #[test]
 fn a_host_that_knows_another_division_gets_all_rows() {
@@ -110,8 +110,8 @@
     );
 }
 
-/// Guards against an upstream that stays with the hosts that know it after it was removed: its
-/// row no longer says where it stood.
+/// Guards against a removed upstream that stays on the hosts that have its row: the removal does
+/// not carry the level of the row, so the hosts that need the removal could be missed.
 #[test]
 fn a_removal_is_sent_to_hosts_that_have_the_row() {
     let mut received = host_with_all_rows();
@@ -132,7 +132,7 @@
     );
 }
 
-/// Guards against a copy that passes on less than the asking host takes it for.
+/// Guards against a host that serves a part of the table to a host that expects a larger part.
 #[test]
 fn a_partial_copy_is_not_sent_to_a_host_that_needs_more_rows() {
     let mut received = host_with_all_rows();
@@ -162,7 +162,7 @@
         "unknown"
     );
 
-    // A host that no longer asks the store forgets what it does not need itself.
+    // A host that no longer reads the store drops the rows that it does not need itself.
     received.apply(Time::from_ms(3_000), upstreams);
     assert_eq!(
         describe_response(&received, &tables_request(0, 0, 1)),
@@ -200,8 +200,8 @@
     );
 }
 
-/// Guards against hosts that learn too late that an upstream leaves, as the one that they ask has
-/// just started and still reads the table of hosts, part by part.
+/// Guards against hosts that learn too late that an upstream leaves, because the host that they
+/// ask has just started and is still reading the host table in parts.
 #[test]
 fn upstreams_are_sent_before_the_host_table_is_read() {
     let mut received = ReceivedTables::default();
--- a/crates/router/tests/unit/table_copy.rs
+++ b/crates/router/tests/unit/table_copy.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// What is announced after a revision: `all` or `changes`, the revision and the rows.
+/// Formats the changes after a revision: `all` or `changes`, the newest revision and the rows.
 fn describe_changes(copy: &TableCopy, revision: u64) -> String {
     let Some(update) = copy.changes_after(revision, u8::MAX) else {
         return "unknown".to_string();
@@ -47,7 +47,7 @@
     assert_eq!(
         describe_changes(&copy, 0),
         "unknown",
-        "it was never read whole"
+        "the table was never read completely"
     );
     copy.apply(update(10, true, vec![row("a", 4), row("b", 9)]));
     copy.apply(update(12, false, vec![row("a", 11), removed("b", 12)]));
@@ -57,9 +57,9 @@
     assert_eq!(describe_changes(&copy, 12), "changes up to 12: ");
 }
 
-/// Symptom: a server that is gone stays on most hosts. Events: the store forgets its
-/// history, or the host loses it for a while, and reads the table whole; an entry has gone
-/// meanwhile. Cause: a whole reading names only what is there.
+/// Guards against a removed server that stays on most hosts. The store drops its history, or the
+/// host loses the store for a while, and then reads the table completely. A complete read holds
+/// only the existing rows, so it does not show a removal that happened in the meantime.
 #[test]
 fn a_complete_read_reports_missing_rows_as_removed() {
     let mut copy = TableCopy::default();
@@ -68,9 +68,9 @@
     assert_eq!(describe_changes(&copy, 10), "changes up to 20: -b c@15");
 }
 
-/// Symptom: one change never reaches some hosts. Events: the store tells of a removal and
-/// names no revision, or the one at which the row was written. Cause: others are notified only
-/// of revisions after the one that they know.
+/// Guards against a change that never reaches some hosts. The store reports a removal without a
+/// revision, or with the revision at which the row was written. Other hosts get only changes
+/// after the revision that they know.
 #[test]
 fn a_change_with_an_old_revision_gets_the_revision_of_its_update() {
     let mut copy = TableCopy::default();
@@ -100,7 +100,7 @@
     assert_eq!(copy.rows.len(), MAX_REMOVED_ROWS);
     assert!(
         describe_changes(&copy, 5).starts_with("all"),
-        "too long ago"
+        "the revision is too old"
     );
     assert!(describe_changes(&copy, 12).starts_with("changes"));
 }
