--- a/crates/router/src/directory_thread.rs
+++ b/crates/router/src/directory_thread.rs
@@ -154,12 +154,12 @@
             } => {
                 info!(logger, "directory: reachable again";
                     "silent_ms" => silent.as_millis() as u64);
-                self.lock_received_tables().note_reachable_again();
+                self.lock_received_tables().note_store_reachable();
                 Event::DirectoryReachableAgain
             }
             DirectoryUpdate::StoreLost { error } => {
                 warn!(logger, "directory: lost"; "error" => error);
-                self.lock_received_tables().note_lost();
+                self.lock_received_tables().note_store_lost();
                 Event::DirectoryLost
             }
             DirectoryUpdate::Peers {
@@ -176,7 +176,7 @@
                 info!(logger, "directory: regained";
                     "ago_ms" => ago.as_millis() as u64, "silent_ms" => silent.as_millis() as u64);
                 let at = self.clock.now() - ago;
-                self.lock_received_tables().note_regained(at);
+                self.lock_received_tables().note_store_regained(at);
                 Event::DirectoryRegained { at }
             }
             DirectoryUpdate::UnusableAnswer { error } => {
@@ -191,13 +191,13 @@
                         .filter(|(_, level)| *level <= WorkingSet::KNOWN_LEVEL)
                         .count(),
                     "upstreams" => levels.len());
-                self.lock_received_tables().divide(coverage, levels);
+                self.lock_received_tables().set_coverage(coverage, levels);
                 return None;
             }
             DirectoryUpdate::TableRead(reading) => {
                 let mut tables = self.lock_received_tables();
-                tables.take(self.clock.now(), reading);
-                for (table, rows) in tables.rows() {
+                tables.apply(self.clock.now(), reading);
+                for (table, rows) in tables.row_counts() {
                     gauge!("rhubarbcove_table_rows", "table" => table).set(rows as f64);
                 }
                 return None;
--- a/crates/router/src/host_threads.rs
+++ b/crates/router/src/host_threads.rs
@@ -87,7 +87,7 @@
                 events: self.events(),
                 jobs: self.channels.fetches.1.clone(),
                 logger: self.logger.clone(),
-                offers: offer,
+                received_configurations: offer,
                 token: self.settings.peer_token.clone(),
             },
             served_configuration: Arc::clone(&self.shared.served_configuration),
@@ -179,19 +179,19 @@
         };
         self.background_threads.push(thread.spawn()?);
         let service = PeerService {
-            asked: self.channels.table_requests.0.clone(),
-            received: Arc::clone(&self.shared.received_tables),
+            unanswered_requests: self.channels.table_requests.0.clone(),
+            received_tables: Arc::clone(&self.shared.received_tables),
             clock: self.shared.clock,
-            allocation: Arc::clone(&self.shared.served_configuration),
-            lending: Lending::default(),
-            packed: Arc::default(),
+            served_configuration: Arc::clone(&self.shared.served_configuration),
+            configuration_transfers: ConfigurationTransfers::default(),
+            encoded_tables: Arc::default(),
             token,
-            transfers: Arc::default(),
+            table_transfers: Arc::default(),
             transit: TransitService {
                 activity: self.shared.forwarding_activity.clone(),
                 events: self.events(),
                 logger: self.logger.clone(),
-                passing: self.shared.forwarded_connections.clone(),
+                connections: self.shared.forwarded_connections.clone(),
             },
         };
         self.start_http_listener("peers", listener, move |request| {
@@ -210,7 +210,7 @@
         let service = OperatorService {
             clock: self.shared.clock,
             configuration: Arc::clone(&self.shared.configuration),
-            ledger: Arc::clone(&self.shared.statistics),
+            statistics: Arc::clone(&self.shared.statistics),
             metrics: self.metrics.handle(),
             only_metrics: false,
             status: Arc::clone(&self.shared.status),
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -111,6 +111,7 @@
 mod effective_limits;
 mod event_splitter;
 mod fetch_job;
+mod forwarded_connection;
 mod guarantee_check;
 mod host;
 mod host_metrics;
@@ -128,7 +129,6 @@
 mod note_thread;
 mod operator_service;
 mod parsed_request;
-mod passed_connection;
 mod peer_job;
 mod peer_service;
 mod peer_thread;
@@ -192,6 +192,7 @@
     effective_limits::EffectiveLimits,
     event_splitter::EventSplitter,
     fetch_job::FetchJob,
+    forwarded_connection::ForwardedConnection,
     host_metrics::HostMetrics,
     host_threads::{HostThreads, ThreadHandle, listen},
     http_listener::HttpListener,
@@ -204,15 +205,14 @@
     note_thread::NoteThread,
     operator_service::OperatorService,
     parsed_request::ParsedRequest,
-    passed_connection::PassedConnection,
     peer_job::PeerJob,
-    peer_service::{Lending, PeerService},
+    peer_service::{ConfigurationTransfers, PeerService},
     peer_thread::PeerThread,
     platform_job::PlatformJob,
     platform_thread::PlatformThread,
-    probe_job::{ProbeJob, ProbeQuestion},
+    probe_job::{ProbeJob, ProbeKind},
     reader_signals::ReaderSignals,
-    received_tables::{ReceivedTables, TablesAdvertised},
+    received_tables::{ReceivedTables, TablesAvailability},
     relay::Relay,
     relay_service::RelayService,
     relayed_request::RelayedRequest,
--- a/crates/router/src/peer_job.rs
+++ b/crates/router/src/peer_job.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// A heartbeat to be sent to another host.
+/// A request to send a heartbeat to another host.
 #[derive(Debug)]
 pub(crate) struct PeerJob {
     pub(crate) address: SocketAddr,
-    pub(crate) asked: Time,
+    pub(crate) sent_at: Time,
     pub(crate) heartbeat: Heartbeat,
     pub(crate) host: HostId,
 }
--- a/crates/router/src/peer_service.rs
+++ b/crates/router/src/peer_service.rs
@@ -1,5 +1,5 @@
-//! What a host answers other hosts of an installation: its configuration, and what it
-//! learned of the store's tables.
+//! Answers requests of other hosts of an installation for this host's configuration and for its
+//! copy of the store's tables.
 
 use {
     super::*,
@@ -10,34 +10,34 @@
     },
 };
 
-/// Hosts that are handed the configuration at one time; others are sent elsewhere.
-/// Four packed documents of 7,000 routes take half a second on a link of 10 Mbit/s.
-const MAX_LENT: usize = 4;
+/// Number of hosts that are sent the configuration at the same time; others are told that this
+/// host is busy, and ask another host. Four compressed documents of 7,000 routes take half a
+/// second on a link of 10 Mbit/s.
+const MAX_CONFIGURATION_TRANSFERS: usize = 4;
 
-/// Time after which a host that was handed the configuration counts no more, so that four
-/// that lost their power on the way do not keep all others from it.
-const LENT_FOR: Duration = Duration::from_secs(3);
+/// Time after which a transfer of the configuration no longer counts, so that four hosts that
+/// lose power during their transfers do not block the transfers to all others.
+const CONFIGURATION_TRANSFER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Rows from which an answer counts as large: about 10 KB of upstreams.
-const LARGE_ROWS: usize = 256;
+/// Number of rows from which an answer counts as large: about 10 KB of upstream rows.
+const LARGE_ANSWER_ROWS: usize = 256;
 
-/// Serves the configuration to hosts with the same secret.
+/// Serves the configuration and the tables to hosts that have the same secret.
 ///
-/// What goes wrong without it: the store turns a host away and serves the others;
-/// a new version comes, and the host must refuse every key, although its
-/// neighbors know the version. One would notice `configuration_stale` on some
-/// hosts while the store is well.
+/// Without this service, a host that the store rejects while it serves the others would miss a
+/// new configuration version. The host would have to refuse every API key although its neighbors
+/// know the version, and some hosts would report `configuration_stale` while the store works.
 #[derive(Clone)]
 pub(crate) struct PeerService {
-    /// Notified when another host asks for what this one cannot tell.
-    pub(crate) asked: flume::Sender<()>,
+    /// Notified when another host requests tables that this host cannot serve now.
+    pub(crate) unanswered_requests: flume::Sender<()>,
     pub(crate) clock: Clock,
-    pub(crate) allocation: Arc<ArcSwapOption<ServedConfiguration>>,
-    pub(crate) received: Arc<Mutex<ReceivedTables>>,
-    pub(crate) lending: Lending,
-    pub(crate) packed: Arc<Mutex<PackedNews>>,
+    pub(crate) served_configuration: Arc<ArcSwapOption<ServedConfiguration>>,
+    pub(crate) received_tables: Arc<Mutex<ReceivedTables>>,
+    pub(crate) configuration_transfers: ConfigurationTransfers,
+    pub(crate) encoded_tables: Arc<Mutex<EncodedTables>>,
     pub(crate) token: String,
-    pub(crate) transfers: Arc<Mutex<TableTransferSlots>>,
+    pub(crate) table_transfers: Arc<Mutex<TableTransferSlots>>,
     pub(crate) transit: TransitService,
 }
 
@@ -45,9 +45,9 @@
     pub(crate) async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         let presented = request.headers().get(AUTHORIZATION);
         let presented = presented.map_or(&b""[..], HeaderValue::as_bytes);
-        let known: bool = presented.ct_eq(bearer(&self.token).as_bytes()).into();
+        let authorized: bool = presented.ct_eq(bearer(&self.token).as_bytes()).into();
         let path = request.uri().path();
-        if !known {
+        if !authorized {
             return text_answer(StatusCode::NOT_FOUND, "text/plain", "no such path\n");
         }
         if path == TRANSIT_PATH {
@@ -55,99 +55,114 @@
         }
         let document = path.strip_prefix(DOCUMENT_PATH);
         if let Some(newer_than) = document.and_then(|rest| rest.parse().ok()) {
-            return self.document(newer_than);
+            return self.answer_document(newer_than);
         }
-        let to = listens(request.headers());
-        if let Some(question) = question(path, TABLES_PATH) {
-            return self.tables(&question, to);
+        let recipient = listen_address(request.headers());
+        if let Some(tables_request) = parse_tables_request(path, TABLES_PATH) {
+            return self.answer_tables(&tables_request, recipient);
         }
-        match question(path, TABLES_COPY_PATH) {
-            Some(question) => self.copy(&question, to),
+        match parse_tables_request(path, TABLES_COPY_PATH) {
+            Some(tables_request) => self.answer_tables_copy(&tables_request, recipient),
             None => text_answer(StatusCode::NOT_FOUND, "text/plain", "no such path\n"),
         }
     }
 
-    fn document(&self, newer_than: u64) -> Response<AnswerBody> {
-        let allocation = self.allocation.load_full();
-        let newer = allocation.filter(|allocation| allocation.document.version.get() > newer_than);
-        let Some(allocation) = newer else {
+    fn answer_document(&self, newer_than: u64) -> Response<AnswerBody> {
+        let configuration = self.served_configuration.load_full();
+        let newer =
+            configuration.filter(|configuration| configuration.document.version.get() > newer_than);
+        let Some(configuration) = newer else {
             return text_answer(StatusCode::NO_CONTENT, "text/plain", Bytes::new());
         };
-        match self.lending.lend(allocation.document.packed.clone()) {
-            Some(packed) => self.hand_over(&allocation, packed),
+        match self
+            .configuration_transfers
+            .begin(configuration.document.packed.clone())
+        {
+            Some(compressed) => self.document_answer(&configuration, compressed),
             None => text_answer(StatusCode::TOO_MANY_REQUESTS, "text/plain", "busy\n"),
         }
     }
 
-    /// What the store said of its tables, and how old the configuration is.
-    fn tables(&self, question: &TablesRequest, to: Option<SocketAddr>) -> Response<AnswerBody> {
-        let advertised = lock(&self.received).advertised(self.clock.now());
-        let allocation = self.allocation.load_full();
-        if !matches!(advertised, TablesAdvertised::News { .. }) {
-            // A full ring holds the same news.
-            let _ = self.asked.try_send(());
+    /// Answers with the changes of the store's tables, and with the version and age of the
+    /// configuration.
+    fn answer_tables(
+        &self,
+        tables_request: &TablesRequest,
+        recipient: Option<SocketAddr>,
+    ) -> Response<AnswerBody> {
+        let availability = lock(&self.received_tables).availability(self.clock.now());
+        let configuration = self.served_configuration.load_full();
+        if !matches!(availability, TablesAvailability::Available { .. }) {
+            // A full channel holds the same notification already.
+            let _ = self.unanswered_requests.try_send(());
         }
-        match (advertised, allocation) {
-            (TablesAdvertised::StoreLost, _) => {
-                let mut response = refused();
+        match (availability, configuration) {
+            (TablesAvailability::StoreLost, _) => {
+                let mut response = unavailable();
                 response.headers_mut().insert(STORE_LOST_HEADER, 1.into());
                 response
             }
-            (TablesAdvertised::News { regained }, Some(allocation)) => {
-                let mut response = self.send_news(question, to);
+            (TablesAvailability::Available { store_regained_ago }, Some(configuration)) => {
+                let mut response = self.changes_answer(tables_request, recipient);
                 let headers = response.headers_mut();
-                if let Some(since) = regained {
+                if let Some(since) = store_regained_ago {
                     headers.insert(STORE_REGAINED_HEADER, (since.as_millis() as u64).into());
                 }
-                self.tell_knowledge(&allocation, headers);
+                self.insert_version_and_age(&configuration, headers);
                 response
             }
-            _ => refused(),
+            _ => unavailable(),
         }
     }
 
-    /// A copy of the tables, for a host that found the one busy that asks the store.
-    fn copy(&self, question: &TablesRequest, to: Option<SocketAddr>) -> Response<AnswerBody> {
-        match lock(&self.received).rows_for(question) {
-            Some(_) => self.send_news(question, to),
-            None => refused(),
+    /// Answers with this host's copy of the tables, for a host whose request was refused as busy
+    /// by the host that reads the store.
+    fn answer_tables_copy(
+        &self,
+        tables_request: &TablesRequest,
+        recipient: Option<SocketAddr>,
+    ) -> Response<AnswerBody> {
+        match lock(&self.received_tables).max_rows_for(tables_request) {
+            Some(_) => self.changes_answer(tables_request, recipient),
+            None => unavailable(),
         }
     }
 
-    /// Sends what changed after the revisions; where that is large and others get it
-    /// already, refers to hosts that have it.
-    fn send_news(&self, question: &TablesRequest, to: Option<SocketAddr>) -> Response<AnswerBody> {
-        let rows = lock(&self.received).rows_for(question);
-        let slot = if rows.unwrap_or_default() < LARGE_ROWS {
+    /// Answers with the changes after the requested revisions. If the answer is large and other
+    /// hosts are already receiving theirs, it refers to hosts that have the tables.
+    fn changes_answer(
+        &self,
+        tables_request: &TablesRequest,
+        recipient: Option<SocketAddr>,
+    ) -> Response<AnswerBody> {
+        let rows = lock(&self.received_tables).max_rows_for(tables_request);
+        let slot_number = if rows.unwrap_or_default() < LARGE_ANSWER_ROWS {
             None
         } else {
-            match lock(&self.transfers).begin(self.clock.now(), to) {
-                None => return self.refer(),
+            match lock(&self.table_transfers).begin(self.clock.now(), recipient) {
+                None => return self.referral(),
                 taken => taken,
             }
         };
-        let sending = slot.map(|number| Sending {
+        let slot = slot_number.map(|number| TransferSlot {
             number,
-            transfers: Arc::clone(&self.transfers),
+            transfers: Arc::clone(&self.table_transfers),
         });
-        let news = lock(&self.received).news_for(question);
-        let packed = news.map(|news| lock(&self.packed).pack(news));
-        let Some(Ok(bytes)) = packed else {
-            return refused();
+        let response = lock(&self.received_tables).response_to(tables_request);
+        let encoded = response.map(|response| lock(&self.encoded_tables).encode(response));
+        let Some(Ok(bytes)) = encoded else {
+            return unavailable();
         };
-        let body = match sending {
-            Some(sending) => Bytes::from_owner(Sent {
-                bytes,
-                _sending: sending,
-            }),
+        let body = match slot {
+            Some(slot) => Bytes::from_owner(TableTransfer { bytes, _slot: slot }),
             None => bytes,
         };
         text_answer(StatusCode::OK, "application/octet-stream", body)
     }
 
-    fn refer(&self) -> Response<AnswerBody> {
+    fn referral(&self) -> Response<AnswerBody> {
         let mut response = text_answer(StatusCode::TOO_MANY_REQUESTS, "text/plain", "busy\n");
-        let recipients = lock(&self.transfers).recipients();
+        let recipients = lock(&self.table_transfers).recipients();
         let recipients: Vec<String> = recipients.iter().map(SocketAddr::to_string).collect();
         if let Ok(value) = recipients.join(",").parse() {
             response.headers_mut().insert(REFERRAL_HEADER, value);
@@ -155,24 +170,28 @@
         response
     }
 
-    fn hand_over(&self, allocation: &ServedConfiguration, packed: Bytes) -> Response<AnswerBody> {
-        let mut response = text_answer(StatusCode::OK, "application/gzip", packed);
+    fn document_answer(
+        &self,
+        configuration: &ServedConfiguration,
+        compressed: Bytes,
+    ) -> Response<AnswerBody> {
+        let mut response = text_answer(StatusCode::OK, "application/gzip", compressed);
         let headers = response.headers_mut();
-        headers.insert(REVISION_HEADER, allocation.document.revision.into());
-        self.tell_knowledge(allocation, headers);
+        headers.insert(REVISION_HEADER, configuration.document.revision.into());
+        self.insert_version_and_age(configuration, headers);
         response
     }
 
-    fn tell_knowledge(&self, allocation: &ServedConfiguration, headers: &mut HeaderMap) {
-        headers.insert(VERSION_HEADER, allocation.document.version.get().into());
-        if let Some(as_of) = allocation.as_of {
+    fn insert_version_and_age(&self, configuration: &ServedConfiguration, headers: &mut HeaderMap) {
+        headers.insert(VERSION_HEADER, configuration.document.version.get().into());
+        if let Some(as_of) = configuration.as_of {
             let age = self.clock.now().since(as_of);
             headers.insert(CONFIGURATION_AGE_HEADER, (age.as_millis() as u64).into());
         }
     }
 }
 
-fn refused() -> Response<AnswerBody> {
+fn unavailable() -> Response<AnswerBody> {
     text_answer(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "unknown\n")
 }
 
@@ -180,8 +199,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Where the asking host serves others, if it says so.
-fn listens(headers: &HeaderMap) -> Option<SocketAddr> {
+/// Address at which the requesting host serves others, if its request has one.
+fn listen_address(headers: &HeaderMap) -> Option<SocketAddr> {
     headers
         .get(LISTEN_ADDRESS_HEADER)?
         .to_str()
@@ -190,97 +209,102 @@
         .ok()
 }
 
-/// A slot for a large answer; it is given back with this value.
-struct Sending {
+/// A slot for the transfer of a large answer; dropping this value releases the slot.
+struct TransferSlot {
     number: u64,
     transfers: Arc<Mutex<TableTransferSlots>>,
 }
 
-impl Drop for Sending {
+impl Drop for TransferSlot {
     fn drop(&mut self) {
         lock(&self.transfers).end(self.number);
     }
 }
 
-/// Bytes of a large answer on their way.
-struct Sent {
+/// Bytes of a large answer; they hold a transfer slot until they are sent.
+struct TableTransfer {
     bytes: Bytes,
-    _sending: Sending,
+    _slot: TransferSlot,
 }
 
-impl AsRef<[u8]> for Sent {
+impl AsRef<[u8]> for TableTransfer {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-/// The large news packed last: hosts that start together ask for the same.
+/// The last large answer in its encoded form. Hosts that start together request the same answer,
+/// which is then encoded once.
 #[derive(Default)]
-pub(crate) struct PackedNews {
+pub(crate) struct EncodedTables {
     last: Option<(TablesResponse, Bytes)>,
 }
 
-impl PackedNews {
-    fn pack(&mut self, news: TablesResponse) -> Result<Bytes, MessageError> {
-        if news.rows() < LARGE_ROWS {
-            return Ok(news.to_bytes()?.into());
+impl EncodedTables {
+    fn encode(&mut self, response: TablesResponse) -> Result<Bytes, MessageError> {
+        if response.rows() < LARGE_ANSWER_ROWS {
+            return Ok(response.to_bytes()?.into());
         }
         if let Some((last, bytes)) = &self.last
-            && *last == news
+            && *last == response
         {
             return Ok(bytes.clone());
         }
-        let bytes = Bytes::from(news.to_bytes()?);
-        self.last = Some((news, bytes.clone()));
+        let bytes = Bytes::from(response.to_bytes()?);
+        self.last = Some((response, bytes.clone()));
         Ok(bytes)
     }
 }
 
-/// The question for the tables in a path that begins so.
-fn question(path: &str, prefix: &str) -> Option<TablesRequest> {
+/// Parses a request for the tables from a path that starts with `prefix`.
+fn parse_tables_request(path: &str, prefix: &str) -> Option<TablesRequest> {
     path.strip_prefix(prefix)?.parse().ok()
 }
 
-/// Counts the hosts that are being handed the configuration.
+/// Counts the running transfers of the configuration to other hosts.
 #[derive(Clone, Default)]
-pub(crate) struct Lending {
-    /// When each of them began, under a number of its own.
-    began: Arc<Mutex<BTreeMap<u64, Instant>>>,
+pub(crate) struct ConfigurationTransfers {
+    /// Start time of each transfer, by the transfer's number.
+    started_at: Arc<Mutex<BTreeMap<u64, Instant>>>,
 }
 
-impl Lending {
-    /// Bytes to be sent to one more host; `None` if there are enough.
-    fn lend(&self, bytes: Bytes) -> Option<Bytes> {
-        let mut began = lock(&self.began);
-        began.retain(|_, began| began.elapsed() < LENT_FOR);
-        if began.len() >= MAX_LENT {
+impl ConfigurationTransfers {
+    /// Starts a transfer and returns its bytes; `None` if the maximum number of transfers is
+    /// running.
+    fn begin(&self, bytes: Bytes) -> Option<Bytes> {
+        let mut started_at = lock(&self.started_at);
+        started_at.retain(|_, started_at| started_at.elapsed() < CONFIGURATION_TRANSFER_TIMEOUT);
+        if started_at.len() >= MAX_CONFIGURATION_TRANSFERS {
             return None;
         }
-        let number = began.last_key_value().map_or(0, |(number, _)| number + 1);
-        began.insert(number, Instant::now());
-        Some(Bytes::from_owner(Lent {
+        let number = started_at
+            .last_key_value()
+            .map_or(0, |(number, _)| number + 1);
+        started_at.insert(number, Instant::now());
+        Some(Bytes::from_owner(ConfigurationTransfer {
             bytes,
-            lending: self.clone(),
+            transfers: self.clone(),
             number,
         }))
     }
 }
 
-/// Bytes on their way to another host; they are given back when they have been written.
-struct Lent {
+/// Bytes that are sent to another host. The transfer ends when they are dropped after they have
+/// been written.
+struct ConfigurationTransfer {
     bytes: Bytes,
-    lending: Lending,
+    transfers: ConfigurationTransfers,
     number: u64,
 }
 
-impl AsRef<[u8]> for Lent {
+impl AsRef<[u8]> for ConfigurationTransfer {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-impl Drop for Lent {
+impl Drop for ConfigurationTransfer {
     fn drop(&mut self) {
-        lock(&self.lending.began).remove(&self.number);
+        lock(&self.transfers.started_at).remove(&self.number);
     }
 }
--- a/crates/router/src/platform_thread.rs
+++ b/crates/router/src/platform_thread.rs
@@ -1,27 +1,28 @@
-//! The thread that talks to the platform: configuration, host list, claims.
+//! The thread that communicates with the platform: configuration, host list and claims.
 
 use super::*;
 
-/// Longest time of one call to the platform.
+/// Timeout of one call to the platform.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Time between two looks of a coordinator at the newest version.
+/// Time between two reads of the newest configuration version by a coordinator.
 const COORDINATOR_WATCH_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The same for other hosts: they learn of a new version from their coordinator, so
-/// that the platform's reads grow with the domains and not with the hosts.
+/// Time between two reads of the newest configuration version by any other host. Such a host
+/// learns of a new version from its coordinator, so that the platform's read load grows with the
+/// number of failure domains and not with the number of hosts.
 const WATCH_INTERVAL: Duration = Duration::from_millis(5_000);
 
-/// Shortest time between two looks at the newest version.
-const MIN_WATCH_PAUSE: Duration = Duration::from_millis(100);
+/// Shortest time between two reads of the newest configuration version.
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two reads of the host list.
-const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
+const HOST_LIST_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Claims written in one call.
-const MAX_BATCH: usize = 64;
+/// Maximum number of claims that are written in one call.
+const MAX_CLAIM_BATCH: usize = 64;
 
-/// What the platform's thread is given.
+/// State of the platform thread.
 pub(crate) struct PlatformThread {
     pub(crate) address: SocketAddr,
     pub(crate) events: flume::Sender<ControllerMessage>,
@@ -40,14 +41,14 @@
                 single_thread_runtime()?.block_on(self.run());
                 Ok(())
             })
-            .wrap_err("cannot start the platform's thread")
+            .wrap_err("cannot start the platform thread")
     }
 
     async fn run(self) {
         let client = Arc::new(PlatformClient::new(self.address, CALL_TIMEOUT));
         let claims = TableClaims::new(Arc::clone(&client));
         let store = ConfigStore::new(Arc::clone(&client));
-        let watching = async {
+        let watch = async {
             futures::join!(
                 watch_configuration(
                     &store,
@@ -60,9 +61,9 @@
             );
         };
         tokio::select! {
-            () = watching => {}
-            // Settlements are finished first: the ring closes only after the
-            // controller's thread has ended.
+            () = watch => {}
+            // Ends after all settlements are written: the job channel closes only after the
+            // controller thread has ended.
             () = serve_jobs(&self.jobs, &claims, &self.events) => {}
         }
         self.shutdown.started().await;
@@ -72,25 +73,25 @@
 
 async fn watch_configuration(
     store: &ConfigStore,
-    read_now: &Notify,
+    read_requested: &Notify,
     status: &ArcSwap<HostStatus>,
     events: &flume::Sender<ControllerMessage>,
     logger: &Logger,
 ) {
-    let mut known: Option<Arc<VersionedDocument>> = None;
+    let mut newest_read: Option<Arc<VersionedDocument>> = None;
     let mut last_error = String::new();
     loop {
-        match store.read_newer(known.as_deref()).await {
+        match store.read_newer(newest_read.as_deref()).await {
             Ok(newer) => {
                 last_error.clear();
                 if let Some(newest) = newer.map(Arc::new) {
-                    known = Some(Arc::clone(&newest));
+                    newest_read = Some(Arc::clone(&newest));
                     let event = ControllerMessage::Event(Event::ConfigurationRead(newest));
                     let _ = events.send_async(event).await;
                 }
             }
             Err(error) => {
-                // Once for each new trouble, not once a second.
+                // An error is logged once and not at each retry.
                 let error = error.to_string();
                 if error != last_error {
                     warn!(logger, "platform: configuration not read"; "error" => &error);
@@ -98,17 +99,17 @@
                 }
             }
         }
-        // A peer's word of a newer version cuts the wait short, but never below
-        // a pause: peers that are ahead of a slow platform must not make every
-        // host ask it at once and again.
-        sleep(MIN_WATCH_PAUSE).await;
+        // A peer's note of a newer version ends the wait early, but not before the minimum
+        // interval: if the platform lags behind the peers, every host would otherwise read from
+        // it at once and repeatedly.
+        sleep(MIN_WATCH_INTERVAL).await;
         let interval = if is_coordinator(&status.load()) {
             COORDINATOR_WATCH_INTERVAL
         } else {
             WATCH_INTERVAL
         };
-        let wait = jittered(interval).saturating_sub(MIN_WATCH_PAUSE);
-        let _ = timeout(wait, read_now.notified()).await;
+        let wait = jittered(interval).saturating_sub(MIN_WATCH_INTERVAL);
+        let _ = timeout(wait, read_requested.notified()).await;
     }
 }
 
@@ -127,16 +128,16 @@
             Ok(Some(newest)) => {
                 debug!(logger, "platform: host list"; "hosts" => newest.list.hosts.len());
                 tag = newest.tag;
-                tell_list(&newest.list, events).await;
+                send_host_list(&newest.list, events).await;
             }
             Ok(None) => {}
             Err(error) => debug!(logger, "platform: host list not read"; "error" => %error),
         }
-        sleep(jittered(LIST_INTERVAL)).await;
+        sleep(jittered(HOST_LIST_INTERVAL)).await;
     }
 }
 
-async fn tell_list(list: &HostList, events: &flume::Sender<ControllerMessage>) {
+async fn send_host_list(list: &HostList, events: &flume::Sender<ControllerMessage>) {
     let hosts = list.hosts.iter().map(peer_host).collect();
     let event = Event::HostsListed { hosts };
     let _ = events.send_async(ControllerMessage::Event(event)).await;
@@ -159,7 +160,7 @@
     }
 }
 
-/// Carries jobs out until the ring is closed and empty, and joins them.
+/// Executes jobs until the channel is closed and empty, and waits for the running ones.
 async fn serve_jobs(
     jobs: &flume::Receiver<PlatformJob>,
     claims: &TableClaims,
@@ -182,7 +183,7 @@
                     tasks.spawn(async move { claims.settle(&settlement).await });
                 }
             }
-            next = (batch.len() < MAX_BATCH)
+            next = (batch.len() < MAX_CLAIM_BATCH)
                 .then(|| jobs.try_recv().ok())
                 .flatten();
         }
@@ -195,26 +196,26 @@
     while tasks.join_next().await.is_some() {}
 }
 
-/// Claims a batch and tells the controller. A claim of which nothing is known
-/// is released afterwards, since nothing was sent for it.
+/// Writes a batch of claims and reports the results to the controller. A claim whose result is
+/// unknown is released afterwards, since its request was not sent to an upstream.
 async fn claim_batch(
     claims: &TableClaims,
     mut batch: Vec<ClaimRequest>,
     events: &flume::Sender<ControllerMessage>,
 ) {
-    // The most urgent first, should the platform cut the batch short.
+    // The most urgent claims come first, in case the platform executes only the start of a batch.
     batch.sort_by_key(|claim| claim.tier);
-    for round in split_by_key(batch) {
+    for round in split_duplicate_keys(batch) {
         claim_round(claims, round, events).await;
     }
 }
 
-/// Splits a batch so that no key stands in one call twice.
+/// Splits a batch into rounds so that no key occurs twice in one call.
 ///
-/// What goes wrong otherwise: a table may judge all the conditions of a call
-/// before it carries the first write out; then two claims of one key in one
-/// call are both granted, and the request runs twice.
-fn split_by_key(batch: Vec<ClaimRequest>) -> Vec<Vec<ClaimRequest>> {
+/// A table may check the conditions of all writes in a call before it executes the first one. Two
+/// claims of the same key in one call would then both be granted, and the request would run
+/// twice.
+fn split_duplicate_keys(batch: Vec<ClaimRequest>) -> Vec<Vec<ClaimRequest>> {
     let mut seen: HashMap<(TeamId, IdempotencyKey), usize> = HashMap::default();
     let mut rounds: Vec<Vec<ClaimRequest>> = Vec::new();
     for claim in batch {
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -207,7 +207,7 @@
         response: Response<Incoming>,
         sender: UpstreamSender,
     ) {
-        let keep_for = connection_reuse::keep_time(&response);
+        let keep_for = connection_reuse::keep_alive_time(&response);
         let body = Limited::new(response.into_body(), MAX_REFUSAL_BYTES);
         if let Ok(Ok(_)) = timeout(REFUSAL_BODY_TIMEOUT, body.collect()).await {
             self.keep_connection(order, sender, keep_for);
@@ -232,7 +232,7 @@
         response: Response<Incoming>,
         sender: UpstreamSender,
     ) -> Result<Response<WholeAnswer>, AttemptError> {
-        let keep_for = connection_reuse::keep_time(&response);
+        let keep_for = connection_reuse::keep_alive_time(&response);
         let (parts, body) = response.into_parts();
         let max = self.limits.max_whole_answer_bytes;
         let max = max.min(self.limits.max_unread_bytes);
@@ -281,7 +281,7 @@
     ) -> Result<(), AttemptError> {
         // The failed answer is not needed once a stream has begun, and would count as unread.
         self.failed_answer = None;
-        let keep_for = connection_reuse::keep_time(&response);
+        let keep_for = connection_reuse::keep_alive_time(&response);
         let (parts, mut body) = response.into_parts();
         let mut head = Response::new(());
         *head.status_mut() = parts.status;
--- a/crates/router/src/table_claims.rs
+++ b/crates/router/src/table_claims.rs
@@ -1,15 +1,16 @@
 use super::*;
 
-/// Times that an unanswered claim is read back.
-const READ_BACKS: u32 = 3;
+/// Number of attempts to read back a claim whose write got no answer.
+const MAX_READ_BACKS: u32 = 3;
 
-/// Pause before a read-back or another try of a settlement, doubled each time.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// Wait before the first read-back, or before the first retry of a settlement or release. It
+/// doubles each time.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Longest pause.
-const MAX_PAUSE: Duration = Duration::from_secs(5);
+/// Longest wait between two retries of a settlement or release.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Claims and settlements in the platform's table.
+/// Writes claims of idempotency keys and their settlements to the platform's table.
 #[derive(Clone, Debug)]
 pub(crate) struct TableClaims {
     client: Arc<PlatformClient>,
@@ -20,7 +21,7 @@
         Self { client }
     }
 
-    /// Claims several keys in one call and says what became of each.
+    /// Claims several keys in one call and returns the result of each.
     pub(crate) async fn claim(&self, claims: &[ClaimRequest]) -> Vec<ClaimResult> {
         let operations = claims.iter().map(insert_claim).collect();
         let rows = match self.write(operations).await {
@@ -34,7 +35,7 @@
         let mut answers = Vec::with_capacity(claims.len());
         for (claim, row) in claims.iter().zip(rows) {
             let answer = match row {
-                Some(row) => self.answer_or_take(claim, &row).await,
+                Some(row) => self.resolve_row(claim, &row).await,
                 None => ClaimResult::Unknown,
             };
             answers.push(answer);
@@ -42,19 +43,19 @@
         answers
     }
 
-    /// What a row says of a claim; a released key is taken.
-    async fn answer_or_take(&self, claim: &ClaimRequest, row: &Row) -> ClaimResult {
+    /// Determines a claim's result from its row. If the row is released, the key is claimed.
+    async fn resolve_row(&self, claim: &ClaimRequest, row: &Row) -> ClaimResult {
         match serde_json::from_value::<ClaimRow>(row.value.clone()) {
             Ok(found) if found.state == ClaimState::Released => {}
-            Ok(found) => return answer_of_row(claim, found),
+            Ok(found) => return claim_result(claim, found),
             Err(_) => return ClaimResult::MayHaveRun,
         }
-        let take = TableOperation::Replace {
+        let replace = TableOperation::Replace {
             expected_row_version: row.row_version,
             key: row.key.clone(),
             value: claim_value(claim, ClaimState::Claimed),
         };
-        let row = match self.write(vec![take]).await {
+        let row = match self.write(vec![replace]).await {
             Ok(mut results) => results.pop().and_then(|result| result.row),
             Err(error) if error.may_have_taken_effect() => self
                 .read_back(std::slice::from_ref(claim))
@@ -64,7 +65,7 @@
         };
         match row.map(|row| serde_json::from_value::<ClaimRow>(row.value)) {
             Some(Ok(found)) if found.state == ClaimState::Released => ClaimResult::Unknown,
-            Some(Ok(found)) => answer_of_row(claim, found),
+            Some(Ok(found)) => claim_result(claim, found),
             Some(Err(_)) => ClaimResult::MayHaveRun,
             None => ClaimResult::Unknown,
         }
@@ -81,16 +82,18 @@
         Ok(self.client.write(&batch).await?.results)
     }
 
-    /// Reads claims whose write may have taken effect. What goes wrong
-    /// otherwise: a claim that stands is taken for lost, and its key is refused
-    /// for ever; or one that is lost is taken to stand, and a second host sends
-    /// too. The row's attempt id tells whose it is.
+    /// Reads back claims whose write may have taken effect. The attempt id in a row shows which
+    /// attempt wrote it.
+    ///
+    /// Without this, a written claim could be treated as lost, and its key would be refused for
+    /// ever. Or a lost claim could be treated as written, and a second host would send the
+    /// request, too.
     async fn read_back(&self, claims: &[ClaimRequest]) -> Option<Vec<Option<Row>>> {
         let keys: Vec<String> = claims.iter().map(claim_key).collect();
-        let mut pause = FIRST_PAUSE;
-        for _ in 0..READ_BACKS {
-            sleep(pause).await;
-            pause *= 2;
+        let mut backoff = INITIAL_BACKOFF;
+        for _ in 0..MAX_READ_BACKS {
+            sleep(backoff).await;
+            backoff *= 2;
             if let Ok(rows) = self.client.read(keys.clone()).await {
                 return Some(rows);
             }
@@ -98,28 +101,28 @@
         None
     }
 
-    /// Writes how a claimed request ended, for as long as it takes: nobody
-    /// else can settle it.
+    /// Writes the outcome of a claimed request. It retries without a limit, as no other host can
+    /// settle the claim.
     pub(crate) async fn settle(&self, settlement: &Settlement) {
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         while !self.try_settle(settlement).await {
-            sleep(jittered(pause)).await;
-            pause = (pause * 2).min(MAX_PAUSE);
+            sleep(jittered(backoff)).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
-    /// Releases a claim that was never sent and may or may not exist.
+    /// Releases a claim that may have been written and whose request was never sent.
     pub(crate) async fn release(&self, claim: &ClaimRequest) {
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         while !self.try_release(claim).await {
-            sleep(jittered(pause)).await;
-            pause = (pause * 2).min(MAX_PAUSE);
+            sleep(jittered(backoff)).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
-    /// One try; true once the claim can neither stand nor come to stand. Not
-    /// finding a row proves nothing: the write may still be on its way. So a
-    /// released row is put in its place, and the late write finds it there.
+    /// Tries once to release a claim. Returns true if the claim neither exists nor can be written
+    /// later. A missing row does not prove that, as the claim's write may still be in flight. So
+    /// a released row is inserted, and a late write of the claim conflicts with it.
     async fn try_release(&self, claim: &ClaimRequest) -> bool {
         let insert = TableOperation::Insert {
             key: claim_key(claim),
@@ -144,7 +147,7 @@
         .await
     }
 
-    /// One try; true once there is nothing left to do.
+    /// Tries once to settle a claim. Returns true if nothing is left to do.
     async fn try_settle(&self, settlement: &Settlement) -> bool {
         let key = ClaimRow::key(&settlement.team, &settlement.key);
         let Ok(rows) = self.client.read(vec![key]).await else {
@@ -159,8 +162,8 @@
         if claim.attempt != settlement.attempt || claim.state != ClaimState::Claimed {
             return true;
         }
-        // A conflict means that the write has been carried out by an earlier
-        // try whose answer was lost; the next read shows it.
+        // A conflict means that an earlier try took effect although its answer was lost. The next
+        // try reads the row and returns true.
         let operation = settle_operation(&row, claim, settlement);
         matches!(self.write(vec![operation]).await, Ok(results) if results[0].applied)
     }
@@ -207,7 +210,7 @@
     }
 }
 
-fn answer_of_row(claim: &ClaimRequest, found: ClaimRow) -> ClaimResult {
+fn claim_result(claim: &ClaimRequest, found: ClaimRow) -> ClaimResult {
     if found.fingerprint != claim.fingerprint {
         return ClaimResult::KeyReused;
     }
--- a/crates/router/src/upstream_thread.rs
+++ b/crates/router/src/upstream_thread.rs
@@ -1,31 +1,31 @@
-//! The thread that looks at upstreams: load reports and probes.
+//! The thread that polls the load of engines and probes upstreams.
 
 use super::*;
 
-/// Pause between two polls of engines: four a second.
-const POLL_PAUSE: Duration = Duration::from_millis(250);
+/// Time between two polls of engines: four polls a second.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Engines of a domain up to which each host asks all of them.
-const FEW_ENGINES: usize = 8;
+/// Largest number of engines in a failure domain for which each host polls all of them.
+const MAX_FULLY_POLLED_ENGINES: usize = 8;
 
-/// Engines beyond its own share that a host asks in a larger domain.
-const MORE_ENGINES: usize = 4;
+/// Number of engines that a host polls besides those of its own share in a larger failure domain.
+const EXTRA_POLLED_ENGINES: usize = 4;
 
-/// Probes under way at one time: each of an upstream out of reach takes 0.3 s.
-const MAX_PROBES: usize = 8;
+/// Number of probes that run at the same time: each probe of an unreachable upstream takes 0.3 s.
+const MAX_CONCURRENT_PROBES: usize = 8;
 
-/// What the thread is given.
+/// State of the upstream thread.
 pub(crate) struct UpstreamThread {
     pub(crate) clock: Clock,
     pub(crate) configuration: Arc<ArcSwapOption<VersionedDocument>>,
     pub(crate) events: flume::Sender<ControllerMessage>,
     pub(crate) logger: Logger,
     pub(crate) probes: flume::Receiver<ProbeJob>,
-    /// How answers look in an installation; `None` outside one.
+    /// Format of the upstreams' answers in an installation; `None` outside of one.
     pub(crate) protocol: Option<Arc<dyn Protocol>>,
     pub(crate) shutdown: Shutdown,
     pub(crate) status: Arc<ArcSwap<HostStatus>>,
-    /// By which other hosts know this one.
+    /// Secret with which this host authenticates to other hosts.
     pub(crate) token: String,
 }
 
@@ -37,7 +37,7 @@
                 single_thread_runtime()?.block_on(self.run());
                 Ok(())
             })
-            .wrap_err("cannot start the upstreams' thread")
+            .wrap_err("cannot start the upstream thread")
     }
 
     async fn run(self) {
@@ -52,57 +52,62 @@
 
     async fn serve_probes(&self, adapter: &EngineAdapter, connections: &ConnectionPool) {
         let jobs = self.probes.stream();
-        jobs.for_each_concurrent(MAX_PROBES, |job| self.probe(job, adapter, connections))
-            .await;
+        jobs.for_each_concurrent(MAX_CONCURRENT_PROBES, |job| {
+            self.probe(job, adapter, connections)
+        })
+        .await;
     }
 
     async fn probe(&self, job: ProbeJob, adapter: &EngineAdapter, connections: &ConnectionPool) {
         let ProbeJob {
             address,
             paths,
-            question,
+            kind,
             upstream,
         } = job;
-        let to = Destination {
+        let destination = Destination {
             address,
             paths,
             upstream: Some(upstream.clone()),
         };
-        let event = match question {
-            ProbeQuestion::Health(path) => {
-                let healthy = self.check_health(adapter, &to, &path, &upstream).await;
+        let event = match kind {
+            ProbeKind::Health(path) => {
+                let healthy = self
+                    .check_health(adapter, &destination, &path, &upstream)
+                    .await;
                 info!(self.logger, "upstreams: probed";
                     "upstream" => %upstream, "healthy" => healthy);
                 Event::ProbeAnswered { healthy, upstream }
             }
-            ProbeQuestion::Listening => {
+            ProbeKind::Listening => {
                 let listening = check_listening(address).await;
-                info!(self.logger, "upstreams: looked whether it listens";
+                info!(self.logger, "upstreams: checked whether it listens";
                     "upstream" => %upstream, "listening" => format!("{listening:?}"));
                 Event::ListeningChecked {
                     listening,
                     upstream,
                 }
             }
-            ProbeQuestion::Path => Event::PathsTried {
+            ProbeKind::Path => Event::PathsTried {
                 request: None,
-                attempts: connections.open(&to).await.attempts,
+                attempts: connections.open(&destination).await.attempts,
                 upstream,
             },
         };
-        self.tell(event).await;
+        self.send_event(event).await;
     }
 
-    /// Whether an upstream is well. What its answer says of it besides is reported before.
+    /// Checks whether an upstream is healthy. A notice in its answer is reported to the controller
+    /// before the result.
     async fn check_health(
         &self,
         adapter: &EngineAdapter,
-        to: &Destination,
+        destination: &Destination,
         path: &str,
         upstream: &UpstreamId,
     ) -> bool {
         let sent = self.clock.now();
-        let Some((status, headers)) = adapter.check_health(to, path).await else {
+        let Some((status, headers)) = adapter.check_health(destination, path).await else {
             return false;
         };
         let Some(protocol) = &self.protocol else {
@@ -113,7 +118,7 @@
         }
         let notice = protocol.read_notice(status, &headers);
         if !notice.is_empty() {
-            self.tell(Event::NoticeAnswered {
+            self.send_event(Event::NoticeAnswered {
                 notice,
                 sent,
                 upstream: upstream.clone(),
@@ -123,8 +128,8 @@
         status.is_success()
     }
 
-    async fn tell(&self, event: Event) {
-        // The controller outlives this thread.
+    async fn send_event(&self, event: Event) {
+        // Sending does not fail, as the controller runs longer than this thread.
         let _ = self
             .events
             .send_async(ControllerMessage::Event(event))
@@ -132,8 +137,8 @@
     }
 }
 
-/// Asks one engine after the other, a fixed number a second, so that the cost
-/// of control does not grow with the domain.
+/// Polls one engine after the other at a fixed rate, so that the cost of polling does not grow
+/// with the failure domain.
 async fn poll_loads(
     configuration: &ArcSwapOption<VersionedDocument>,
     status: &ArcSwap<HostStatus>,
@@ -143,17 +148,18 @@
     loop {
         let polled = polled_engines(configuration.load_full().as_deref(), &status.load());
         if polled.is_empty() {
-            sleep(POLL_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
         for (upstream, address) in polled {
             let poll = poll_load(adapter, upstream, address, events);
-            futures::join!(poll, sleep(jittered(POLL_PAUSE)));
+            futures::join!(poll, sleep(jittered(POLL_INTERVAL)));
         }
     }
 }
 
-/// The engines that this host asks: all of its domain where they are few, else
-/// those that its share lies on and some others, different for each host.
+/// Returns the engines that this host polls. In a small failure domain, these are all engines. In
+/// a larger one, these are the engines of this host's share and some others that differ between
+/// hosts.
 fn polled_engines(
     numbered: Option<&VersionedDocument>,
     status: &HostStatus,
@@ -169,12 +175,12 @@
         .filter(|(_, upstream)| *upstream.failure_domain() == status.failure_domain)
         .map(|(id, upstream)| (id, upstream.address()))
         .collect();
-    if engines.len() > FEW_ENGINES {
+    if engines.len() > MAX_FULLY_POLLED_ENGINES {
         engines.sort_by_key(|(id, _)| {
             let is_home = status.home.contains(id);
             (!is_home, rendezvous_weight(id.name(), &status.host))
         });
-        engines.truncate(status.home.len() + MORE_ENGINES);
+        engines.truncate(status.home.len() + EXTRA_POLLED_ENGINES);
     }
     let engines = engines.into_iter();
     engines.map(|(id, address)| (id.clone(), address)).collect()
