--- a/crates/policy/tests/installation/attempts.rs
+++ b/crates/policy/tests/installation/attempts.rs
@@ -1,7 +1,7 @@
 //! When a request is retried, and when it must not be retried.
 
 use {
-    crate::support::{self, Ask, Host, lookup, order, refused, sent},
+    crate::support::{self, Host, TestRequest, lookup, order, refused, sent},
     policy::Event,
     types::prelude::*,
 };
@@ -67,7 +67,7 @@
 #[test]
 fn gives_up_a_broken_stream_after_several_unreachable_engines() {
     let mut host = Host::new(0);
-    let draft = || Ask::prompt("draft", "shop-key", &[(1, 500), (2, 100)]);
+    let draft = || TestRequest::prompt("draft", "shop-key", &[(1, 500), (2, 100)]);
     for _ in 0..60 {
         // Raises the retry budget, which is a share of the requests.
         host.ask(draft());
@@ -106,7 +106,7 @@
                 retries += 1;
                 host.fail(&second, id, failed, Verdict::MayHaveRun, false);
             }
-            host.pass(100);
+            host.advance(100);
         }
     }
     retries
@@ -201,7 +201,11 @@
 #[test]
 fn resumes_a_broken_stream_on_another_engine() {
     let mut host = Host::new(0);
-    let (id, actions) = host.ask(Ask::prompt("draft", "shop-key", &[(1, 500), (2, 100)]));
+    let (id, actions) = host.ask(TestRequest::prompt(
+        "draft",
+        "shop-key",
+        &[(1, 500), (2, 100)],
+    ));
     let first = sent(&actions).unwrap();
     let actions = host.fail(&first, id, FailureCause::Reset, Verdict::MayHaveRun, true);
     let second = sent(&actions).unwrap();
@@ -216,7 +220,11 @@
 #[test]
 fn does_not_resume_a_stream_that_must_not_run_twice() {
     let mut host = Host::new(0);
-    let (id, actions) = host.ask(Ask::prompt("question", "shop-key", &[(1, 500), (2, 100)]));
+    let (id, actions) = host.ask(TestRequest::prompt(
+        "question",
+        "shop-key",
+        &[(1, 500), (2, 100)],
+    ));
     let first = sent(&actions).unwrap();
     let actions = host.fail(&first, id, FailureCause::Reset, Verdict::MayHaveRun, true);
     assert_eq!(sent(&actions), None);
@@ -231,19 +239,20 @@
 fn a_more_urgent_request_is_retried_after_less_urgent_ones_spent_the_budget() {
     let mut host = Host::new(0);
     host.list_hosts(14);
-    let (id, actions) = host.ask(Ask::prompt("question", "shop-key", &[(98, 100)]));
+    let (id, actions) = host.ask(TestRequest::prompt("question", "shop-key", &[(98, 100)]));
     host.finish(&sent(&actions).unwrap(), id);
     for number in 0..40 {
         let as_of = host.now;
         host.handle(Event::ConfigurationConfirmed { as_of });
-        let (id, mut actions) = host.ask(Ask::prompt("summary", "shop-key", &[(number, 500)]));
+        let (id, mut actions) =
+            host.ask(TestRequest::prompt("summary", "shop-key", &[(number, 500)]));
         while let Some(order) = sent(&actions) {
             actions = host.fail(&order, id, FailureCause::Busy, Verdict::NotRun, false);
         }
-        host.pass(50);
+        host.advance(50);
     }
-    host.pass(250);
-    let (id, actions) = host.ask(Ask::prompt("question", "shop-key", &[(99, 100)]));
+    host.advance(250);
+    let (id, actions) = host.ask(TestRequest::prompt("question", "shop-key", &[(99, 100)]));
     let first = sent(&actions).unwrap();
     let actions = host.fail(&first, id, FailureCause::Busy, Verdict::NotRun, false);
     assert!(sent(&actions).is_some(), "the retry budget is spent");
--- a/crates/policy/tests/installation/brittle_replicas.rs
+++ b/crates/policy/tests/installation/brittle_replicas.rs
@@ -31,8 +31,8 @@
 /// Returns hosts under a usual load of half the capacity, with replicas that are not yet brittle.
 fn warmed_up(hosts: usize, seed: u64) -> World {
     let mut world = World::with_slots(hosts, SLOTS, seed);
-    world.answer = RESPONSE_TIME;
-    world.pass(Duration::from_secs(3), requests_per_host_s(hosts, 0.5));
+    world.mean_response_time = RESPONSE_TIME;
+    world.advance(Duration::from_secs(3), requests_per_host_s(hosts, 0.5));
     world
 }
 
@@ -49,20 +49,20 @@
     for replica in &mut world.replicas {
         replica.brittle = Some(rejections_per_s);
     }
-    world.pass(LEARNING_TIME, requests_per_host_s(hosts, load));
+    world.advance(LEARNING_TIME, requests_per_host_s(hosts, load));
     world.make_brittle(&World::all_replicas(), Some(rejections_per_s));
 }
 
 /// Runs a load, given as a share of the capacity. Returns the crashes and the share of the requests
 /// that were served, without those of the last 2 seconds, which may still be running.
 fn run_load(world: &mut World, load: f64) -> (usize, f64) {
-    let (from, crashes) = (world.now, world.falls());
+    let (from, crashes) = (world.now, world.crash_count());
     let hosts = world.hosts.len();
-    world.pass(RUN_DURATION, requests_per_host_s(hosts, load));
-    let tries = world.tries(from, world.now - Duration::from_secs(2), |_| true);
+    world.advance(RUN_DURATION, requests_per_host_s(hosts, load));
+    let tries = world.request_counts(from, world.now - Duration::from_secs(2), |_| true);
     (
-        world.falls() - crashes,
-        tries.served as f64 / tries.all as f64,
+        world.crash_count() - crashes,
+        tries.served as f64 / tries.total as f64,
     )
 }
 
@@ -92,7 +92,7 @@
 fn replicas_that_become_brittle_during_a_burst_survive() {
     for seed in 0..4 {
         let mut world = warmed_up(8, seed);
-        world.pass(Duration::from_secs(2), requests_per_host_s(8, 2.0));
+        world.advance(Duration::from_secs(2), requests_per_host_s(8, 2.0));
         become_brittle(&mut world, 2.0, 2.0);
         let (crashes, _) = run_load(&mut world, 2.0);
         assert!(crashes <= MAX_CRASHES, "seed {seed}: {crashes} crashes");
@@ -105,8 +105,8 @@
     for seed in 0..4 {
         let mut world = warmed_up(8, seed);
         become_brittle(&mut world, 2.0, 0.5);
-        world.silent.extend([0, 1, 2]);
-        world.dead.insert(7);
+        world.hosts_losing_datagrams.extend([0, 1, 2]);
+        world.stopped_hosts.insert(7);
         let (crashes, _) = run_load(&mut world, 1.5);
         assert!(crashes <= MAX_CRASHES, "seed {seed}: {crashes} crashes");
     }
@@ -119,7 +119,7 @@
     for replica in &mut world.replicas[..6] {
         replica.brittle = Some(2.0);
     }
-    world.pass(LEARNING_TIME, requests_per_host_s(8, 0.5));
+    world.advance(LEARNING_TIME, requests_per_host_s(8, 0.5));
     world.make_brittle(&(0..6).collect::<Vec<_>>(), Some(2.0));
     let (crashes, served) = run_load(&mut world, 0.9);
     assert!(crashes <= MAX_CRASHES, "{crashes} crashes");
@@ -133,7 +133,7 @@
     become_brittle(&mut world, 1.0, 0.5);
     run_load(&mut world, 1.5);
     world.make_brittle(&World::all_replicas(), None);
-    world.pass(LEARNING_TIME, requests_per_host_s(8, 0.5));
+    world.advance(LEARNING_TIME, requests_per_host_s(8, 0.5));
     let (_, served) = run_load(&mut world, 1.0);
     assert!(served >= MIN_SERVED_SHARE, "{served:.3}");
 }
@@ -180,6 +180,6 @@
         upstream: sent(&actions).unwrap().upstream,
     });
     host.read_directory(engines(3), &[]);
-    host.pass(2_000);
+    host.advance(2_000);
     assert_eq!(host.controller.queued(), 0);
 }
--- a/crates/policy/tests/installation/crashes.rs
+++ b/crates/policy/tests/installation/crashes.rs
@@ -1,7 +1,7 @@
 //! Requests that crash the upstreams that run them, and harmless requests on the same upstreams.
 
 use {
-    crate::support::{Ask, Host, address, engines, lookup, refused, sent, upstreams},
+    crate::support::{Host, TestRequest, address, engines, lookup, refused, sent, upstreams},
     config::Upstream,
     peer::CrashNote,
     policy::{Action, Event, Refusal, SendOrder},
@@ -18,20 +18,20 @@
 
 /// A request with a streamed response that must not run twice. Requests with equal bodies are
 /// identical.
-fn request_with_body(body: &'static str) -> Ask {
-    Ask {
+fn request_with_body(body: &'static str) -> TestRequest {
+    TestRequest {
         body: Some(body.to_string()),
-        ..Ask::prompt("question", "first-key", &[(1, 500), (2, 100)])
+        ..TestRequest::prompt("question", "first-key", &[(1, 500), (2, 100)])
     }
 }
 
 /// A request that crashes upstreams.
-fn fatal_request() -> Ask {
+fn fatal_request() -> TestRequest {
     request_with_body("fatal")
 }
 
 /// Sends a request that the host passes to an upstream at once.
-fn send(host: &mut Host, ask: Ask) -> (RequestId, SendOrder) {
+fn send(host: &mut Host, ask: TestRequest) -> (RequestId, SendOrder) {
     let (request, actions) = host.ask(ask);
     (request, sent(&actions).unwrap())
 }
@@ -70,7 +70,7 @@
 
 /// Sends a request and crashes the upstream that runs it. The directory lists enough other
 /// upstreams.
-fn crash(host: &mut Host, ask: Ask) -> UpstreamId {
+fn crash(host: &mut Host, ask: TestRequest) -> UpstreamId {
     let (request, order) = send(host, ask);
     break_connection(host, request, &order);
     stop_listening(host, &order.upstream);
@@ -130,7 +130,7 @@
     }
 }
 
-fn refusal(host: &mut Host, ask: Ask) -> Option<Refusal> {
+fn refusal(host: &mut Host, ask: TestRequest) -> Option<Refusal> {
     refused(&host.ask(ask).1)
 }
 
@@ -149,7 +149,7 @@
         crash(host, fatal_request());
     }
     for host in &mut hosts {
-        host.pass(1_500);
+        host.advance(1_500);
     }
     deliver_half_of_announcements(&mut hosts);
     for host in &mut hosts {
@@ -162,7 +162,7 @@
             "{retry_after:?}"
         );
         // An identical request of another team and a different request of this team are not barred.
-        let of_other = Ask {
+        let of_other = TestRequest {
             key: "shop-key",
             ..fatal_request()
         };
@@ -178,7 +178,7 @@
 fn broken_connections_of_a_running_upstream_bar_no_request() {
     let mut host = Host::new(0);
     for _ in 0..12 {
-        host.pass(200);
+        host.advance(200);
         let (request, order) = send(&mut host, lookup());
         break_connection(&mut host, request, &order);
         report_listening(&mut host, &order.upstream, Listening::Yes);
@@ -186,7 +186,7 @@
         break_connection(&mut host, request, &order);
         // The upstream refuses connections for a moment, and then responds.
         stop_listening(&mut host, &order.upstream);
-        host.pass(10);
+        host.advance(10);
         let (request, later) = send(&mut host, request_with_body("harmless"));
         host.finish(&later, request);
     }
@@ -238,7 +238,7 @@
     }
     host.read_directory(engines(20), &[]);
     assert!(refusal(&mut host, fatal_request()).is_some());
-    host.pass(9_000);
+    host.advance(9_000);
     let as_of = host.now;
     host.handle(Event::ConfigurationConfirmed { as_of });
     assert_eq!(refusal(&mut host, fatal_request()), None);
@@ -304,7 +304,7 @@
 /// queued, but only new requests are checked.
 #[test]
 fn a_barred_request_is_not_retried() {
-    let repeatable = || Ask {
+    let repeatable = || TestRequest {
         body: Some("fatal".to_string()),
         ..lookup()
     };
@@ -336,7 +336,7 @@
     for _ in 0..3 {
         crash(&mut observer, fatal_request());
     }
-    observer.pass(2_000);
+    observer.advance(2_000);
     let mut host = Host::new(0);
     host.read_directory(BTreeMap::new(), &[]);
     let (_, actions) = host.ask(fatal_request());
@@ -414,7 +414,7 @@
     let (request, order) = send(&mut host, fatal_request());
     let (cause, verdict) = (FailureCause::Silent, Verdict::MayHaveRun);
     host.fail(&order, request, cause, verdict, false);
-    host.pass(3_000);
+    host.advance(3_000);
     let mut left = upstreams();
     left.remove(&order.upstream);
     host.read_directory(left, &[]);
@@ -436,7 +436,7 @@
         break_connection(&mut host, *request, order);
     }
     stop_listening(&mut host, &asked[0].1.upstream);
-    host.pass(15_000);
+    host.advance(15_000);
     let notes = crash_announcements(&host.actions);
     let crashes: usize = notes.iter().map(|(note, _)| note.crashes.len()).sum();
     assert_eq!(crashes, 3 * asked.len());
@@ -451,13 +451,13 @@
     for (note, _) in notes {
         other.handle(Event::CrashesReceived(note));
     }
-    other.pass(2_000);
+    other.advance(2_000);
     assert!(crash_announcements(&other.actions).is_empty());
 }
 
 /// A fatal request with a body that no other request has.
-fn unique_request() -> Ask {
-    Ask {
+fn unique_request() -> TestRequest {
+    TestRequest {
         body: None,
         ..fatal_request()
     }
@@ -512,11 +512,11 @@
         protocol: peer::PROTOCOL,
     };
     for number in 0..8 {
-        host.pass(1_000);
+        host.advance(1_000);
         host.handle(Event::CrashesReceived(announced(number)));
         let (request, order) = send(&mut host, request_with_body("popular"));
         host.finish(&order, request);
-        host.pass(100);
+        host.advance(100);
         host.handle(Event::CrashesReceived(announced(number)));
         host.handle(Event::CrashesListed(announced(number).crashes));
         let as_of = host.now;
@@ -544,11 +544,11 @@
     }
     assert!(refusal(&mut started, request_with_body("popular")).is_some());
     let other = &mut others[0];
-    other.pass(500);
+    other.advance(500);
     let (request, order) = send(other, request_with_body("popular"));
     other.finish(&order, request);
-    other.pass(1_000);
-    started.pass(1_500);
+    other.advance(1_000);
+    started.advance(1_500);
     for (note, _) in crash_announcements(&other.actions) {
         started.handle(Event::CrashesReceived(note));
     }
@@ -600,7 +600,7 @@
     other.handle(Event::CrashesListed(listed.clone()));
     assert!(refusal(&mut other, fatal_request()).is_some());
     // The host neither announces nor stores the crashes that it read from the store.
-    other.pass(2_000);
+    other.advance(2_000);
     assert!(
         crash_announcements(&other.actions).is_empty() && stored_crashes(&other.actions).is_empty()
     );
--- a/crates/policy/tests/installation/early_refusal.rs
+++ b/crates/policy/tests/installation/early_refusal.rs
@@ -4,7 +4,7 @@
 use {
     crate::{
         engine_simulation::{Counts, EngineSimulation},
-        support::{Ask, Host, refused, sent},
+        support::{Host, TestRequest, refused, sent},
     },
     policy::{AttemptEnd, Event, RefusalReason},
     std::time::Duration,
@@ -150,11 +150,11 @@
 /// failure of the engine is detected late or the caller has left.
 #[test]
 fn sent_requests_are_never_refused_as_not_run() {
-    let ask = || Ask::prompt("summary", "shop-key", &[(1, 12_000), (2, 3_000)]);
+    let ask = || TestRequest::prompt("summary", "shop-key", &[(1, 12_000), (2, 3_000)]);
     let mut host = Host::new(0);
     let (request, actions) = host.ask(ask());
     let order = sent(&actions).unwrap();
-    host.pass(9_000);
+    host.advance(9_000);
     let (cause, verdict) = (FailureCause::Silent, Verdict::MayHaveRun);
     let refusal = refused(&host.fail(&order, request, cause, verdict, false)).unwrap();
     assert_eq!(refusal.reason, RefusalReason::UpstreamFailed);
--- a/crates/policy/tests/installation/engine_simulation.rs
+++ b/crates/policy/tests/installation/engine_simulation.rs
@@ -2,7 +2,7 @@
 //! time limit, and retry once after an early refusal.
 
 use {
-    crate::support::{Ask, Host, TIME_LIMIT, address, engines},
+    crate::support::{Host, TIME_LIMIT, TestRequest, address, engines},
     policy::{Action, AttemptEnd, Event, Refusal, RefusalReason, SendOrder},
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::{
@@ -183,7 +183,7 @@
         host.now = self.now();
         let unix_ms = START_UNIX_MS + host.now.as_us() / 1_000;
         host.handle(Event::TimeOfDay { unix_ms });
-        host.skip_requests(1_000_000);
+        host.set_next_request_id(1_000_000);
         self.hosts[number] = host;
         self.callers.retain(|(host, _), _| *host != number);
         for engine in self.engines.values_mut() {
@@ -257,10 +257,10 @@
             (document, class.tokens),
             (1_000_000 + caller.number, caller.unique_tokens),
         ];
-        let ask = Ask {
+        let ask = TestRequest {
             body: Some(caller.number.to_string()),
             time_limit: caller.deadline.since(self.now()),
-            ..Ask::prompt(class.name, class.key, &parts)
+            ..TestRequest::prompt(class.name, class.key, &parts)
         };
         let (request, actions) = self.hosts[host].ask(ask);
         self.callers.insert((host, request), caller);
--- a/crates/policy/tests/installation/fleet.rs
+++ b/crates/policy/tests/installation/fleet.rs
@@ -3,7 +3,7 @@
 //! recorded.
 
 use {
-    crate::support::{Ask, Host, address},
+    crate::support::{Host, TestRequest, address},
     config::{ServiceReplica, Upstream},
     policy::{Action, AttemptEnd, Event, Refusal, SendOrder},
     rand::{Rng, SeedableRng, rngs::SmallRng},
@@ -170,7 +170,7 @@
         host.now = self.now;
         let as_of = self.now;
         host.handle(Event::ConfigurationConfirmed { as_of });
-        host.skip_requests(1_000_000 + self.next_number);
+        host.set_next_request_id(1_000_000 + self.next_number);
         host.actions.clear();
         self.hosts[number] = host;
         self.limit_known_since
@@ -262,7 +262,7 @@
             return;
         }
         self.hosts[host].now = self.now;
-        let (request, _) = self.hosts[host].ask(Ask::call(class));
+        let (request, _) = self.hosts[host].ask(TestRequest::call(class));
         self.arrivals.insert((host, request), (self.now, class));
         self.counts.entry(class).or_default().sent += 1;
         self.apply_actions(host);
--- a/crates/policy/tests/installation/host_costs.rs
+++ b/crates/policy/tests/installation/host_costs.rs
@@ -2,7 +2,7 @@
 //! ten upstreams and one request per second.
 
 use {
-    crate::support::{Ask, Host, address, sent},
+    crate::support::{Host, TestRequest, address, sent},
     config::{Engine, ServiceReplica, Upstream},
     peer::{LoadNote, PeerHost},
     policy::{Action, Event, UpstreamCensus, WorkingSet},
@@ -168,14 +168,14 @@
     let mut bytes = 0;
     for second in 0..COUNTING_DURATION.as_secs() {
         let parts = [(second % 7, 13_000), (1_000 + second, 3_000)];
-        let (request, actions) = host.ask(Ask::prompt("question", "first-key", &parts));
+        let (request, actions) = host.ask(TestRequest::prompt("question", "first-key", &parts));
         let order = sent(&actions).unwrap();
         for _ in 0..8 {
-            host.pass(100);
+            host.advance(100);
             count_and_answer_notes(host, costs, &mut bytes);
         }
         host.finish(&order, request);
-        host.pass(200);
+        host.advance(200);
         count_and_answer_notes(host, costs, &mut bytes);
         let as_of = host.now;
         host.handle(Event::ConfigurationConfirmed { as_of });
@@ -185,7 +185,7 @@
 
 /// Counts the datagrams sent in the next two seconds.
 fn count_datagrams(host: &mut Host, count: impl Fn(&Action) -> usize) -> usize {
-    host.pass(2_000);
+    host.advance(2_000);
     let as_of = host.now;
     host.handle(Event::ConfigurationConfirmed { as_of });
     let announced = host.actions.iter().map(count).sum();
@@ -212,7 +212,7 @@
 }
 
 fn announce_crash(host: &mut Host) -> usize {
-    let ask = Ask::prompt("question", "first-key", &[(1, 500), (2, 100)]);
+    let ask = TestRequest::prompt("question", "first-key", &[(1, 500), (2, 100)]);
     let (request, actions) = host.ask(ask);
     let order = sent(&actions).unwrap();
     let (cause, verdict) = (FailureCause::Reset, Verdict::MayHaveRun);
--- a/crates/policy/tests/installation/incarnations.rs
+++ b/crates/policy/tests/installation/incarnations.rs
@@ -2,7 +2,7 @@
 //! apply to the new one.
 
 use {
-    crate::support::{Ask, Host, address, exchange_notes, sent, upstreams},
+    crate::support::{Host, TestRequest, address, exchange_notes, sent, upstreams},
     config::Upstream,
     peer::PromptRead,
     policy::Event,
@@ -13,9 +13,9 @@
 const DOCUMENT_TOKENS: u32 = 13_300;
 const UNIQUE_TOKENS: u32 = 400;
 
-fn prompt() -> Ask {
+fn prompt() -> TestRequest {
     let parts = [(7, DOCUMENT_TOKENS), (8, UNIQUE_TOKENS)];
-    Ask::prompt("draft", "shop-key", &parts)
+    TestRequest::prompt("draft", "shop-key", &parts)
 }
 
 /// Returns the upstreams, one of them restarted at `started_ms`.
@@ -91,11 +91,11 @@
 fn notes_about_an_earlier_incarnation_do_not_apply_to_the_later_one() {
     let mut hosts = [Host::new(0), Host::new(1)];
     for host in &mut hosts {
-        host.pass(100);
+        host.advance(100);
     }
     exchange_notes(&mut hosts);
     let chosen = sent(&hosts[0].ask(prompt()).1).unwrap().upstream;
-    hosts[0].pass(100);
+    hosts[0].advance(100);
     hosts[1].read_directory(with_restarted(&chosen, 5_000), &[]);
     let advertised = hosts[0].take_notes();
     let (_, mut note) = advertised
--- a/crates/policy/tests/installation/load_notes.rs
+++ b/crates/policy/tests/installation/load_notes.rs
@@ -2,7 +2,9 @@
 //! information may be.
 
 use {
-    crate::support::{self, Ask, Host, KEY_KNOWLEDGE, exchange_notes, lookup, refused, sent},
+    crate::support::{
+        self, Host, KEY_KNOWLEDGE_LIMIT, TestRequest, exchange_notes, lookup, refused, sent,
+    },
     peer::{Echo, LoadNote},
     policy::{Action, Event, RefusalReason},
     std::time::Duration,
@@ -14,11 +16,11 @@
 #[test]
 fn refuses_keys_when_its_configuration_may_be_outdated() {
     let mut host = Host::new(0);
-    host.pass(KEY_KNOWLEDGE.as_millis() as u64 - 100);
+    host.advance(KEY_KNOWLEDGE_LIMIT.as_millis() as u64 - 100);
     assert!(sent(&host.ask(lookup()).1).is_some());
     assert!(host.controller.is_configuration_current(host.now));
 
-    host.pass(200);
+    host.advance(200);
     let refusal = refused(&host.ask(lookup()).1).unwrap();
     assert_eq!(refusal.reason, RefusalReason::ConfigurationStale);
     assert_eq!(refusal.verdict, Verdict::NotRun);
@@ -60,7 +62,7 @@
 #[test]
 fn learns_from_another_host_that_its_configuration_is_the_newest() {
     let mut host = Host::new(0);
-    host.pass(KEY_KNOWLEDGE.as_millis() as u64 + 100);
+    host.advance(KEY_KNOWLEDGE_LIMIT.as_millis() as u64 + 100);
     assert!(!host.controller.is_configuration_current(host.now));
     let echo = Some(Echo {
         incarnation: Incarnation::new(0),
@@ -79,7 +81,7 @@
 fn ignores_a_note_of_unknown_age() {
     let mut host = Host::new(0);
     let frozen_at = host.now.as_us();
-    host.pass(KEY_KNOWLEDGE.as_millis() as u64 + 1_000);
+    host.advance(KEY_KNOWLEDGE_LIMIT.as_millis() as u64 + 1_000);
     let echo = |incarnation, sent_us| {
         Some(Echo {
             incarnation: Incarnation::new(incarnation),
@@ -111,20 +113,20 @@
     };
     let event = note(&host, None, 1);
     host.handle(event);
-    host.pass(2_500);
+    host.advance(2_500);
     assert_eq!(fetches(&host.actions), 0, "the host has this version");
 
     let mut host = Host::new(0);
     let event = note(&host, None, 2);
     host.handle(event);
-    host.pass(2_100);
+    host.advance(2_100);
     assert_eq!(fetches(&host.actions), 0, "the store may still bring it");
-    host.pass(400);
+    host.advance(400);
     let event = note(&host, None, 2);
     host.handle(event);
     assert_eq!(fetches(&host.actions), 1, "one at a time");
 
-    host.pass(2_600);
+    host.advance(2_600);
     assert!(!host.controller.is_configuration_current(host.now));
     host.read_version(2);
     let echo = Some(Echo {
@@ -178,7 +180,7 @@
     };
     let parts = [(77, 50), (78, 50)];
     let chosen_upstream = |host: &mut Host| {
-        let (id, actions) = host.ask(Ask::prompt("question", "shop-key", &parts));
+        let (id, actions) = host.ask(TestRequest::prompt("question", "shop-key", &parts));
         let order = sent(&actions).unwrap();
         host.handle(Event::CallerGone { request: id });
         order.upstream
@@ -195,7 +197,7 @@
     let from = support::address(200);
     host.handle(Event::LoadNoteReceived { from, note });
     assert_ne!(chosen_upstream(&mut host), before);
-    host.pass(Duration::from_secs(4).as_millis() as u64);
+    host.advance(Duration::from_secs(4).as_millis() as u64);
     let as_of = host.now;
     host.handle(Event::ConfigurationConfirmed { as_of });
     assert_eq!(chosen_upstream(&mut host), before);
@@ -210,12 +212,12 @@
     for number in 0..1_000 {
         let as_of = host.now;
         host.handle(Event::ConfigurationConfirmed { as_of });
-        host.ask(Ask::prompt(
+        host.ask(TestRequest::prompt(
             "question",
             "shop-key",
             &[(number, 50), (2, 50)],
         ));
-        host.pass(10);
+        host.advance(10);
         let actions = std::mem::take(&mut host.actions);
         for action in actions {
             if let Action::SendLoadNotes { notes } = action {
--- a/crates/policy/tests/installation/newer_configuration.rs
+++ b/crates/policy/tests/installation/newer_configuration.rs
@@ -2,7 +2,7 @@
 //! while it has not.
 
 use {
-    crate::support::{APPLY_LIMIT, Ask, Host, address, lookup, refused, sent},
+    crate::support::{APPLY_LIMIT, Host, TestRequest, address, lookup, refused, sent},
     peer::VersionNote,
     policy::{Action, Event, FetchEnd, RefusalReason},
     std::{
@@ -114,7 +114,7 @@
     assert_ne!(one, other);
     assert_eq!(fetched(&host.handle(ended(other, FetchEnd::Busy))), None);
     host.actions.clear();
-    host.pass(150);
+    host.advance(150);
     assert!(fetched(&host.actions).is_some(), "a busy one is soon free");
 }
 
@@ -128,10 +128,10 @@
     let one = fetched(&host.handle(Event::ConfigurationAnnounced)).unwrap();
     host.actions.clear();
     host.handle(ended(one, FetchEnd::Received));
-    host.pass(500);
+    host.advance(500);
     assert_eq!(fetched(&host.actions), None);
     host.read_version(2);
-    host.pass(1_000);
+    host.advance(1_000);
     assert_eq!(fetched(&host.actions), None);
 }
 
@@ -153,14 +153,14 @@
 fn answers_nobody_by_a_version_that_it_knows_to_be_outdated_for_long() {
     let mut host = Host::new(0);
     host.handle(advertised(3, 2));
-    host.pass(APPLY_LIMIT.as_millis() as u64 - 100);
+    host.advance(APPLY_LIMIT.as_millis() as u64 - 100);
     confirm(&mut host);
-    assert!(sent(&host.ask(Ask::open("lookup")).1).is_some());
+    assert!(sent(&host.ask(TestRequest::public_call("lookup")).1).is_some());
     assert!(host.controller.is_configuration_current(host.now));
 
-    host.pass(100);
+    host.advance(100);
     confirm(&mut host);
-    for ask in [Ask::open("lookup"), lookup()] {
+    for ask in [TestRequest::public_call("lookup"), lookup()] {
         let refusal = refused(&host.ask(ask).1).unwrap();
         assert_eq!(refusal.reason, RefusalReason::ConfigurationStale);
         assert_eq!(refusal.verdict, Verdict::NotRun);
@@ -172,7 +172,7 @@
     );
 
     host.read_version(2);
-    assert!(sent(&host.ask(Ask::open("lookup")).1).is_some());
+    assert!(sent(&host.ask(TestRequest::public_call("lookup")).1).is_some());
 }
 
 /// Symptom: a caller whose key was just added learns that it has none, and does not come
@@ -181,7 +181,7 @@
 #[test]
 fn denies_no_key_that_a_newer_version_may_have_added() {
     let mut host = Host::new(0);
-    let ask = || Ask {
+    let ask = || TestRequest {
         key: "new-key",
         ..lookup()
     };
@@ -246,7 +246,7 @@
 
     fn step(&mut self) {
         for number in 0..self.hosts.len() {
-            self.hosts[number].pass(10);
+            self.hosts[number].advance(10);
             self.end_handing(number);
             for action in std::mem::take(&mut self.hosts[number].actions) {
                 match action {
--- a/crates/policy/tests/installation/notices.rs
+++ b/crates/policy/tests/installation/notices.rs
@@ -4,7 +4,7 @@
 use {
     crate::{
         fleet::{Fleet, replica},
-        support::{Ask, Host, lookup, refused, sent, upstreams},
+        support::{Host, TestRequest, lookup, refused, sent, upstreams},
     },
     policy::{Action, Event, NoticeSource, RefusalReason, SendOrder},
     std::{collections::BTreeMap, time::Duration},
@@ -26,7 +26,7 @@
 
 /// Lets time pass while the configuration is known to be the newest.
 fn pass_in_touch(host: &mut Host, ms: u64) {
-    host.pass(ms);
+    host.advance(ms);
     let as_of = host.now;
     host.handle(Event::ConfigurationConfirmed { as_of });
 }
@@ -74,7 +74,7 @@
     let mut host = Host::new(0);
     host.handle(Event::DirectoryLost);
     says(&mut host, "shop-0", leaving());
-    host.pass(DRAIN_LIMIT.as_millis() as u64);
+    host.advance(DRAIN_LIMIT.as_millis() as u64);
     let counts = calls_by_upstream(&mut host, Duration::from_secs(10));
     assert_eq!(counts.get("shop-0"), None, "{counts:?}");
 }
@@ -87,7 +87,7 @@
     let mut without = upstreams();
     without.remove(&"shop-0".parse().unwrap());
     host.read_directory(without, &[]);
-    host.pass(3_000);
+    host.advance(3_000);
     host.read_directory(upstreams(), &[]);
     let counts = calls_by_upstream(&mut host, Duration::from_secs(2));
     assert_eq!(counts.get("shop-0"), None, "{counts:?}");
@@ -142,7 +142,7 @@
         let second = sent(&actions).unwrap();
         assert_ne!(second.upstream.to_string(), "shop-0");
 
-        let stream = Ask::prompt("draft", "first-key", &[(1, 500), (number + 7, 100)]);
+        let stream = TestRequest::prompt("draft", "first-key", &[(1, 500), (number + 7, 100)]);
         let (request, actions) = host.ask(stream);
         let first = sent(&actions).unwrap();
         host.handle(Event::Progressed {
@@ -182,7 +182,7 @@
     let (order, request) = &orders[0];
     host.actions.clear();
     host.finish(order, *request);
-    host.pass(100);
+    host.advance(100);
     assert_eq!(sent(&host.actions), None);
 }
 
@@ -197,9 +197,9 @@
     let (_, actions) = host.ask(lookup());
     assert_eq!(sent(&actions), None);
     // The class's first token is due after half a second.
-    host.pass(480);
+    host.advance(480);
     assert_eq!(refused(&host.actions), None);
-    host.pass(40);
+    host.advance(40);
     let refusal = refused(&host.actions).unwrap();
     assert_eq!(refusal.reason, RefusalReason::NoUpstream);
     assert_eq!(refusal.verdict, Verdict::NotRun);
@@ -215,7 +215,7 @@
         says(&mut host, upstream, leaving());
     }
     host.ask(lookup());
-    host.pass(300);
+    host.advance(300);
     let mut listed = upstreams();
     let definition = listed[&"shop-0".parse().unwrap()].clone();
     listed.insert("shop-9".parse().unwrap(), definition);
@@ -236,9 +236,9 @@
     });
     assert_eq!(noted.unwrap().source, NoticeSource::Own);
     host.actions.clear();
-    host.pass(10);
+    host.advance(10);
     assert_eq!(announced_leaving(&host.actions), 1);
-    host.pass(2_000);
+    host.advance(2_000);
     assert_eq!(announced_leaving(&host.actions), 3);
     let actions = says(&mut host, "shop-0", leaving());
     assert!(actions.is_empty(), "the same word is no news");
@@ -249,9 +249,9 @@
     let mut host = Host::new(0);
     host.actions.clear();
     says(&mut host, "shop-0", leaving());
-    host.pass(500);
+    host.advance(500);
     host.read_directory(upstreams(), &["shop-0"]);
-    host.pass(3_000);
+    host.advance(3_000);
     assert_eq!(announced_leaving(&host.actions), 0);
 }
 
@@ -392,7 +392,7 @@
     }
     host.ask(lookup());
     host.actions.clear();
-    host.pass(10);
+    host.advance(10);
     let refusal = refused(&host.actions).unwrap();
     assert_eq!(refusal.reason, RefusalReason::UpstreamBackoff);
     assert_eq!(refusal.verdict, Verdict::NotRun);
@@ -406,15 +406,15 @@
         says(&mut host, upstream, backoff(2_000));
     }
     let ask = |host: &mut Host, class| {
-        let prompt = Ask::prompt(class, "shop-key", &[(1, 200), (2, 100)]);
+        let prompt = TestRequest::prompt(class, "shop-key", &[(1, 200), (2, 100)]);
         host.ask(prompt).0
     };
     let late = ask(&mut host, "summary");
     let urgent = ask(&mut host, "question");
-    host.pass(1_990);
+    host.advance(1_990);
     assert_eq!(sent(&host.actions), None);
     assert_eq!(refused(&host.actions), None);
-    host.pass(600);
+    host.advance(600);
     let sent: Vec<RequestId> = host.actions.iter().filter_map(sent_request).collect();
     assert_eq!(sent.first(), Some(&urgent));
     assert!(sent.contains(&late));
@@ -441,13 +441,13 @@
     for _ in 0..4 {
         host.ask(lookup());
     }
-    host.pass(1_260);
+    host.advance(1_260);
     let orders = |host: &Host| host.actions.iter().filter_map(sent_request).count();
     assert_eq!(orders(&host), 1);
     let order = sent(&host.actions).unwrap();
     let request = host.actions.iter().find_map(sent_request).unwrap();
     host.finish(&order, request);
-    host.pass(10);
+    host.advance(10);
     assert_eq!(orders(&host), 4);
 }
 
@@ -474,7 +474,7 @@
     assert_eq!(host.controller.ejected().len(), 1);
     says(&mut host, "shop-0", backoff(3_000));
     host.actions.clear();
-    host.pass(3_000);
+    host.advance(3_000);
     let probes = |host: &Host| {
         let probes = host.actions.iter();
         probes
@@ -482,7 +482,7 @@
             .count()
     };
     assert_eq!(probes(&host), 0);
-    host.pass(800);
+    host.advance(800);
     assert_eq!(probes(&host), 1);
 }
 
--- a/crates/policy/tests/installation/overload.rs
+++ b/crates/policy/tests/installation/overload.rs
@@ -2,7 +2,7 @@
 //! what does not fit.
 
 use {
-    crate::support::{Ask, Host, engines},
+    crate::support::{Host, TestRequest, engines},
     policy::{Action, AttemptEnd, Event, SendOrder},
     std::{collections::BTreeMap, time::Duration},
     types::prelude::*,
@@ -138,7 +138,7 @@
             }
             let number = moment / every_ms + 1_000 * host as u64;
             let parts = [(number % 40, 5_000), (100_000 + number, 500)];
-            let (request, actions) = self.hosts[host].ask(Ask::prompt(name, key, &parts));
+            let (request, actions) = self.hosts[host].ask(TestRequest::prompt(name, key, &parts));
             self.class_of.insert((host, request), (class, self.counted));
             self.counts[class].came += usize::from(self.counted);
             self.carry_out(host, &actions);
--- a/crates/policy/tests/installation/pauses.rs
+++ b/crates/policy/tests/installation/pauses.rs
@@ -1,7 +1,7 @@
 //! Pauses within an answer: what callers feel, and which placements cause them.
 
 use {
-    crate::support::{Ask, Host, engines, sent},
+    crate::support::{Host, TestRequest, engines, sent},
     policy::{Action, AttemptEnd, Event, Outcome, SendOrder},
     std::{collections::BTreeSet, time::Duration},
     types::prelude::*,
@@ -10,16 +10,16 @@
 /// Plays a stream with a first token in time and a longest pause.
 fn outcome_of(longest_pause: Duration) -> Outcome {
     let mut host = Host::new(0);
-    let (request, actions) = host.ask(Ask::prompt("question", "first-key", &[(7, 100)]));
+    let (request, actions) = host.ask(TestRequest::prompt("question", "first-key", &[(7, 100)]));
     let attempt = sent(&actions).unwrap().attempt;
-    host.pass(50);
+    host.advance(50);
     host.handle(Event::Progressed {
         attempt,
         longest_pause: Duration::ZERO,
         request,
         tokens: Tokens::new(1),
     });
-    host.pass(2_000);
+    host.advance(2_000);
     let end = AttemptEnd::Completed {
         response: None,
         longest_pause,
@@ -56,7 +56,11 @@
     for number in 0_u64..96 {
         let tokens = if number % 12 == 0 { LONG_TOKENS } else { 2_000 };
         let own = 1_000_000 + number;
-        let (request, _) = host.ask(Ask::prompt("summary", "first-key", &[(own, tokens)]));
+        let (request, _) = host.ask(TestRequest::prompt(
+            "summary",
+            "first-key",
+            &[(own, tokens)],
+        ));
         host.handle(Event::CallerGone { request });
     }
 }
@@ -73,12 +77,12 @@
     let mut running = Vec::new();
     for number in 0..count {
         let parts = [(500 + number, 100)];
-        let (request, actions) = host.ask(Ask::prompt("question", "first-key", &parts));
+        let (request, actions) = host.ask(TestRequest::prompt("question", "first-key", &parts));
         let order = sent(&actions).unwrap();
         running.push((request, order));
     }
     for _ in 0..4 {
-        host.pass(250);
+        host.advance(250);
         for (request, order) in &running {
             host.handle(Event::Progressed {
                 attempt: order.attempt,
@@ -109,7 +113,7 @@
     let engines = (0..count).map(|number| {
         let shared = (2_000_000 + number, 2_000);
         let parts = [shared, (4_000_000 + number, LONG_TOKENS - 2_000)];
-        let (request, actions) = host.ask(Ask::prompt("summary", "first-key", &parts));
+        let (request, actions) = host.ask(TestRequest::prompt("summary", "first-key", &parts));
         let order = sent(&actions).unwrap();
         host.handle(Event::CallerGone { request });
         order.upstream.to_string()
@@ -139,7 +143,7 @@
     let (mut host, with_streams) = host_with_streams(Duration::from_millis(220));
     for number in 0..256 {
         let parts = [(3_000_000 + number, 90_000)];
-        let (request, _) = host.ask(Ask::prompt("summary", "first-key", &parts));
+        let (request, _) = host.ask(TestRequest::prompt("summary", "first-key", &parts));
         host.handle(Event::CallerGone { request });
     }
     let placed: BTreeSet<String> = place_long(&mut host, 24).into_iter().collect();
--- a/crates/policy/tests/installation/placement.rs
+++ b/crates/policy/tests/installation/placement.rs
@@ -3,7 +3,7 @@
 //! read. Virtual time, no network.
 
 use {
-    crate::support::{Ask, Host, address, engines, exchange_notes, sent, upstreams},
+    crate::support::{Host, TestRequest, address, engines, exchange_notes, sent, upstreams},
     peer::{LoadNote, UpstreamLoad},
     policy::Event,
     rand::{Rng, SeedableRng, rngs::SmallRng},
@@ -92,7 +92,8 @@
             let own = 1_000_000 + rng.random_range(0..u64::from(u32::MAX));
             let parts = [(document, DOCUMENT_TOKENS), (own, OWN_TOKENS)];
             let host = rng.random_range(0..HOSTS);
-            let (request, actions) = hosts[host].ask(Ask::prompt("summary", "shop-key", &parts));
+            let (request, actions) =
+                hosts[host].ask(TestRequest::prompt("summary", "shop-key", &parts));
             let order = sent(&actions).expect("an engine has a free slot");
             let reader = readers.entry(order.upstream.to_string()).or_default();
             let mut tokens = OWN_TOKENS;
@@ -150,21 +151,36 @@
 fn hosts_know_what_engines_read_for_others() {
     let mut hosts = [Host::new(0), Host::new(1)];
     let parts = [(7, DOCUMENT_TOKENS), (8, OWN_TOKENS)];
-    let home = sent(&hosts[0].ask(Ask::prompt("summary", "shop-key", &parts)).1).unwrap();
+    let home = sent(
+        &hosts[0]
+            .ask(TestRequest::prompt("summary", "shop-key", &parts))
+            .1,
+    )
+    .unwrap();
     let mut others = upstreams();
     others.remove(&home.upstream);
     hosts[0].read_directory(others, &[]);
-    let away = sent(&hosts[0].ask(Ask::prompt("summary", "shop-key", &parts)).1).unwrap();
+    let away = sent(
+        &hosts[0]
+            .ask(TestRequest::prompt("summary", "shop-key", &parts))
+            .1,
+    )
+    .unwrap();
     assert_ne!(away.upstream, home.upstream);
     exchange_notes(&mut hosts);
-    hosts[0].pass(60);
+    hosts[0].advance(60);
     exchange_notes(&mut hosts);
 
     let mut others = upstreams();
     others.remove(&home.upstream);
     hosts[1].read_directory(others, &[]);
     let parts = [(7, DOCUMENT_TOKENS), (9, OWN_TOKENS)];
-    let order = sent(&hosts[1].ask(Ask::prompt("summary", "shop-key", &parts)).1).unwrap();
+    let order = sent(
+        &hosts[1]
+            .ask(TestRequest::prompt("summary", "shop-key", &parts))
+            .1,
+    )
+    .unwrap();
     assert_eq!(order.upstream, away.upstream);
     assert_eq!(order.inputs.prefill_tokens, Tokens::new(OWN_TOKENS));
 }
@@ -184,7 +200,7 @@
         for number in 0..8 {
             let document = 100 * seed + number;
             let parts = [(document, 6_000), (1_000_000 + document, 3_000)];
-            let (_, actions) = host.ask(Ask::prompt("draft", "first-key", &parts));
+            let (_, actions) = host.ask(TestRequest::prompt("draft", "first-key", &parts));
             *placed.entry(sent(&actions).unwrap().upstream).or_default() += 1;
         }
     }
--- a/crates/policy/tests/installation/prompt_transfers.rs
+++ b/crates/policy/tests/installation/prompt_transfers.rs
@@ -2,7 +2,9 @@
 //! engines have read. Virtual time, no network.
 
 use {
-    crate::support::{Ask, Host, address, engines, engines_of, exchange_notes, sent},
+    crate::support::{
+        Host, TestRequest, address, engines, engines_in_domains, exchange_notes, sent,
+    },
     config::{Engine, Upstream},
     peer::{LoadNote, UpstreamLoad},
     policy::{Event, SendOrder},
@@ -140,7 +142,8 @@
 
     fn ask(&mut self, ms: u64, host: usize, document: u64, own: u64) {
         let parts = [(document, DOCUMENT_TOKENS), (1_000_000 + own, OWN_TOKENS)];
-        let (request, actions) = self.hosts[host].ask(Ask::prompt("summary", "shop-key", &parts));
+        let (request, actions) =
+            self.hosts[host].ask(TestRequest::prompt("summary", "shop-key", &parts));
         let Some(order) = sent(&actions) else {
             self.played.refused += 1;
             return;
@@ -316,9 +319,9 @@
     }
 }
 
-fn prompt(own: u64) -> Ask {
+fn prompt(own: u64) -> TestRequest {
     let parts = [(7, DOCUMENT_TOKENS), (1_000_000 + own, OWN_TOKENS)];
-    Ask::prompt("draft", "shop-key", &parts)
+    TestRequest::prompt("draft", "shop-key", &parts)
 }
 
 fn first_token(host: &mut Host, request: RequestId, order: &SendOrder) {
@@ -361,7 +364,7 @@
             assert_eq!(order.fetch_from, None);
         }
         let notes = |few: &mut Few| {
-            few.host.pass(2_000);
+            few.host.advance(2_000);
             few.host.take_notes()
         };
         assert_eq!(notes(&mut changed), notes(&mut today));
@@ -414,7 +417,7 @@
     let (request, order) = few.ask_away();
     assert_eq!(order.inputs.prefill_tokens, Tokens::new(WHOLE));
     // What the second engine read is fetched by the new incarnation.
-    few.host.pass(500);
+    few.host.advance(500);
     first_token(&mut few.host, request, &order);
     few.crowd(&[&order.upstream]);
     let (_, order_at_home) = few.ask();
@@ -436,7 +439,7 @@
 fn an_engine_that_refused_keeps_no_copy() {
     let mut few = Few::new(linked(engines(3)));
     let (request, refused) = few.ask_away();
-    few.host.pass(500);
+    few.host.advance(500);
     few.host.take_notes();
     let home = few.home.upstream.clone();
     few.crowd(&[&home]);
@@ -445,7 +448,7 @@
     let again = sent(&actions).unwrap();
     assert_ne!(again.upstream, refused.upstream);
     assert_eq!(again.fetch_from, Some(few.home.address));
-    few.host.pass(2_000);
+    few.host.advance(2_000);
     let notes = few.host.take_notes();
     let reads = notes.iter().flat_map(|(_, note)| &note.reads);
     assert!(reads.clone().all(|read| read.upstream != refused.upstream));
@@ -465,8 +468,8 @@
     let mut hosts = [few.host, Host::new(1)];
     hosts[1].read_directory(linked(engines(3)), &[]);
     for _ in 0..5 {
-        hosts[0].pass(100);
-        hosts[1].pass(100);
+        hosts[0].advance(100);
+        hosts[1].advance(100);
         exchange_notes(&mut hosts);
     }
     let [_, host] = hosts;
@@ -492,7 +495,7 @@
     first_token(&mut few.host, request, &copy);
     let (cause, verdict) = (FailureCause::Reset, Verdict::MayHaveRun);
     let home = few.home.upstream.clone();
-    few.host.pass(500);
+    few.host.advance(500);
     few.crowd(&[&home]);
     let actions = few.host.fail(&copy, request, cause, verdict, true);
     let moved = sent(&actions).unwrap();
@@ -523,7 +526,7 @@
     let fetches = orders.iter().filter(from_home);
     assert_eq!(fetches.count(), 4);
     // They are over after a while, whatever became of them.
-    few.host.pass(500);
+    few.host.advance(500);
     let home = few.home.upstream.clone();
     few.crowd(&[&home, &orders[0].upstream]);
     assert_eq!(few.ask().1.fetch_from, Some(few.home.address));
@@ -533,7 +536,7 @@
 #[test]
 fn a_source_in_another_failure_domain_must_be_sooner_all_the_same() {
     for (megabits_per_s, fetches) in [(550_000.0, true), (400_000.0, false)] {
-        let mut spread = linked(engines_of(&["north-a", "north-b"], 1));
+        let mut spread = linked(engines_in_domains(&["north-a", "north-b"], 1));
         for upstream in spread.values_mut() {
             if let Upstream::Engine(engine) = upstream {
                 engine.link = Bandwidth::megabits_per_s(megabits_per_s);
--- a/crates/policy/tests/installation/reach.rs
+++ b/crates/policy/tests/installation/reach.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         service_world::{DOMAINS, REPLICAS, World, domain_of},
-        support::{Ask, Host, address, lookup, order, sent},
+        support::{Host, TestRequest, address, lookup, order, sent},
     },
     policy::{Action, Event},
     rand::{Rng, SeedableRng, rngs::SmallRng, seq::IteratorRandom},
@@ -36,7 +36,7 @@
 fn play(world: &mut World, hosts: &[usize], replicas: &[usize], refuses: bool) -> Time {
     let began = world.now;
     world.cut(hosts, replicas, refuses, CUT);
-    world.pass(CUT, PER_HOST_S);
+    world.advance(CUT, PER_HOST_S);
     began
 }
 
@@ -44,13 +44,13 @@
 /// they would be elsewhere.
 fn assert_served(world: &World, began: Time, hosts: &[usize], what: &str) {
     let (from, until) = (began + LEARNED, began + CUT - ENDED);
-    let cut = world.tries(from, until, |host| hosts.contains(&host));
-    let others = world.tries(from, until, |host| !hosts.contains(&host));
+    let cut = world.request_counts(from, until, |host| hosts.contains(&host));
+    let others = world.request_counts(from, until, |host| !hosts.contains(&host));
     let part = |served: usize, all: usize| served as f64 / all.max(1) as f64;
-    let served = part(cut.served, cut.all);
-    assert!(cut.all > 0, "{what}: nothing was asked");
+    let served = part(cut.served, cut.total);
+    assert!(cut.total > 0, "{what}: nothing was asked");
     assert!(
-        others.all == 0 || served >= SERVED_PART * part(others.served, others.all),
+        others.total == 0 || served >= SERVED_PART * part(others.served, others.total),
         "{what}: {cut:?}, others {others:?}"
     );
     assert!(1.0 - served <= FAILED_PART, "{what}: {cut:?}");
@@ -58,7 +58,7 @@
 
 fn acquainted(hosts: usize, seed: u64) -> World {
     let mut world = World::new(hosts, seed);
-    world.pass(ACQUAINTED, PER_HOST_S);
+    world.advance(ACQUAINTED, PER_HOST_S);
     world
 }
 
@@ -116,9 +116,13 @@
     let some: Vec<usize> = (0..REPLICAS / 4).collect();
     let began = play(&mut world, &[0, 1], &some, false);
     assert_served(&world, began, &[0, 1], "some upstreams");
-    let cut = world.tries(began, began + CUT, |host| host < 2);
-    assert!(world.through > 0, "no indirect path");
-    assert!(world.through * 2 < cut.all, "{} of {cut:?}", world.through);
+    let cut = world.request_counts(began, began + CUT, |host| host < 2);
+    assert!(world.indirect_attempts > 0, "no indirect path");
+    assert!(
+        world.indirect_attempts * 2 < cut.total,
+        "{} of {cut:?}",
+        world.indirect_attempts
+    );
 }
 
 /// Guards against indirect paths that are kept when the own paths are restored.
@@ -127,10 +131,10 @@
     let mut world = acquainted(22, 7);
     let cut: Vec<usize> = (0..7).collect();
     play(&mut world, &cut, &World::all_replicas(), false);
-    world.pass(Duration::from_secs(1), PER_HOST_S);
-    let before = world.through;
-    world.pass(Duration::from_secs(2), PER_HOST_S);
-    assert_eq!(world.through, before);
+    world.advance(Duration::from_secs(1), PER_HOST_S);
+    let before = world.indirect_attempts;
+    world.advance(Duration::from_secs(2), PER_HOST_S);
+    assert_eq!(world.indirect_attempts, before);
     for host in &world.hosts {
         assert!(host.controller.out_of_reach().is_empty());
     }
@@ -148,9 +152,9 @@
     let mut world = acquainted(6, 9);
     play(&mut world, &all, &World::all_replicas(), true);
     let began = world.now;
-    world.pass(Duration::from_secs(6), PER_HOST_S);
-    let after = world.tries(began + LEARNED, world.now - ENDED, |_| true);
-    assert_eq!(after.served, after.all);
+    world.advance(Duration::from_secs(6), PER_HOST_S);
+    let after = world.request_counts(began + LEARNED, world.now - ENDED, |_| true);
+    assert_eq!(after.served, after.total);
 }
 
 /// Guards against hosts that wait for the one host through which they were served.
@@ -159,12 +163,12 @@
     for dead in 1..6 {
         let mut world = acquainted(6, 11);
         world.cut(&[0], &World::all_replicas(), false, CUT);
-        world.pass(LEARNED, PER_HOST_S);
-        world.dead.insert(dead);
+        world.advance(LEARNED, PER_HOST_S);
+        world.stopped_hosts.insert(dead);
         let began = world.now;
-        world.pass(CUT - LEARNED, PER_HOST_S);
-        let tries = world.tries(began, world.now - ENDED, |host| host == 0);
-        assert_eq!(tries.served, tries.all, "without host {dead}");
+        world.advance(CUT - LEARNED, PER_HOST_S);
+        let tries = world.request_counts(began, world.now - ENDED, |host| host == 0);
+        assert_eq!(tries.served, tries.total, "without host {dead}");
     }
 }
 
@@ -182,7 +186,7 @@
             let began = play(&mut world, &cut, &World::all_replicas(), refuses);
             let what = format!("seed {seed}, cut {number}, {hosts} hosts, {cut:?}, {refuses}");
             assert_served(&world, began, &cut, &what);
-            world.pass(
+            world.advance(
                 Duration::from_millis(rng.random_range(0..2_000)),
                 PER_HOST_S,
             );
@@ -195,8 +199,8 @@
 fn the_way_leads_through_the_own_failure_domain_where_it_can() {
     let mut world = acquainted(9, 13);
     world.cut(&[0], &World::all_replicas(), false, CUT);
-    world.pass(LEARNED, PER_HOST_S);
-    let (_, actions) = world.hosts[0].ask(Ask::call("lookup"));
+    world.advance(LEARNED, PER_HOST_S);
+    let (_, actions) = world.hosts[0].ask(TestRequest::call("lookup"));
     let paths = sent(&actions).unwrap().paths;
     let through = |host: &usize| paths.contains(&Path::Through(address(*host)));
     let used: Vec<usize> = (1..9).filter(through).collect();
@@ -238,15 +242,15 @@
     let (repeatable, actions) = host.ask(lookup());
     assert!(sent(&actions).is_some());
     host.ask(order());
-    host.pass(2_000);
+    host.advance(2_000);
     assert_eq!(abandoned(&mut host), [], "its path is not lost");
     let others = (0..3).map(|number| format!("shop-{number}").parse().unwrap());
     for other in others {
         lose_path(&mut host, &other);
     }
-    host.pass(200);
+    host.advance(200);
     assert_eq!(abandoned(&mut host), [repeatable]);
-    host.pass(1_000);
+    host.advance(1_000);
     assert_eq!(abandoned(&mut host), [], "it is given up once");
 }
 
@@ -265,6 +269,6 @@
         upstream: upstream.clone(),
     });
     lose_path(&mut host, &upstream);
-    host.pass(2_000);
+    host.advance(2_000);
     assert_eq!(abandoned(&mut host), []);
 }
--- a/crates/policy/tests/installation/refusals.rs
+++ b/crates/policy/tests/installation/refusals.rs
@@ -2,7 +2,7 @@
 //! don't.
 
 use {
-    crate::support::{Ask, Host, upstreams},
+    crate::support::{Host, TestRequest, upstreams},
     policy::{Action, Event, RefusalReason, SendOrder},
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::{
@@ -63,11 +63,11 @@
             13 => self.leave(),
             14..=15 => self.notice(),
             16 => self.change_directory(),
-            17 => self.host.pass(self.rng.random_range(100..2_500)),
+            17 => self.host.advance(self.rng.random_range(100..2_500)),
             _ => {
                 let as_of = self.host.now;
                 self.host.handle(Event::ConfigurationConfirmed { as_of });
-                self.host.pass(self.rng.random_range(10..150));
+                self.host.advance(self.rng.random_range(10..150));
             }
         }
         self.check();
@@ -77,9 +77,9 @@
         let body = BODIES[self.rng.random_range(0..BODIES.len())];
         let may_repeat = self.rng.random_bool(0.3);
         let class = if may_repeat { "lookup" } else { "payment" };
-        let (id, _) = self.host.ask(Ask {
+        let (id, _) = self.host.ask(TestRequest {
             body: body.map(str::to_string),
-            ..Ask::call(class)
+            ..TestRequest::call(class)
         });
         let call = self.calls.entry(id).or_default();
         (call.is_fatal, call.may_repeat) = (body.is_some(), may_repeat);
@@ -241,7 +241,7 @@
     for seed in 0..SEEDS {
         let mut play = Play::new(seed);
         (0..STEPS).for_each(|_| play.step());
-        play.host.pass(20_000);
+        play.host.advance(20_000);
         play.check();
         reasons.extend(play.reasons);
     }
--- a/crates/policy/tests/installation/retries_of_many.rs
+++ b/crates/policy/tests/installation/retries_of_many.rs
@@ -1,7 +1,7 @@
 //! Retries where hosts are so many that each has about one beyond the ratio.
 
 use {
-    crate::support::{APPLY_LIMIT, Host, KEY_KNOWLEDGE, lookup, sent},
+    crate::support::{APPLY_LIMIT, Host, KEY_KNOWLEDGE_LIMIT, lookup, sent},
     policy::{Event, RelayRules},
     std::time::Duration,
     types::prelude::*,
@@ -17,7 +17,7 @@
     host.handle(Event::RulesChanged(RelayRules {
         apply_limit: APPLY_LIMIT,
         first_start: false,
-        key_knowledge_limit: KEY_KNOWLEDGE,
+        key_knowledge_limit: KEY_KNOWLEDGE_LIMIT,
         retry_extra,
         retry_ratio: RATIO,
         retry_window: WINDOW,
@@ -30,7 +30,7 @@
 fn pass_in_touch(host: &mut Host, span: Duration) {
     let end = host.now + span;
     while host.now < end {
-        host.pass(500);
+        host.advance(500);
         let as_of = host.now;
         host.handle(Event::ConfigurationConfirmed { as_of });
     }
@@ -86,7 +86,7 @@
         for _ in 0..CALLS {
             asked += 1;
             repeated += u32::from(repeats(host));
-            host.pass(100);
+            host.advance(100);
         }
     };
     for number in 0..HOSTS {
--- a/crates/policy/tests/installation/service_world.rs
+++ b/crates/policy/tests/installation/service_world.rs
@@ -5,7 +5,7 @@
 use {
     crate::{
         served_replica::{Arrived, ServedReplica, Visit},
-        support::{Ask, Host, address},
+        support::{Host, TestRequest, address},
     },
     config::{ServiceReplica, Upstream},
     peer::PeerHost,
@@ -25,23 +25,23 @@
 pub const REPLICAS: usize = 12;
 
 /// Where replicas listen, apart from hosts.
-const REPLICAS_AT: usize = 5_000;
+const FIRST_REPLICA_ADDRESS: usize = 5_000;
 
 const TICK: Duration = Duration::from_millis(20);
 
-const DATAGRAM: Duration = Duration::from_millis(1);
+const DATAGRAM_DELAY: Duration = Duration::from_millis(1);
 
 /// Usual time in which a replica answers, on average.
-const ANSWER: Duration = Duration::from_millis(30);
+const MEAN_RESPONSE_TIME: Duration = Duration::from_millis(30);
 
 /// Head start of a path over the next one, and the time for all of them.
 const HEAD_START: Duration = Duration::from_millis(60);
-const OPEN_LIMIT: Duration = Duration::from_millis(300);
+const OPEN_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Time for which a host tries to connect for another one.
-const TRANSIT_LIMIT: Duration = Duration::from_millis(200);
+const TRANSIT_TIMEOUT: Duration = Duration::from_millis(200);
 
-const CONNECT: Duration = Duration::from_millis(1);
+const CONNECT_TIME: Duration = Duration::from_millis(1);
 
 /// Paths that are lost for a time.
 #[derive(Clone, Debug)]
@@ -56,31 +56,31 @@
 
 /// First tries of callers, and how many of them were served.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tries {
-    pub all: usize,
+pub struct RequestCounts {
+    pub total: usize,
     pub served: usize,
 }
 
-enum Due {
-    Asks {
+enum ScheduledEvent {
+    RequestArrives {
         host: usize,
     },
-    Ended {
+    AttemptEnds {
         end: Box<AttemptEnd>,
         host: usize,
         order: Box<SendOrder>,
         request: RequestId,
     },
-    Finishes {
+    ReplicaFinishes {
         attempt: AttemptId,
         host: usize,
         replica: usize,
     },
-    Happens {
+    HostEvent {
         event: Box<Event>,
         host: usize,
     },
-    Reaches {
+    RequestReachesReplica {
         replica: usize,
         visit: Visit,
     },
@@ -88,25 +88,25 @@
 
 pub struct World {
     /// Time in which a replica answers, on average.
-    pub answer: Duration,
+    pub mean_response_time: Duration,
     /// When each request arrived at which host.
-    arrivals: BTreeMap<(usize, RequestId), Time>,
+    arrival_times: BTreeMap<(usize, RequestId), Time>,
     pub cuts: Vec<Cut>,
     /// Hosts that do nothing, and answer nothing.
-    pub dead: BTreeSet<usize>,
-    due: BTreeMap<(Time, u64), Due>,
+    pub stopped_hosts: BTreeSet<usize>,
+    scheduled: BTreeMap<(Time, u64), ScheduledEvent>,
     pub hosts: Vec<Host>,
-    next: u64,
+    last_event_number: u64,
     pub now: Time,
     pub replicas: Vec<ServedReplica>,
     rng: SmallRng,
     /// Requests that were served: when and where they arrived.
     served: BTreeSet<(Time, usize, RequestId)>,
     /// Hosts whose datagrams get nowhere.
-    pub silent: BTreeSet<usize>,
+    pub hosts_losing_datagrams: BTreeSet<usize>,
     /// Attempts that connected through another host.
-    pub through: usize,
-    asked: Vec<(Time, usize, RequestId)>,
+    pub indirect_attempts: usize,
+    requests: Vec<(Time, usize, RequestId)>,
 }
 
 impl World {
@@ -129,22 +129,22 @@
             host
         };
         Self {
-            answer: ANSWER,
-            arrivals: BTreeMap::new(),
-            asked: Vec::new(),
+            mean_response_time: MEAN_RESPONSE_TIME,
+            arrival_times: BTreeMap::new(),
+            requests: Vec::new(),
             cuts: Vec::new(),
-            dead: BTreeSet::new(),
-            due: BTreeMap::new(),
+            stopped_hosts: BTreeSet::new(),
+            scheduled: BTreeMap::new(),
             hosts: (0..hosts).map(start).collect(),
-            next: 0,
+            last_event_number: 0,
             now: Time::from_ms(1_000),
             replicas: (0..REPLICAS)
                 .map(|_| ServedReplica::new(slots, slots))
                 .collect(),
             rng: SmallRng::seed_from_u64(seed),
             served: BTreeSet::new(),
-            silent: BTreeSet::new(),
-            through: 0,
+            hosts_losing_datagrams: BTreeSet::new(),
+            indirect_attempts: 0,
         }
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// Lets time pass, with so many requests a second at each host.
-    pub fn pass(&mut self, span: Duration, per_host_s: f64) {
+    pub fn advance(&mut self, span: Duration, per_host_s: f64) {
         let end = self.now + span;
         while self.now < end {
             let next = self.now + TICK;
@@ -169,20 +169,20 @@
                 while self.rng.random::<f64>() < expected {
                     expected -= 1.0;
                     let after = TICK.mul_f64(self.rng.random());
-                    self.add(after, Due::Asks { host });
+                    self.schedule(after, ScheduledEvent::RequestArrives { host });
                 }
             }
-            self.settle(next);
+            self.process_events(next);
             self.now = next;
             for host in 0..self.hosts.len() {
                 if next.as_us().is_multiple_of(1_000_000) {
-                    self.tell(host, Event::ConfigurationConfirmed { as_of: next });
+                    self.handle_event(host, Event::ConfigurationConfirmed { as_of: next });
                 }
                 if next.as_us().is_multiple_of(500_000) {
                     let unix_ms = next.as_us() / 1_000;
-                    self.tell(host, Event::TimeOfDay { unix_ms });
+                    self.handle_event(host, Event::TimeOfDay { unix_ms });
                 }
-                self.tell(host, Event::Ticked);
+                self.handle_event(host, Event::Ticked);
             }
         }
     }
@@ -200,17 +200,23 @@
         }
     }
 
-    pub fn falls(&self) -> usize {
+    pub fn crash_count(&self) -> usize {
         self.replicas.iter().map(|replica| replica.falls).sum()
     }
 
     /// Requests that arrived in a span at hosts for which something holds.
-    pub fn tries(&self, from: Time, until: Time, counts: impl Fn(usize) -> bool) -> Tries {
-        let asked = self.asked.iter();
-        let asked = asked.filter(|(at, host, _)| *at >= from && *at < until && counts(*host));
-        asked.fold(Tries::default(), |tries, asked| Tries {
-            all: tries.all + 1,
-            served: tries.served + usize::from(self.served.contains(asked)),
+    pub fn request_counts(
+        &self,
+        from: Time,
+        until: Time,
+        includes_host: impl Fn(usize) -> bool,
+    ) -> RequestCounts {
+        let requests = self.requests.iter();
+        let requests =
+            requests.filter(|(at, host, _)| *at >= from && *at < until && includes_host(*host));
+        requests.fold(RequestCounts::default(), |counts, request| RequestCounts {
+            total: counts.total + 1,
+            served: counts.served + usize::from(self.served.contains(request)),
         })
     }
 
@@ -225,19 +231,19 @@
         hosts.filter(|host| domain_of(*host) == domain).collect()
     }
 
-    fn ask(&mut self, host: usize) {
-        if self.dead.contains(&host) {
+    fn send_request(&mut self, host: usize) {
+        if self.stopped_hosts.contains(&host) {
             return;
         }
         self.hosts[host].now = self.now;
-        let (request, _) = self.hosts[host].ask(Ask::call("lookup"));
-        self.arrivals.insert((host, request), self.now);
-        self.asked.push((self.now, host, request));
-        self.carry_out(host);
+        let (request, _) = self.hosts[host].ask(TestRequest::call("lookup"));
+        self.arrival_times.insert((host, request), self.now);
+        self.requests.push((self.now, host, request));
+        self.perform_actions(host);
     }
 
-    fn settle(&mut self, until: Time) {
-        while let Some(entry) = self.due.first_entry() {
+    fn process_events(&mut self, until: Time) {
+        while let Some(entry) = self.scheduled.first_entry() {
             let (at, _) = *entry.key();
             if at >= until {
                 return;
@@ -245,15 +251,15 @@
             let due = entry.remove();
             self.now = self.now.max(at);
             match due {
-                Due::Asks { host } => self.ask(host),
-                Due::Ended {
+                ScheduledEvent::RequestArrives { host } => self.send_request(host),
+                ScheduledEvent::AttemptEnds {
                     end,
                     host,
                     order,
                     request,
                 } => {
                     if matches!(*end, AttemptEnd::Completed { .. }) {
-                        let arrived = self.arrivals[&(host, request)];
+                        let arrived = self.arrival_times[&(host, request)];
                         self.served.insert((arrived, host, request));
                     }
                     let event = Event::AttemptEnded {
@@ -261,42 +267,50 @@
                         end: *end,
                         request,
                     };
-                    self.tell(host, event);
+                    self.handle_event(host, event);
                 }
-                Due::Finishes {
+                ScheduledEvent::ReplicaFinishes {
                     attempt,
                     host,
                     replica,
                 } => self.finish(replica, host, attempt),
-                Due::Happens { event, host } => self.tell(host, *event),
-                Due::Reaches { replica, visit } => self.reach(replica, visit),
+                ScheduledEvent::HostEvent { event, host } => self.handle_event(host, *event),
+                ScheduledEvent::RequestReachesReplica { replica, visit } => {
+                    self.deliver_to_replica(replica, visit)
+                }
             }
         }
     }
 
-    fn reach(&mut self, replica: usize, visit: Visit) {
+    fn deliver_to_replica(&mut self, replica: usize, visit: Visit) {
         let (host, attempt) = (visit.host, visit.order.attempt);
         match self.replicas[replica].arrive(visit, self.now) {
             Arrived::Falls(there) => {
                 for visit in there {
                     let failed = failed(FailureCause::Reset, Verdict::MayHaveRun);
-                    self.end(visit, failed, CONNECT);
+                    self.schedule_attempt_end(visit, failed, CONNECT_TIME);
                 }
             }
             Arrived::Rejected(visit) => {
-                self.say(replica, &visit);
-                self.end(visit, failed(FailureCause::Busy, Verdict::NotRun), CONNECT);
+                self.send_notice(replica, &visit);
+                self.schedule_attempt_end(
+                    visit,
+                    failed(FailureCause::Busy, Verdict::NotRun),
+                    CONNECT_TIME,
+                );
             }
-            Arrived::Runs => self.run(replica, host, attempt),
+            Arrived::Runs => self.schedule_finish(replica, host, attempt),
             Arrived::Waits => {}
         }
     }
 
-    fn run(&mut self, replica: usize, host: usize, attempt: AttemptId) {
-        let takes = self.answer.mul_f64(self.rng.random_range(0.5..1.5));
-        self.add(
-            takes,
-            Due::Finishes {
+    fn schedule_finish(&mut self, replica: usize, host: usize, attempt: AttemptId) {
+        let duration = self
+            .mean_response_time
+            .mul_f64(self.rng.random_range(0.5..1.5));
+        self.schedule(
+            duration,
+            ScheduledEvent::ReplicaFinishes {
                 attempt,
                 host,
                 replica,
@@ -309,19 +323,19 @@
             return;
         };
         if let Some(next) = next {
-            self.run(replica, next.host, next.order.attempt);
+            self.schedule_finish(replica, next.host, next.order.attempt);
         }
-        self.say(replica, &ended);
+        self.send_notice(replica, &ended);
         let end = AttemptEnd::Completed {
             response: None,
             longest_pause: Duration::ZERO,
             tokens: Tokens::default(),
         };
-        self.end(ended, end, CONNECT);
+        self.schedule_attempt_end(ended, end, CONNECT_TIME);
     }
 
     /// Tells a host what the replica says of itself in the answer to a request.
-    fn say(&mut self, replica: usize, visit: &Visit) {
+    fn send_notice(&mut self, replica: usize, visit: &Visit) {
         let brittle = self.replicas[replica].brittle.and_then(Rate::per_second);
         if brittle.is_none() && visit.order.inputs.rejection_limit.is_none() {
             return;
@@ -331,22 +345,22 @@
                 rejection_limit: brittle.map_or(AdvertisedLimit::Absent, AdvertisedLimit::Valid),
                 ..UpstreamNotice::default()
             },
-            sent: self.now - CONNECT,
+            sent: self.now - CONNECT_TIME,
             upstream: self::replica(replica),
         };
-        self.happens(CONNECT, visit.host, event);
+        self.schedule_host_event(CONNECT_TIME, visit.host, event);
     }
 
-    fn end(&mut self, visit: Visit, end: AttemptEnd, after: Duration) {
+    fn schedule_attempt_end(&mut self, visit: Visit, end: AttemptEnd, after: Duration) {
         let Visit {
             host,
             order,
             request,
         } = visit;
         let end = Box::new(end);
-        self.add(
+        self.schedule(
             after,
-            Due::Ended {
+            ScheduledEvent::AttemptEnds {
                 end,
                 host,
                 order,
@@ -355,36 +369,40 @@
         );
     }
 
-    fn tell(&mut self, host: usize, event: Event) {
-        if self.dead.contains(&host) {
+    fn handle_event(&mut self, host: usize, event: Event) {
+        if self.stopped_hosts.contains(&host) {
             return;
         }
         self.hosts[host].now = self.now;
         self.hosts[host].handle(event);
-        self.carry_out(host);
+        self.perform_actions(host);
     }
 
-    fn carry_out(&mut self, host: usize) {
+    fn perform_actions(&mut self, host: usize) {
         for action in std::mem::take(&mut self.hosts[host].actions) {
             match action {
                 Action::Send { order, request } => self.send(host, order, request),
                 Action::CheckPath {
                     paths, upstream, ..
                 } => {
-                    let (_, tries, span) = self.open(host, &paths, &upstream);
+                    let (_, tries, span) = self.open_connection(host, &paths, &upstream);
                     let event = Event::PathsTried {
                         request: None,
                         attempts: tries,
                         upstream,
                     };
-                    self.happens(span, host, event);
+                    self.schedule_host_event(span, host, event);
                 }
                 Action::Probe {
                     paths, upstream, ..
                 } => {
-                    let (path, _, span) = self.open(host, &paths, &upstream);
+                    let (path, _, span) = self.open_connection(host, &paths, &upstream);
                     let healthy = path.is_some();
-                    self.happens(span, host, Event::ProbeAnswered { healthy, upstream });
+                    self.schedule_host_event(
+                        span,
+                        host,
+                        Event::ProbeAnswered { healthy, upstream },
+                    );
                 }
                 Action::SendLoadNotes { notes } => {
                     for (to, note) in notes {
@@ -404,37 +422,44 @@
     }
 
     fn send_datagram(&mut self, from: usize, to: SocketAddr, event: Event) {
-        let is_lost = |host: &usize| self.silent.contains(host);
-        let to = self.number_of(to);
-        if let Some(to) = to.filter(|to| !is_lost(to) && !is_lost(&from)) {
-            self.happens(DATAGRAM, to, event);
+        let loses_datagrams = |host: &usize| self.hosts_losing_datagrams.contains(host);
+        let to = self.host_at(to);
+        if let Some(to) = to.filter(|to| !loses_datagrams(to) && !loses_datagrams(&from)) {
+            self.schedule_host_event(DATAGRAM_DELAY, to, event);
         }
     }
 
     fn send(&mut self, host: usize, order: SendOrder, request: RequestId) {
-        let (path, tries, span) = self.open(host, &order.paths, &order.upstream);
-        self.through += usize::from(matches!(path, Some(Path::Through(_))));
+        let (path, tries, span) = self.open_connection(host, &order.paths, &order.upstream);
+        self.indirect_attempts += usize::from(matches!(path, Some(Path::Through(_))));
         let upstream = order.upstream.clone();
         let event = Event::PathsTried {
             request: Some(request),
             attempts: tries,
             upstream,
         };
-        self.happens(span, host, event);
-        let replica = number_of_replica(&order.upstream);
+        self.schedule_host_event(span, host, event);
+        let replica = replica_number(&order.upstream);
         let visit = Visit {
             host,
             order: Box::new(order),
             request,
         };
         match path {
-            Some(_) => self.add(span + CONNECT, Due::Reaches { replica, visit }),
-            None => self.end(visit, failed(FailureCause::Connect, Verdict::NotRun), span),
+            Some(_) => self.schedule(
+                span + CONNECT_TIME,
+                ScheduledEvent::RequestReachesReplica { replica, visit },
+            ),
+            None => self.schedule_attempt_end(
+                visit,
+                failed(FailureCause::Connect, Verdict::NotRun),
+                span,
+            ),
         }
     }
 
     /// Opens the first path that connects; gives what was tried, and how long it took.
-    fn open(
+    fn open_connection(
         &mut self,
         host: usize,
         paths: &[Path],
@@ -446,22 +471,25 @@
             let connects = |(_, _, end, outcome): &(_, _, Duration, _)| {
                 *outcome == PathOutcome::Connected && *end <= start
             };
-            if start >= OPEN_LIMIT || attempts.iter().any(connects) {
+            if start >= OPEN_TIMEOUT || attempts.iter().any(connects) {
                 break;
             }
-            let (takes, outcome) = self.attempt(host, *path, upstream);
-            attempts.push((start, *path, start + takes, outcome));
+            let (duration, outcome) = self.try_path(host, *path, upstream);
+            attempts.push((start, *path, start + duration, outcome));
             let ends = attempts.iter().map(|(_, _, end, _)| *end);
-            let next = ends.filter(|end| *end > start).min().unwrap_or(OPEN_LIMIT);
+            let next = ends
+                .filter(|end| *end > start)
+                .min()
+                .unwrap_or(OPEN_TIMEOUT);
             start = next.min(start + HEAD_START);
         }
-        let standing = attempts
+        let connected = attempts
             .iter()
             .filter(|(.., outcome)| *outcome == PathOutcome::Connected);
-        let first = standing.min_by_key(|(_, _, end, _)| *end);
+        let first = connected.min_by_key(|(_, _, end, _)| *end);
         let opened = first.map(|(_, path, end, _)| (*path, *end));
-        let opened = opened.filter(|(_, end)| *end <= OPEN_LIMIT);
-        let until = opened.map_or(OPEN_LIMIT, |(_, end)| end);
+        let opened = opened.filter(|(_, end)| *end <= OPEN_TIMEOUT);
+        let until = opened.map_or(OPEN_TIMEOUT, |(_, end)| end);
         let tries = attempts
             .iter()
             .filter_map(|(start, path, end, outcome)| {
@@ -479,31 +507,31 @@
             .collect();
         let all_failed = attempts.iter().map(|(_, _, end, _)| *end).max();
         let span = opened.map_or_else(
-            || all_failed.unwrap_or(OPEN_LIMIT).min(OPEN_LIMIT),
+            || all_failed.unwrap_or(OPEN_TIMEOUT).min(OPEN_TIMEOUT),
             |(_, end)| end,
         );
         (opened.map(|(path, _)| path), tries, span)
     }
 
-    fn attempt(
+    fn try_path(
         &mut self,
         host: usize,
         path: Path,
         upstream: &UpstreamId,
     ) -> (Duration, PathOutcome) {
-        let is_down = self.replicas[number_of_replica(upstream)].is_down(self.now);
+        let is_down = self.replicas[replica_number(upstream)].is_down(self.now);
         let other = match path {
             Path::Direct => {
                 return match self.cut_between(host, upstream) {
-                    None if is_down => (CONNECT, PathOutcome::Refused),
-                    None => (CONNECT, PathOutcome::Connected),
-                    Some(cut) if cut.refuses => (CONNECT, PathOutcome::Refused),
+                    None if is_down => (CONNECT_TIME, PathOutcome::Refused),
+                    None => (CONNECT_TIME, PathOutcome::Connected),
+                    Some(cut) if cut.refuses => (CONNECT_TIME, PathOutcome::Refused),
                     Some(_) => (Duration::MAX / 4, PathOutcome::NoAnswer),
                 };
             }
-            Path::Through(address) => self.number_of(address),
+            Path::Through(address) => self.host_at(address),
         };
-        let Some(other) = other.filter(|other| !self.dead.contains(other)) else {
+        let Some(other) = other.filter(|other| !self.stopped_hosts.contains(other)) else {
             return (Duration::MAX / 4, PathOutcome::NoAnswer);
         };
         self.hosts[other].now = self.now;
@@ -511,7 +539,7 @@
             call: 0,
             upstream: upstream.clone(),
         });
-        self.carry_out(other);
+        self.perform_actions(other);
         let connects = answers.iter().any(|action| {
             matches!(
                 action,
@@ -522,13 +550,13 @@
             )
         });
         if !connects {
-            return (CONNECT * 2, PathOutcome::Declined);
+            return (CONNECT_TIME * 2, PathOutcome::Declined);
         }
         match self.cut_between(other, upstream) {
-            None if is_down => (CONNECT * 3, PathOutcome::Unreached),
-            None => (CONNECT * 3, PathOutcome::Connected),
-            Some(cut) if cut.refuses => (CONNECT * 3, PathOutcome::Unreached),
-            Some(_) => (TRANSIT_LIMIT, PathOutcome::Unreached),
+            None if is_down => (CONNECT_TIME * 3, PathOutcome::Unreached),
+            None => (CONNECT_TIME * 3, PathOutcome::Connected),
+            Some(cut) if cut.refuses => (CONNECT_TIME * 3, PathOutcome::Unreached),
+            Some(_) => (TRANSIT_TIMEOUT, PathOutcome::Unreached),
         }
     }
 
@@ -542,18 +570,19 @@
         })
     }
 
-    fn number_of(&self, at: SocketAddr) -> Option<usize> {
+    fn host_at(&self, at: SocketAddr) -> Option<usize> {
         (0..self.hosts.len()).find(|number| address(*number) == at)
     }
 
-    fn happens(&mut self, after: Duration, host: usize, event: Event) {
+    fn schedule_host_event(&mut self, after: Duration, host: usize, event: Event) {
         let event = Box::new(event);
-        self.add(after, Due::Happens { event, host });
+        self.schedule(after, ScheduledEvent::HostEvent { event, host });
     }
 
-    fn add(&mut self, after: Duration, due: Due) {
-        self.next += 1;
-        self.due.insert((self.now + after, self.next), due);
+    fn schedule(&mut self, after: Duration, due: ScheduledEvent) {
+        self.last_event_number += 1;
+        self.scheduled
+            .insert((self.now + after, self.last_event_number), due);
     }
 }
 
@@ -574,7 +603,7 @@
     }
 }
 
-fn number_of_replica(id: &UpstreamId) -> usize {
+fn replica_number(id: &UpstreamId) -> usize {
     let number = id.name().rsplit('-').next();
     number.unwrap().parse().unwrap()
 }
@@ -591,7 +620,7 @@
 fn replicas(slots: usize) -> BTreeMap<UpstreamId, Upstream> {
     let replicas = (0..REPLICAS).map(|number| {
         let definition = ServiceReplica {
-            address: address(REPLICAS_AT + number),
+            address: address(FIRST_REPLICA_ADDRESS + number),
             failure_domain: domain_of(number).parse().unwrap(),
             health_path: "/health".to_string(),
             service: "shop".parse().unwrap(),
--- a/crates/policy/tests/installation/sick.rs
+++ b/crates/policy/tests/installation/sick.rs
@@ -29,7 +29,7 @@
     let mut asked: BTreeMap<String, u64> = BTreeMap::new();
     let mut running: Vec<(Time, RequestId, AttemptId, AttemptEnd)> = Vec::new();
     for step in 0..4_000_u64 {
-        host.pass(10);
+        host.advance(10);
         let as_of = host.now;
         host.handle(Event::ConfigurationConfirmed { as_of });
         let now = host.now;
--- a/crates/policy/tests/installation/sides.rs
+++ b/crates/policy/tests/installation/sides.rs
@@ -1,7 +1,7 @@
 //! Which engines streams share with long prompts, where hosts learn nothing of each other.
 
 use {
-    crate::support::{Ask, Host, engines, sent},
+    crate::support::{Host, TestRequest, engines, sent},
     policy::Event,
     std::collections::{BTreeMap, BTreeSet},
 };
@@ -23,9 +23,9 @@
 }
 
 fn place(host: &mut Host, class: &'static str, parts: &[(u64, u32)]) -> String {
-    let (request, actions) = host.ask(Ask::prompt(class, "first-key", parts));
+    let (request, actions) = host.ask(TestRequest::prompt(class, "first-key", parts));
     let engine = sent(&actions).unwrap().upstream.to_string();
-    host.pass(20);
+    host.advance(20);
     host.handle(Event::CallerGone { request });
     engine
 }
@@ -130,7 +130,7 @@
     let running: BTreeSet<String> = (0..300)
         .map(|number| {
             let parts = [(7_000 + number, 100)];
-            let (_, actions) = host.ask(Ask::prompt("question", "first-key", &parts));
+            let (_, actions) = host.ask(TestRequest::prompt("question", "first-key", &parts));
             sent(&actions).unwrap().upstream.to_string()
         })
         .collect();
--- a/crates/policy/tests/installation/speeds.rs
+++ b/crates/policy/tests/installation/speeds.rs
@@ -2,7 +2,7 @@
 //! network.
 
 use {
-    crate::support::{Ask, Host, address, engines, exchange_notes, sent},
+    crate::support::{Host, TestRequest, address, engines, exchange_notes, sent},
     peer::{EngineKey, LoadNote, PrefillTokenTime, SpeedVote},
     policy::{Action, Event, SpeedChange},
     rand::{Rng, SeedableRng, rngs::SmallRng},
@@ -107,7 +107,7 @@
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 10 {
             self.step();
         }
@@ -147,7 +147,8 @@
     fn arrive(&mut self, host: usize, document: u64) {
         let own = 1_000_000 + self.sends as u64;
         let parts = [(document, DOCUMENT_TOKENS), (own, OWN_TOKENS)];
-        let (request, actions) = self.hosts[host].ask(Ask::prompt("draft", "shop-key", &parts));
+        let (request, actions) =
+            self.hosts[host].ask(TestRequest::prompt("draft", "shop-key", &parts));
         let order = sent(&actions).unwrap();
         let speed = self.speeds[&order.upstream];
         for byte in order.upstream.name().bytes() {
@@ -258,9 +259,9 @@
 fn play_uneven(seed: u64) {
     let mut world = World::new(HOSTS, &SPEEDS, REQUESTS_EACH_100_MS);
     world.rng = SmallRng::seed_from_u64(seed);
-    world.pass(LEARN_MS);
+    world.advance(LEARN_MS);
     world.count_anew();
-    world.pass(COUNT_MS);
+    world.advance(COUNT_MS);
     let (busiest, lead_ms) = (world.busiest(), world.lead_of_95());
     println!("busiest {busiest:.2}, 95 in 100 within {lead_ms:.0} ms");
     assert!(busiest < 1.5, "busiest engine {busiest} of an even part");
@@ -288,7 +289,7 @@
 #[test]
 fn placements_before_equal_engines_stay_as_they_were() {
     let mut world = World::new(4, &[1.0], FEW_REQUESTS);
-    world.pass(10_000);
+    world.advance(10_000);
     assert!(world.noted.is_empty(), "{:?}", world.noted);
     assert_eq!(world.placements, PLACEMENTS_OF_EQUAL_ENGINES);
 }
@@ -298,7 +299,7 @@
 fn hosts_that_hear_nothing_of_each_other_come_to_the_same() {
     let mut world = World::new(2, &SPEEDS, FEW_REQUESTS);
     world.is_connected = false;
-    world.pass(20_000);
+    world.advance(20_000);
     for host in 0..2 {
         assert_eq!(world.faster(host), world.truly_faster(), "host {host}");
     }
@@ -309,7 +310,7 @@
 #[test]
 fn an_engine_of_which_nothing_is_seen_is_usual_again() {
     let mut world = World::new(1, &SPEEDS, FEW_REQUESTS);
-    world.pass(20_000);
+    world.advance(20_000);
     let faster = world.truly_faster().len();
     let host = &mut world.hosts[0];
     assert_eq!(host.controller.speed_counts().faster, faster);
@@ -321,14 +322,14 @@
     host.read_directory(listed, &[]);
     assert_eq!(host.controller.speed_counts().faster, faster - 1);
 
-    host.pass(120_000);
+    host.advance(120_000);
     assert_eq!(host.controller.speed_counts().usual, ENGINES);
 }
 
 /// A note by which engines read so many tokens in a millisecond.
 fn note_of(host: u64, rates: &[(&str, f64)]) -> LoadNote {
     let mut other = Host::new(host);
-    other.pass(2_000);
+    other.advance(2_000);
     let (_, mut note) = other.take_notes().remove(0);
     let votes = rates.iter().map(|(id, tokens_per_ms)| SpeedVote {
         engine: EngineKey::new(&id.parse().unwrap()),
@@ -348,7 +349,7 @@
         let note = note_of(heard, &rates);
         let from = address(heard as usize);
         host.handle(Event::LoadNoteReceived { from, note });
-        host.pass(600);
+        host.advance(600);
         let faster = usize::from(heard == 8);
         assert_eq!(host.controller.speed_counts().faster, faster);
     }
@@ -368,10 +369,10 @@
             let parts = [(number, 2_000)];
             let as_of = host.now;
             host.handle(Event::ConfigurationConfirmed { as_of });
-            let (request, actions) = host.ask(Ask::prompt("draft", "shop-key", &parts));
+            let (request, actions) = host.ask(TestRequest::prompt("draft", "shop-key", &parts));
             let attempt = sent(&actions).unwrap().attempt;
             for _ in 0..3 {
-                host.pass(100);
+                host.advance(100);
                 host.handle(Event::Progressed {
                     attempt,
                     longest_pause: Duration::ZERO,
--- a/crates/policy/tests/installation/support.rs
+++ b/crates/policy/tests/installation/support.rs
@@ -19,7 +19,7 @@
 };
 
 /// Bound for a removed key that the hosts of the tests are given.
-pub const KEY_KNOWLEDGE: Duration = Duration::from_secs(4);
+pub const KEY_KNOWLEDGE_LIMIT: Duration = Duration::from_secs(4);
 
 /// Time for which a host may go on with a version that it knows to be outdated.
 pub const APPLY_LIMIT: Duration = Duration::from_secs(2);
@@ -43,26 +43,26 @@
 }
 
 /// A request to be sent to a host.
-pub struct Ask {
+pub struct TestRequest {
     /// Its body; `None` for one that no other request has.
     pub body: Option<String>,
     pub class: &'static str,
     pub key: &'static str,
     /// Whether its route needs no key.
-    pub open: bool,
+    pub public: bool,
     pub parts: Vec<PromptPart>,
     pub target: Target,
     /// How long its caller waits.
     pub time_limit: Duration,
 }
 
-impl Ask {
+impl TestRequest {
     pub fn prompt(class: &'static str, key: &'static str, parts: &[(u64, u32)]) -> Self {
         Self {
             body: None,
             class,
             key,
-            open: false,
+            public: false,
             parts: parts
                 .iter()
                 .map(|(id, tokens)| PromptPart {
@@ -80,7 +80,7 @@
             body: None,
             class,
             key: "shop-key",
-            open: false,
+            public: false,
             parts: Vec::new(),
             target: Target::Service("shop".parse().unwrap()),
             time_limit: TIME_LIMIT,
@@ -88,11 +88,11 @@
     }
 }
 
-impl Ask {
+impl TestRequest {
     /// A call by a route that needs no key.
-    pub fn open(class: &'static str) -> Self {
+    pub fn public_call(class: &'static str) -> Self {
         Self {
-            open: true,
+            public: true,
             ..Self::call(class)
         }
     }
@@ -116,7 +116,7 @@
                 relay: Some(RelayRules {
                     apply_limit: APPLY_LIMIT,
                     first_start: false,
-                    key_knowledge_limit: KEY_KNOWLEDGE,
+                    key_knowledge_limit: KEY_KNOWLEDGE_LIMIT,
                     retry_extra: RETRY_EXTRA,
                     retry_ratio: 0.2,
                     retry_window: Duration::from_secs(10),
@@ -177,18 +177,18 @@
     /// Has no answer of the directory for a time.
     pub fn lose_directory(&mut self, ms: u64) {
         self.handle(Event::DirectoryLost);
-        self.pass(ms);
+        self.advance(ms);
         let at = self.now;
         self.handle(Event::DirectoryRegained { at });
     }
 
     /// Numbers its next requests from here on.
-    pub fn skip_requests(&mut self, to: u64) {
+    pub fn set_next_request_id(&mut self, to: u64) {
         self.next_request = to;
     }
 
     /// Lets time pass in ticks of the controller's thread.
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         let end = self.now.plus_ms(ms);
         while self.now < end {
             self.now = self.now.plus_ms(10);
@@ -197,26 +197,26 @@
     }
 
     /// Sends a request; gives its id and what was done at once.
-    pub fn ask(&mut self, ask: Ask) -> (RequestId, Vec<Action>) {
+    pub fn ask(&mut self, test_request: TestRequest) -> (RequestId, Vec<Action>) {
         let request = RequestId::new(self.next_request);
         self.next_request += 1;
-        let own_body = request.to_string();
-        let body = ask.body.unwrap_or(own_body);
+        let unique_body = request.to_string();
+        let body = test_request.body.unwrap_or(unique_body);
         let actions = self.handle(Event::Arrived(Arrival {
-            class: Some(ask.class.parse().unwrap()),
-            fingerprint: Fingerprint::of_request("POST", ask.class, body.as_bytes()),
-            key_hash: Some(KeyHash::of_key(ask.key)),
+            class: Some(test_request.class.parse().unwrap()),
+            fingerprint: Fingerprint::of_request("POST", test_request.class, body.as_bytes()),
+            key_hash: Some(KeyHash::of_key(test_request.key)),
             max_output: None,
             prefix: None,
             prompt_tokens: Tokens::default(),
             repeatability: Repeatability::AsConfigured,
             request,
             routed: Some(RoutedRequest {
-                parts: ask.parts,
-                public: ask.open,
-                time_limit: Some(ask.time_limit),
+                parts: test_request.parts,
+                public: test_request.public,
+                time_limit: Some(test_request.time_limit),
             }),
-            target: ask.target,
+            target: test_request.target,
         }));
         (request, actions)
     }
@@ -286,12 +286,12 @@
 
 /// Engines of one failure domain.
 pub fn engines(count: usize) -> BTreeMap<UpstreamId, Upstream> {
-    engines_of(&["north-a"], count)
+    engines_in_domains(&["north-a"], count)
 }
 
 /// So many engines in each of some failure domains, numbered one domain after the
 /// other.
-pub fn engines_of(domains: &[&str], each: usize) -> BTreeMap<UpstreamId, Upstream> {
+pub fn engines_in_domains(domains: &[&str], each: usize) -> BTreeMap<UpstreamId, Upstream> {
     let engines = (0..domains.len() * each).map(|number| {
         let engine = Engine {
             address: address(number),
@@ -368,13 +368,13 @@
 }
 
 /// A call that may be repeated.
-pub fn lookup() -> Ask {
-    Ask::call("lookup")
+pub fn lookup() -> TestRequest {
+    TestRequest::call("lookup")
 }
 
 /// A call that must not run twice.
-pub fn order() -> Ask {
-    Ask::call("order")
+pub fn order() -> TestRequest {
+    TestRequest::call("order")
 }
 
 /// Lets hosts receive the notes that the others want sent.
--- a/crates/policy/tests/installation/unreachable.rs
+++ b/crates/policy/tests/installation/unreachable.rs
@@ -1,7 +1,7 @@
 //! Failure domains that are cut off, with all upstreams in them.
 
 use {
-    crate::support::{Ask, Host, engines_of, lookup, sent, upstreams},
+    crate::support::{Host, TestRequest, engines_in_domains, lookup, sent, upstreams},
     config::Upstream,
     policy::{Event, SendOrder},
     std::{collections::BTreeSet, time::Duration},
@@ -26,7 +26,7 @@
     /// Streams run on each engine.
     fn new() -> Self {
         let mut host = Host::new(0);
-        host.read_directory(engines_of(&DOMAINS, ENGINES), &[]);
+        host.read_directory(engines_in_domains(&DOMAINS, ENGINES), &[]);
         let mut scene = Self {
             host,
             next_part: 0,
@@ -37,23 +37,25 @@
         }
         let used = scene.streams.iter().map(|(_, order)| &order.upstream);
         assert_eq!(used.collect::<BTreeSet<_>>().len(), DOMAINS.len() * ENGINES);
-        scene.pass(1_000, &DOMAINS);
+        scene.advance(1_000, &DOMAINS);
         scene
     }
 
     fn start_stream(&mut self) -> Option<SendOrder> {
         self.next_part += 2;
         let parts = [(self.next_part, 500), (self.next_part + 1, 100)];
-        let (request, actions) = self.host.ask(Ask::prompt("question", "shop-key", &parts));
+        let (request, actions) = self
+            .host
+            .ask(TestRequest::prompt("question", "shop-key", &parts));
         let order = sent(&actions)?;
         self.streams.push((request, order.clone()));
         Some(order)
     }
 
     /// Lets time pass while streams in some domains bring tokens.
-    fn pass(&mut self, ms: u64, received: &[&str]) {
+    fn advance(&mut self, ms: u64, received: &[&str]) {
         for _ in 0..ms / 50 {
-            self.host.pass(50);
+            self.host.advance(50);
             let as_of = self.host.now;
             self.host.handle(Event::ConfigurationConfirmed { as_of });
             for (request, order) in self.streams.clone() {
@@ -89,14 +91,14 @@
 #[test]
 fn a_host_that_is_cut_off_uses_its_own_domain_only() {
     let mut scene = Scene::new();
-    scene.pass(600, &["north-a"]);
+    scene.advance(600, &["north-a"]);
     assert_eq!(scene.next_domains(), BTreeSet::from(["north-a"]));
 }
 
 #[test]
 fn a_domain_that_is_cut_off_gets_nothing_new() {
     let mut scene = Scene::new();
-    scene.pass(600, &["north-a", "north-c"]);
+    scene.advance(600, &["north-a", "north-c"]);
     assert_eq!(scene.next_domains(), BTreeSet::from(["north-a", "north-c"]));
 }
 
@@ -114,7 +116,7 @@
     for (request, _) in ended {
         scene.host.handle(Event::CallerGone { request });
     }
-    scene.pass(600, &["north-a", "north-c"]);
+    scene.advance(600, &["north-a", "north-c"]);
     assert_eq!(scene.next_domains(), BTreeSet::from(DOMAINS));
 }
 
@@ -124,7 +126,7 @@
 #[test]
 fn what_only_a_silent_domain_has_is_still_tried() {
     let mut scene = Scene::new();
-    let mut all = engines_of(&DOMAINS, ENGINES);
+    let mut all = engines_in_domains(&DOMAINS, ENGINES);
     let services = upstreams().into_iter();
     let mut services: Vec<_> = services
         .filter(|(id, _)| id.name().starts_with("shop"))
@@ -136,7 +138,7 @@
     }
     all.extend(services);
     scene.host.read_directory(all, &[]);
-    scene.pass(600, &["north-a", "north-c"]);
+    scene.advance(600, &["north-a", "north-c"]);
     assert!(!scene.next_domains().contains("north-b"));
     assert!(sent(&scene.host.ask(lookup()).1).is_some());
 }
@@ -145,8 +147,8 @@
 #[test]
 fn a_domain_comes_back_when_its_upstreams_answer() {
     let mut scene = Scene::new();
-    scene.pass(600, &["north-a", "north-c"]);
-    scene.pass(1_100, &DOMAINS);
+    scene.advance(600, &["north-a", "north-c"]);
+    scene.advance(1_100, &DOMAINS);
     for number in ENGINES..2 * ENGINES {
         scene.host.handle(Event::ProbeAnswered {
             healthy: true,
@@ -173,6 +175,6 @@
 #[test]
 fn a_host_that_observes_nobody_gives_nobody_up() {
     let mut scene = Scene::new();
-    scene.pass(600, &[]);
+    scene.advance(600, &[]);
     assert_eq!(scene.next_domains(), BTreeSet::from(DOMAINS));
 }
--- a/crates/policy/tests/installation/upstream_limits.rs
+++ b/crates/policy/tests/installation/upstream_limits.rs
@@ -100,7 +100,7 @@
     host.read_directory(only.clone(), &[]);
     respond_with_limit(&mut host, "shop-1", Some(1.0));
     host.read_directory(engines(3), &[]);
-    host.pass(500);
+    host.advance(500);
     host.read_directory(only, &[]);
     let mut sends = 0;
     for _ in 0..20 {
@@ -307,7 +307,7 @@
     let (_, actions) = host.ask(lookup());
     assert_eq!(sent(&actions), None);
     host.actions.clear();
-    host.pass(500);
+    host.advance(500);
     let refusal = refused(&host.actions).unwrap();
     assert_eq!(refusal.reason, RefusalReason::UpstreamLimited);
     assert_eq!(refusal.verdict, Verdict::NotRun);
--- a/crates/policy/tests/installation/upstreams.rs
+++ b/crates/policy/tests/installation/upstreams.rs
@@ -17,11 +17,11 @@
     host.handle(Event::ConfigurationConfirmed { as_of });
     assert!(sent(&host.ask(lookup()).1).is_some());
 
-    host.pass(1_900);
+    host.advance(1_900);
     host.read_directory(engines(0), &[]);
     assert!(sent(&host.ask(lookup()).1).is_some());
 
-    host.pass(200);
+    host.advance(200);
     assert!(sent(&host.ask(lookup()).1).is_none());
 }
 
@@ -31,7 +31,7 @@
 #[test]
 fn drops_a_missing_upstream_at_once_while_the_store_is_well() {
     let mut host = Host::new(0);
-    host.pass(3_000);
+    host.advance(3_000);
     host.read_directory(engines(0), &[]);
     assert!(sent(&host.ask(lookup()).1).is_none());
 }
@@ -42,7 +42,7 @@
 fn drops_a_missing_upstream_at_once_where_the_store_never_was_away() {
     let mut host = Host::new(0);
     host.handle(Event::DirectoryLost);
-    host.pass(2_000);
+    host.advance(2_000);
     host.handle(Event::DirectoryReachableAgain);
     host.read_directory(engines(0), &[]);
     assert!(sent(&host.ask(lookup()).1).is_none());
@@ -63,7 +63,7 @@
         let order = sent(&actions).unwrap();
         assert_ne!(order.upstream.name(), "shop-1");
         host.finish(&order, request);
-        host.pass(100);
+        host.advance(100);
     }
 }
 
@@ -76,11 +76,11 @@
         let mut listed = upstreams();
         listed.retain(|id, _| id.name() == back);
         host.read_directory(listed, &[]);
-        host.pass(500);
+        host.advance(500);
         let unlisted = host.controller.unlisted();
         assert!(unlisted.contains(&"shop-2".parse().unwrap()), "{back}");
     }
-    host.pass(1_100);
+    host.advance(1_100);
     assert_eq!(host.controller.unlisted(), []);
 }
 
@@ -104,13 +104,13 @@
 fn missing_upstreams_are_kept_from_the_stores_return_not_from_the_word_of_it() {
     let mut host = Host::new(0);
     host.handle(Event::DirectoryLost);
-    host.pass(4_000);
+    host.advance(4_000);
     let at = host.now;
-    host.pass(1_800);
+    host.advance(1_800);
     host.handle(Event::DirectoryRegained { at });
     host.read_directory(engines(0), &[]);
     assert_eq!(host.controller.unlisted().len(), 6);
-    host.pass(210);
+    host.advance(210);
     assert_eq!(host.controller.unlisted(), []);
 }
 
--- a/crates/policy/tests/installation/urgency.rs
+++ b/crates/policy/tests/installation/urgency.rs
@@ -1,7 +1,7 @@
 //! Which request goes first, and which engine is taken for a slow one.
 
 use {
-    crate::support::{Ask, Host, engines, sent},
+    crate::support::{Host, TestRequest, engines, sent},
     config::Upstream,
     policy::{Action, Event},
     std::time::Duration,
@@ -18,8 +18,8 @@
     ("summary", "shop-key"),
 ];
 
-fn prompt(class: &'static str, key: &'static str) -> Ask {
-    Ask::prompt(class, key, &[(1, 500), (2, 100)])
+fn prompt(class: &'static str, key: &'static str) -> TestRequest {
+    TestRequest::prompt(class, key, &[(1, 500), (2, 100)])
 }
 
 /// Symptom: in an overload the most urgent class waits behind the least. Events:
@@ -101,7 +101,7 @@
     let parts = |number: u64| [(number, 13_300), (1_000 + number, 3_700)];
     let mut homes = std::collections::BTreeMap::new();
     for number in 0..30 {
-        let ask = Ask::prompt("question", "shop-key", &parts(number));
+        let ask = TestRequest::prompt("question", "shop-key", &parts(number));
         let (request, actions) = host.ask(ask);
         let order = sent(&actions).unwrap();
         let idle = order.upstream.name() == "engine-0";
@@ -112,7 +112,7 @@
     }
     // Another host sent them; this one only knows the engines' pace.
     for number in 100..130 {
-        let ask = Ask::prompt("question", "shop-key", &parts(number));
+        let ask = TestRequest::prompt("question", "shop-key", &parts(number));
         let (request, actions) = host.ask(ask);
         let order = sent(&actions).unwrap();
         host.handle(Event::CallerGone { request });
--- a/crates/policy/tests/installation/usage.rs
+++ b/crates/policy/tests/installation/usage.rs
@@ -1,7 +1,7 @@
 //! Which requests a host counts for the usage reports.
 
 use {
-    crate::support::{Ask, Host, address, lookup, sent},
+    crate::support::{Host, TestRequest, address, lookup, sent},
     peer::DutyNote,
     policy::{Action, Event, SendOrder},
     std::time::Duration,
@@ -30,7 +30,7 @@
 /// Requests that the host tells the holder of.
 fn announced(host: &mut Host) -> u32 {
     host.actions.clear();
-    host.pass(1_000);
+    host.advance(1_000);
     let mut notes = host.actions.iter().filter_map(|action| match action {
         Action::SendUsageNote { note, to } => {
             assert_eq!(*to, Some(address(1)));
@@ -43,13 +43,13 @@
     counts.map(|(_, count)| count).sum()
 }
 
-fn send(host: &mut Host, ask: Ask) -> (RequestId, SendOrder) {
+fn send(host: &mut Host, ask: TestRequest) -> (RequestId, SendOrder) {
     let (request, actions) = host.ask(ask);
     (request, sent(&actions).unwrap())
 }
 
-fn stream() -> Ask {
-    Ask::prompt("question", "first-key", &[(7, 100)])
+fn stream() -> TestRequest {
+    TestRequest::prompt("question", "first-key", &[(7, 100)])
 }
 
 fn progress(host: &mut Host, request: RequestId, order: &SendOrder) {
@@ -98,7 +98,7 @@
 #[test]
 fn requests_without_a_team_are_not_counted() {
     let mut host = counting_host();
-    let (request, order) = send(&mut host, Ask::open("lookup"));
+    let (request, order) = send(&mut host, TestRequest::public_call("lookup"));
     host.finish(&order, request);
     assert_eq!(announced(&mut host), 0);
 }
@@ -111,7 +111,7 @@
     let (request, order) = send(&mut host, stream());
     let work = |host: &mut Host| {
         host.actions.clear();
-        host.pass(1_000);
+        host.advance(1_000);
         let mut works = host.actions.iter().filter_map(|action| match action {
             Action::SendUsageNote { note, .. } => Some(note.work.clone()),
             _ => None,
