--- a/crates/policy/tests/installation/sick.rs
+++ b/crates/policy/tests/installation/faulty_replicas.rs
@@ -10,23 +10,23 @@
 
 /// How one replica behaves.
 #[derive(Clone, Copy)]
-struct Replica {
-    answer_ms: u64,
+struct ReplicaBehavior {
+    response_ms: u64,
     /// One in so many requests fails; 0 for none.
-    fails_one_in: u64,
+    failure_interval: u64,
 }
 
-const SOUND: Replica = Replica {
-    answer_ms: 30,
-    fails_one_in: 0,
+const HEALTHY: ReplicaBehavior = ReplicaBehavior {
+    response_ms: 30,
+    failure_interval: 0,
 };
 
 /// Plays lookups on a host, one each 40 ms, against three replicas of which the
-/// first is sick; gives how many first attempts each got after the first 5 s.
-fn shares(sick: Replica) -> BTreeMap<String, usize> {
+/// first is faulty; gives how many first attempts each got after the first 5 s.
+fn first_attempts(faulty: ReplicaBehavior) -> BTreeMap<String, usize> {
     let mut host = Host::new(0);
     let mut shares = BTreeMap::new();
-    let mut asked: BTreeMap<String, u64> = BTreeMap::new();
+    let mut request_counts: BTreeMap<String, u64> = BTreeMap::new();
     let mut running: Vec<(Time, RequestId, AttemptId, AttemptEnd)> = Vec::new();
     for step in 0..4_000_u64 {
         host.advance(10);
@@ -55,13 +55,15 @@
         }
         for (request, order) in orders {
             let replica = if order.upstream.name() == "shop-0" {
-                sick
+                faulty
             } else {
-                SOUND
+                HEALTHY
             };
-            let count = asked.entry(order.upstream.to_string()).or_default();
+            let count = request_counts
+                .entry(order.upstream.to_string())
+                .or_default();
             *count += 1;
-            let fails = count.is_multiple_of(replica.fails_one_in);
+            let fails = count.is_multiple_of(replica.failure_interval);
             let end = if fails {
                 AttemptEnd::Failed {
                     cause: FailureCause::ErrorStatus,
@@ -76,27 +78,27 @@
                     tokens: Tokens::default(),
                 }
             };
-            let span = Duration::from_millis(replica.answer_ms);
+            let span = Duration::from_millis(replica.response_ms);
             running.push((host.now + span, request, order.attempt, end));
         }
     }
     shares
 }
 
-fn share_of_sick(sick: Replica) -> f64 {
-    let shares = shares(sick);
-    let all: usize = shares.values().sum();
-    shares.get("shop-0").copied().unwrap_or_default() as f64 / all as f64
+fn share_of_faulty_replica(faulty: ReplicaBehavior) -> f64 {
+    let shares = first_attempts(faulty);
+    let total: usize = shares.values().sum();
+    shares.get("shop-0").copied().unwrap_or_default() as f64 / total as f64
 }
 
 /// Symptom: one in six calls of a class fails. Events: one of three replicas
 /// answers every second request with an error, never three in a row. Cause: only
 /// failures in a row count. Before: 36 in 100 requests went there.
 #[test]
-fn a_replica_that_fails_half_of_its_requests_gets_few() {
-    let share = share_of_sick(Replica {
-        fails_one_in: 2,
-        ..SOUND
+fn a_replica_that_fails_half_of_its_requests_gets_few_requests() {
+    let share = share_of_faulty_replica(ReplicaBehavior {
+        failure_interval: 2,
+        ..HEALTHY
     });
     assert!(share < 0.08, "{share:.2} of the requests");
 }
@@ -105,17 +107,17 @@
 /// replicas takes five times as long. Cause: requests go to the replica with the
 /// fewest in flight, and with little load all have none. Before: 17 in 100.
 #[test]
-fn a_replica_that_is_slow_gets_few() {
-    let share = share_of_sick(Replica {
-        answer_ms: 150,
-        ..SOUND
+fn a_slow_replica_gets_few_requests() {
+    let share = share_of_faulty_replica(ReplicaBehavior {
+        response_ms: 150,
+        ..HEALTHY
     });
     assert!(share < 0.08, "{share:.2} of the requests");
 }
 
 /// One that is sound again gets its part back: what was seen is forgotten.
 #[test]
-fn a_sound_replica_gets_its_part() {
-    let share = share_of_sick(SOUND);
+fn a_healthy_replica_gets_its_share() {
+    let share = share_of_faulty_replica(HEALTHY);
     assert!(share > 0.25, "{share:.2} of the requests");
 }
--- a/crates/policy/tests/installation/speeds.rs
+++ b/crates/policy/tests/installation/speeds.rs
@@ -21,12 +21,12 @@
 
 /// Prompt tokens that an engine of speed 1 reads in a millisecond, and the time between two of
 /// its tokens.
-const READ_TOKENS_PER_MS: f64 = 64.0;
-const TOKEN_MS: f64 = 20.0;
+const PREFILL_TOKENS_PER_MS: f64 = 64.0;
+const TOKEN_INTERVAL_MS: f64 = 20.0;
 
 const DOCUMENTS: u64 = 1_200;
 const DOCUMENT_TOKENS: u32 = 2_000;
-const OWN_TOKENS: u32 = 3_000;
+const UNIQUE_TOKENS: u32 = 3_000;
 
 /// Tokens of an answer after its first one.
 const ANSWER_TOKENS: u32 = 10;
@@ -36,30 +36,30 @@
 const REQUESTS_EACH_100_MS: u64 = 22;
 
 /// Requests in 100 ms that hardly wait for each other.
-const FEW_REQUESTS: u64 = 6;
+const LIGHT_REQUESTS_EACH_100_MS: u64 = 6;
 
-const LEARN_MS: u64 = 10_000;
-const COUNT_MS: u64 = 5_000;
+const LEARNING_MS: u64 = 10_000;
+const MEASURING_MS: u64 = 5_000;
 
 /// Placements of requests before equal engines, as they were before hosts learned speeds.
 const PLACEMENTS_OF_EQUAL_ENGINES: u64 = 5_285_496_014_297_717_941;
 
 /// What an engine has read, and until when it reads.
 #[derive(Default)]
-struct Reader {
+struct SimulatedEngine {
     busy_until_ms: f64,
-    counted_ms: f64,
-    kept: BTreeSet<u64>,
+    prefill_ms: f64,
+    cached_documents: BTreeSet<u64>,
 }
 
 /// What comes of a request, and when.
-enum Due {
-    First(SendAt),
-    Rest(SendAt),
+enum ScheduledProgress {
+    FirstToken(RunningAttempt),
+    LastTokens(RunningAttempt),
 }
 
 #[derive(Clone)]
-struct SendAt {
+struct RunningAttempt {
     attempt: AttemptId,
     host: usize,
     request: RequestId,
@@ -67,20 +67,20 @@
 }
 
 struct World {
-    due: BTreeMap<(u64, usize), Due>,
+    due: BTreeMap<(u64, usize), ScheduledProgress>,
     hosts: Vec<Host>,
     /// Whether hosts get the notes of each other.
-    is_connected: bool,
-    leads_ms: Vec<f64>,
-    passed_ms: u64,
+    exchanges_notes: bool,
+    first_token_times_ms: Vec<f64>,
+    elapsed_ms: u64,
     /// Hash over the engines that requests were sent to.
     placements: u64,
-    readers: BTreeMap<UpstreamId, Reader>,
+    simulated_engines: BTreeMap<UpstreamId, SimulatedEngine>,
     requests_each_100_ms: u64,
     rng: SmallRng,
     sends: usize,
     speeds: BTreeMap<UpstreamId, f64>,
-    noted: Vec<(usize, SpeedChange)>,
+    speed_changes: Vec<(usize, SpeedChange)>,
 }
 
 impl World {
@@ -94,13 +94,13 @@
         Self {
             due: BTreeMap::new(),
             hosts,
-            is_connected: true,
-            leads_ms: Vec::new(),
-            noted: Vec::new(),
-            passed_ms: 0,
+            exchanges_notes: true,
+            first_token_times_ms: Vec::new(),
+            speed_changes: Vec::new(),
+            elapsed_ms: 0,
             placements: 0,
             requests_each_100_ms,
-            readers: BTreeMap::new(),
+            simulated_engines: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(3),
             sends: 0,
             speeds: ids.zip(speeds.iter().copied().cycle()).collect(),
@@ -114,16 +114,16 @@
     }
 
     fn step(&mut self) {
-        self.passed_ms += 10;
+        self.elapsed_ms += 10;
         while let Some(entry) = self.due.first_entry() {
-            if entry.key().0 > self.passed_ms * 1_000 {
+            if entry.key().0 > self.elapsed_ms * 1_000 {
                 break;
             }
             let ((at_us, _), due) = entry.remove_entry();
-            self.carry_out(at_us, due);
+            self.report_progress(at_us, due);
         }
         for (number, host) in self.hosts.iter_mut().enumerate() {
-            host.now = Time::from_ms(1_000 + self.passed_ms);
+            host.now = Time::from_ms(1_000 + self.elapsed_ms);
             let as_of = host.now;
             host.handle(Event::ConfigurationConfirmed { as_of });
             let actions = host.handle(Event::Ticked);
@@ -131,13 +131,13 @@
                 Action::NoteSpeed(noted) => Some((number, noted)),
                 _ => None,
             });
-            self.noted.extend(noted);
+            self.speed_changes.extend(noted);
         }
-        if self.is_connected {
+        if self.exchanges_notes {
             exchange_notes(&mut self.hosts);
         }
         let due = |ms: u64| ms * self.requests_each_100_ms / 100;
-        for _ in due(self.passed_ms - 10)..due(self.passed_ms) {
+        for _ in due(self.elapsed_ms - 10)..due(self.elapsed_ms) {
             let document = self.rng.random_range(0..DOCUMENTS);
             let host = self.rng.random_range(0..self.hosts.len());
             self.arrive(host, document);
@@ -145,8 +145,8 @@
     }
 
     fn arrive(&mut self, host: usize, document: u64) {
-        let own = 1_000_000 + self.sends as u64;
-        let parts = [(document, DOCUMENT_TOKENS), (own, OWN_TOKENS)];
+        let unique_part = 1_000_000 + self.sends as u64;
+        let parts = [(document, DOCUMENT_TOKENS), (unique_part, UNIQUE_TOKENS)];
         let (request, actions) =
             self.hosts[host].ask(TestRequest::prompt("draft", "shop-key", &parts));
         let order = sent(&actions).unwrap();
@@ -154,164 +154,188 @@
         for byte in order.upstream.name().bytes() {
             self.placements = (self.placements ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         }
-        let noise = noise(&order.upstream, self.passed_ms);
-        let reader = self.readers.entry(order.upstream).or_default();
-        let mut tokens = OWN_TOKENS;
-        if reader.kept.insert(document) {
+        let slowdown = slowdown(&order.upstream, self.elapsed_ms);
+        let engine = self.simulated_engines.entry(order.upstream).or_default();
+        let mut tokens = UNIQUE_TOKENS;
+        if engine.cached_documents.insert(document) {
             tokens += DOCUMENT_TOKENS;
         }
-        let now_ms = self.passed_ms as f64;
-        let work_ms = f64::from(tokens) / READ_TOKENS_PER_MS / speed * noise;
-        reader.busy_until_ms = reader.busy_until_ms.max(now_ms) + work_ms;
-        reader.counted_ms += work_ms / noise;
-        self.leads_ms.push(reader.busy_until_ms - now_ms);
-        let due = Due::First(SendAt {
+        let now_ms = self.elapsed_ms as f64;
+        let work_ms = f64::from(tokens) / PREFILL_TOKENS_PER_MS / speed * slowdown;
+        engine.busy_until_ms = engine.busy_until_ms.max(now_ms) + work_ms;
+        engine.prefill_ms += work_ms / slowdown;
+        self.first_token_times_ms
+            .push(engine.busy_until_ms - now_ms);
+        let due = ScheduledProgress::FirstToken(RunningAttempt {
             attempt: order.attempt,
             host,
             request,
             speed,
         });
         self.sends += 1;
-        let at_us = (reader.busy_until_ms * 1_000.0) as u64;
+        let at_us = (engine.busy_until_ms * 1_000.0) as u64;
         self.due.insert((at_us, self.sends), due);
     }
 
-    fn carry_out(&mut self, at_us: u64, due: Due) {
-        let (at, tokens, is_last) = match due {
-            Due::First(at) => (at, 1, false),
-            Due::Rest(at) => (at, ANSWER_TOKENS, true),
+    fn report_progress(&mut self, at_us: u64, due: ScheduledProgress) {
+        let (running, tokens, is_last) = match due {
+            ScheduledProgress::FirstToken(running) => (running, 1, false),
+            ScheduledProgress::LastTokens(running) => (running, ANSWER_TOKENS, true),
         };
-        let host = &mut self.hosts[at.host];
+        let host = &mut self.hosts[running.host];
         host.now = Time::from_us(1_000_000 + at_us);
         host.handle(Event::Progressed {
-            attempt: at.attempt,
+            attempt: running.attempt,
             longest_pause: Duration::ZERO,
-            request: at.request,
+            request: running.request,
             tokens: Tokens::new(tokens),
         });
         if is_last {
-            let request = at.request;
+            let request = running.request;
             host.handle(Event::CallerGone { request });
             return;
         }
-        let span_ms = f64::from(ANSWER_TOKENS) * TOKEN_MS / at.speed;
+        let span_ms = f64::from(ANSWER_TOKENS) * TOKEN_INTERVAL_MS / running.speed;
         self.sends += 1;
         let ends_us = at_us + (span_ms * 1_000.0) as u64;
-        self.due.insert((ends_us, self.sends), Due::Rest(at));
+        self.due.insert(
+            (ends_us, self.sends),
+            ScheduledProgress::LastTokens(running),
+        );
     }
 
     /// Forgets what was counted.
-    fn count_anew(&mut self) {
-        self.leads_ms.clear();
-        for reader in self.readers.values_mut() {
-            reader.counted_ms = 0.0;
+    fn reset_measurements(&mut self) {
+        self.first_token_times_ms.clear();
+        for engine in self.simulated_engines.values_mut() {
+            engine.prefill_ms = 0.0;
         }
     }
 
     /// Time that the busiest engine reads, against what each would if all were divided by what they
     /// can do.
-    fn busiest(&self) -> f64 {
-        let readers = self.readers.iter();
-        let work = readers.map(|(id, reader)| reader.counted_ms * self.speeds[id]);
+    fn max_load_ratio(&self) -> f64 {
+        let simulated_engines = self.simulated_engines.iter();
+        let work = simulated_engines.map(|(id, engine)| engine.prefill_ms * self.speeds[id]);
         let even_ms = work.sum::<f64>() / self.speeds.values().sum::<f64>();
-        let times = self.readers.values().map(|reader| reader.counted_ms);
+        let times = self
+            .simulated_engines
+            .values()
+            .map(|engine| engine.prefill_ms);
         times.fold(0.0, f64::max) / even_ms
     }
 
     /// Time within which 95 in 100 get their first token.
-    fn lead_of_95(&mut self) -> f64 {
-        self.leads_ms.sort_by(f64::total_cmp);
-        self.leads_ms[self.leads_ms.len() * 95 / 100]
+    fn first_token_p95_ms(&mut self) -> f64 {
+        self.first_token_times_ms.sort_by(f64::total_cmp);
+        self.first_token_times_ms[self.first_token_times_ms.len() * 95 / 100]
     }
 
     /// The factor in force at a host for each engine that was ever seen to differ.
-    fn factors(&self, host: usize) -> BTreeMap<UpstreamId, f64> {
-        let noted = self.noted.iter().filter(|(number, _)| *number == host);
+    fn speed_factors(&self, host: usize) -> BTreeMap<UpstreamId, f64> {
+        let noted = self
+            .speed_changes
+            .iter()
+            .filter(|(number, _)| *number == host);
         noted
             .map(|(_, noted)| (noted.upstream.clone(), noted.factor))
             .collect()
     }
 
     /// Engines that a host believes to be faster than usual.
-    fn faster(&self, host: usize) -> BTreeSet<UpstreamId> {
-        let factors = self.factors(host).into_iter();
+    fn engines_believed_faster(&self, host: usize) -> BTreeSet<UpstreamId> {
+        let factors = self.speed_factors(host).into_iter();
         let faster = factors.filter(|(_, factor)| *factor > 1.0);
         faster.map(|(id, _)| id).collect()
     }
 
     /// Engines that are faster than usual.
-    fn truly_faster(&self) -> BTreeSet<UpstreamId> {
+    fn faster_engines(&self) -> BTreeSet<UpstreamId> {
         let faster = self.speeds.iter().filter(|(_, speed)| **speed > 1.0);
         faster.map(|(id, _)| id.clone()).collect()
     }
 }
 
 /// How much slower an engine is at a moment: 2.5 times for 0.6 s, now and then.
-fn noise(id: &UpstreamId, at_ms: u64) -> f64 {
+fn slowdown(id: &UpstreamId, at_ms: u64) -> f64 {
     let seed = id.name().bytes().fold(at_ms / 600, |seed, byte| {
         seed.wrapping_mul(31) + u64::from(byte)
     });
-    let is_slow = SmallRng::seed_from_u64(seed).random_bool(0.15);
-    if is_slow { 2.5 } else { 1.0 }
+    let is_slowed_down = SmallRng::seed_from_u64(seed).random_bool(0.15);
+    if is_slowed_down { 2.5 } else { 1.0 }
 }
 
 /// Plays a load until hosts know the engines, and looks at what comes of it then.
-fn play_uneven(seed: u64) {
+fn check_uneven_speeds(seed: u64) {
     let mut world = World::new(HOSTS, &SPEEDS, REQUESTS_EACH_100_MS);
     world.rng = SmallRng::seed_from_u64(seed);
-    world.advance(LEARN_MS);
-    world.count_anew();
-    world.advance(COUNT_MS);
-    let (busiest, lead_ms) = (world.busiest(), world.lead_of_95());
-    println!("busiest {busiest:.2}, 95 in 100 within {lead_ms:.0} ms");
-    assert!(busiest < 1.5, "busiest engine {busiest} of an even part");
+    world.advance(LEARNING_MS);
+    world.reset_measurements();
+    world.advance(MEASURING_MS);
+    let (max_load_ratio, first_token_p95_ms) = (world.max_load_ratio(), world.first_token_p95_ms());
+    println!("load ratio {max_load_ratio:.2}, 95 in 100 within {first_token_p95_ms:.0} ms");
+    assert!(
+        max_load_ratio < 1.5,
+        "busiest engine has {max_load_ratio} times its share"
+    );
     // The target of the class.
-    assert!(lead_ms < 500.0, "95 in 100 within {lead_ms} ms");
+    assert!(
+        first_token_p95_ms < 500.0,
+        "95 in 100 within {first_token_p95_ms} ms"
+    );
     for host in 0..HOSTS {
-        assert_eq!(world.faster(host), world.truly_faster(), "host {host}");
+        assert_eq!(
+            world.engines_believed_faster(host),
+            world.faster_engines(),
+            "host {host}"
+        );
     }
 }
 
 /// Guards against slow engines that are late with their part while fast ones are idle.
 #[test]
-fn engines_get_prompts_by_what_they_can_do() {
-    play_uneven(3);
+fn engines_get_prompts_in_proportion_to_their_speed() {
+    check_uneven_speeds(3);
 }
 
 /// Guards against engines that are taken for slow as prompts waited there while hosts knew little.
 #[test]
 fn engines_get_prompts_by_what_they_can_do_after_a_bad_start() {
-    play_uneven(6);
+    check_uneven_speeds(6);
 }
 
 /// Guards against engines that are taken for slow as they are delayed now and then, and against
 /// placements that change where engines are alike.
 #[test]
-fn placements_before_equal_engines_stay_as_they_were() {
-    let mut world = World::new(4, &[1.0], FEW_REQUESTS);
+fn learning_speeds_leaves_placements_on_equal_engines_unchanged() {
+    let mut world = World::new(4, &[1.0], LIGHT_REQUESTS_EACH_100_MS);
     world.advance(10_000);
-    assert!(world.noted.is_empty(), "{:?}", world.noted);
+    assert!(world.speed_changes.is_empty(), "{:?}", world.speed_changes);
     assert_eq!(world.placements, PLACEMENTS_OF_EQUAL_ENGINES);
 }
 
 /// Guards against a host that takes all engines for alike as no other host is in reach.
 #[test]
-fn hosts_that_hear_nothing_of_each_other_come_to_the_same() {
-    let mut world = World::new(2, &SPEEDS, FEW_REQUESTS);
-    world.is_connected = false;
+fn isolated_hosts_learn_the_same_speeds() {
+    let mut world = World::new(2, &SPEEDS, LIGHT_REQUESTS_EACH_100_MS);
+    world.exchanges_notes = false;
     world.advance(20_000);
     for host in 0..2 {
-        assert_eq!(world.faster(host), world.truly_faster(), "host {host}");
+        assert_eq!(
+            world.engines_believed_faster(host),
+            world.faster_engines(),
+            "host {host}"
+        );
     }
 }
 
 /// Guards against speeds that outlive what they rest on: an engine that no request reaches any
 /// more, and one that started again.
 #[test]
-fn an_engine_of_which_nothing_is_seen_is_usual_again() {
-    let mut world = World::new(1, &SPEEDS, FEW_REQUESTS);
+fn an_engine_without_recent_requests_has_the_usual_speed_again() {
+    let mut world = World::new(1, &SPEEDS, LIGHT_REQUESTS_EACH_100_MS);
     world.advance(20_000);
-    let faster = world.truly_faster().len();
+    let faster = world.faster_engines().len();
     let host = &mut world.hosts[0];
     assert_eq!(host.controller.speed_counts().faster, faster);
 
@@ -327,7 +351,7 @@
 }
 
 /// A note by which engines read so many tokens in a millisecond.
-fn note_of(host: u64, rates: &[(&str, f64)]) -> LoadNote {
+fn note_with_speeds(host: u64, rates: &[(&str, f64)]) -> LoadNote {
     let mut other = Host::new(host);
     other.advance(2_000);
     let (_, mut note) = other.take_notes().remove(0);
@@ -342,15 +366,15 @@
 /// Guards against a host that has to learn all anew after its start, and against one that follows
 /// a single other host.
 #[test]
-fn a_host_that_starts_believes_eight_others() {
+fn a_starting_host_adopts_speeds_that_eight_hosts_report() {
     let mut host = Host::new(0);
     let rates = [("engine-0", 45.0), ("engine-1", 109.0), ("engine-2", 45.0)];
-    for heard in 1..=8 {
-        let note = note_of(heard, &rates);
-        let from = address(heard as usize);
+    for received in 1..=8 {
+        let note = note_with_speeds(received, &rates);
+        let from = address(received as usize);
         host.handle(Event::LoadNoteReceived { from, note });
         host.advance(600);
-        let faster = usize::from(heard == 8);
+        let faster = usize::from(received == 8);
         assert_eq!(host.controller.speed_counts().faster, faster);
     }
 }
@@ -358,13 +382,13 @@
 /// Guards against notes of a host that cost more than its budget, which votes on speeds would make
 /// rarer.
 #[test]
-fn votes_on_speeds_cost_a_few_bytes() {
+fn speed_votes_add_at_most_17_bytes_to_a_load_note() {
     for hosts in [61, 985] {
         let mut host = Host::new(0);
         host.read_directory(engines(ENGINES), &[]);
         host.list_hosts(hosts);
         host.actions.clear();
-        let (mut bytes, mut of_votes) = (0, 0);
+        let (mut bytes, mut vote_bytes) = (0, 0);
         for number in 0..100 {
             let parts = [(number, 2_000)];
             let as_of = host.now;
@@ -391,12 +415,12 @@
                     let plain = LoadNote { speeds, ..note }.to_datagram("secret").len();
                     assert!(whole - plain <= 17, "{} bytes", whole - plain);
                     bytes += whole;
-                    of_votes += whole - plain;
+                    vote_bytes += whole - plain;
                 }
             }
         }
-        println!("{hosts} hosts: {bytes} bytes in 30 s, {of_votes} of votes");
-        assert!(of_votes > 0);
+        println!("{hosts} hosts: {bytes} bytes in 30 s, {vote_bytes} of votes");
+        assert!(vote_bytes > 0);
         assert!(
             bytes < 30 * 3_000,
             "{bytes} bytes in 30 s before {hosts} hosts"
--- a/crates/policy/tests/installation/sides.rs
+++ b/crates/policy/tests/installation/stream_separation.rs
@@ -9,16 +9,16 @@
 const DOCUMENT_TOKENS: u32 = 13_000;
 
 /// Where a stream of the class with the shortest target for pauses goes.
-fn place_stream(host: &mut Host, own: u64) -> String {
-    place(host, "question", &[(own, 100)])
+fn place_stream(host: &mut Host, unique_part: u64) -> String {
+    place(host, "question", &[(unique_part, 100)])
 }
 
 /// Where a prompt goes that shares a document.
-fn place_document(host: &mut Host, document: u64, own: u64) -> String {
+fn place_document(host: &mut Host, document: u64, unique_part: u64) -> String {
     place(
         host,
         "summary",
-        &[(document, DOCUMENT_TOKENS), (own, 3_000)],
+        &[(document, DOCUMENT_TOKENS), (unique_part, 3_000)],
     )
 }
 
@@ -30,7 +30,7 @@
     engine
 }
 
-fn host_of(seed: u64, engine_count: usize) -> Host {
+fn host_with_engines(seed: u64, engine_count: usize) -> Host {
     let mut host = Host::new(seed);
     host.read_directory(engines(engine_count), &[]);
     host
@@ -44,15 +44,15 @@
 ///
 /// Each document has one engine for all hosts, too: it is read once.
 #[test]
-fn hosts_that_receive_nothing_keep_streams_and_documents_apart_alike() {
+fn isolated_hosts_separate_streams_and_documents_consistently() {
     let mut streams = BTreeSet::new();
     let mut documents: BTreeMap<u64, BTreeSet<String>> = BTreeMap::new();
     for seed in 0..40 {
-        let mut host = host_of(seed, 24);
+        let mut host = host_with_engines(seed, 24);
         // Each host gets a mix of its own, and another order.
         for number in 0..60 {
-            let draw = (number * 7 + seed * 13) % 10;
-            if draw < 3 + seed % 2 {
+            let class_choice = (number * 7 + seed * 13) % 10;
+            if class_choice < 3 + seed % 2 {
                 streams.insert(place_stream(&mut host, 10_000 * seed + number));
             } else {
                 let document = number % 8;
@@ -70,16 +70,16 @@
         "{copies} copies: {documents:?}"
     );
     let used = documents.values().flatten();
-    let met: Vec<&String> = used.filter(|engine| streams.contains(*engine)).collect();
-    assert!(met.is_empty(), "streams and documents on {met:?}");
+    let shared: Vec<&String> = used.filter(|engine| streams.contains(*engine)).collect();
+    assert!(shared.is_empty(), "streams and documents on {shared:?}");
     assert!((6..=12).contains(&streams.len()), "streams on {streams:?}");
 }
 
 /// Symptom: streams share few engines, and more of them are lost with one. Events: nearly
 /// all that is asked for are streams. Cause: a fixed part of the engines is for them.
 #[test]
-fn streams_have_all_engines_where_nothing_else_is_asked_for() {
-    let mut host = host_of(0, 12);
+fn streams_use_all_engines_without_other_requests() {
+    let mut host = host_with_engines(0, 12);
     let mut used = BTreeSet::new();
     for number in 0..200 {
         let engine = place_stream(&mut host, number);
@@ -95,7 +95,7 @@
 /// asked for yet.
 #[test]
 fn the_first_streams_of_a_small_installation_use_both_engines() {
-    let mut host = host_of(0, 2);
+    let mut host = host_with_engines(0, 2);
     let used: BTreeSet<String> = (0..8)
         .map(|number| {
             let parts = [(50 + number, 350), (90 + number, 100)];
@@ -108,8 +108,8 @@
 /// Symptom: a third of the engines is idle in an overload. Events: nobody asks for streams.
 /// Cause: engines are kept for them all the same.
 #[test]
-fn documents_have_all_engines_where_no_streams_are_asked_for() {
-    let mut host = host_of(0, 12);
+fn documents_use_all_engines_without_streams() {
+    let mut host = host_with_engines(0, 12);
     let engines: BTreeSet<String> = (0..200)
         .map(|number| place_document(&mut host, 1_000 + number, number))
         .collect();
@@ -119,8 +119,8 @@
 /// Symptom: a burst of streams waits behind one another while other engines are idle.
 /// Events: 300 streams at once. Cause: what belongs to the other side is never used.
 #[test]
-fn a_side_that_is_full_overflows_into_the_other() {
-    let mut host = host_of(0, 12);
+fn a_burst_of_streams_also_uses_engines_for_documents() {
+    let mut host = host_with_engines(0, 12);
     for number in 0..60 {
         place_document(&mut host, 1_000 + number, number);
         if number % 4 == 0 {
--- a/crates/policy/tests/installation/unreachable.rs
+++ b/crates/policy/tests/installation/unreachable.rs
@@ -15,30 +15,30 @@
 const ENGINES: usize = 3;
 
 /// A host with engines in three domains, and the streams that it carries.
-struct Scene {
+struct StreamingHost {
     host: Host,
     streams: Vec<(RequestId, SendOrder)>,
     /// Part of the next prompt that no other one shares.
     next_part: u64,
 }
 
-impl Scene {
+impl StreamingHost {
     /// Streams run on each engine.
     fn new() -> Self {
         let mut host = Host::new(0);
         host.read_directory(engines_in_domains(&DOMAINS, ENGINES), &[]);
-        let mut scene = Self {
+        let mut setup = Self {
             host,
             next_part: 0,
             streams: Vec::new(),
         };
         for _ in 0..90 {
-            scene.start_stream();
+            setup.start_stream();
         }
-        let used = scene.streams.iter().map(|(_, order)| &order.upstream);
+        let used = setup.streams.iter().map(|(_, order)| &order.upstream);
         assert_eq!(used.collect::<BTreeSet<_>>().len(), DOMAINS.len() * ENGINES);
-        scene.advance(1_000, &DOMAINS);
-        scene
+        setup.advance(1_000, &DOMAINS);
+        setup
     }
 
     fn start_stream(&mut self) -> Option<SendOrder> {
@@ -53,13 +53,13 @@
     }
 
     /// Lets time pass while streams in some domains bring tokens.
-    fn advance(&mut self, ms: u64, received: &[&str]) {
+    fn advance(&mut self, ms: u64, progressing: &[&str]) {
         for _ in 0..ms / 50 {
             self.host.advance(50);
             let as_of = self.host.now;
             self.host.handle(Event::ConfigurationConfirmed { as_of });
             for (request, order) in self.streams.clone() {
-                if received.contains(&domain_of(&order)) {
+                if progressing.contains(&domain_of(&order)) {
                     self.host.handle(Event::Progressed {
                         attempt: order.attempt,
                         longest_pause: Duration::ZERO,
@@ -89,43 +89,43 @@
 /// nothing has failed yet. Cause: each upstream there is believed until three
 /// requests to it have failed, and half of all are never given up.
 #[test]
-fn a_host_that_is_cut_off_uses_its_own_domain_only() {
-    let mut scene = Scene::new();
-    scene.advance(600, &["north-a"]);
-    assert_eq!(scene.next_domains(), BTreeSet::from(["north-a"]));
+fn a_host_cut_off_from_other_domains_uses_only_its_own() {
+    let mut setup = StreamingHost::new();
+    setup.advance(600, &["north-a"]);
+    assert_eq!(setup.next_domains(), BTreeSet::from(["north-a"]));
 }
 
 #[test]
-fn a_domain_that_is_cut_off_gets_nothing_new() {
-    let mut scene = Scene::new();
-    scene.advance(600, &["north-a", "north-c"]);
-    assert_eq!(scene.next_domains(), BTreeSet::from(["north-a", "north-c"]));
+fn a_domain_that_is_cut_off_gets_no_new_requests() {
+    let mut setup = StreamingHost::new();
+    setup.advance(600, &["north-a", "north-c"]);
+    assert_eq!(setup.next_domains(), BTreeSet::from(["north-a", "north-c"]));
 }
 
 /// Symptom: a sound engine gets nothing for seconds. Events: the two other engines of
 /// its domain crash while it has nothing to do. Cause: their streams are taken for
 /// the whole domain's.
 #[test]
-fn an_idle_engine_is_not_given_up_for_its_neighbors() {
-    let mut scene = Scene::new();
+fn an_idle_engine_is_not_ejected_with_its_failed_neighbors() {
+    let mut setup = StreamingHost::new();
     let idle = format!("engine-{}", 2 * ENGINES - 1);
-    let (ended, kept) = std::mem::take(&mut scene.streams)
+    let (ended, kept) = std::mem::take(&mut setup.streams)
         .into_iter()
         .partition(|(_, order)| order.upstream.name() == idle);
-    scene.streams = kept;
+    setup.streams = kept;
     for (request, _) in ended {
-        scene.host.handle(Event::CallerGone { request });
+        setup.host.handle(Event::CallerGone { request });
     }
-    scene.advance(600, &["north-a", "north-c"]);
-    assert_eq!(scene.next_domains(), BTreeSet::from(DOMAINS));
+    setup.advance(600, &["north-a", "north-c"]);
+    assert_eq!(setup.next_domains(), BTreeSet::from(DOMAINS));
 }
 
 /// Symptom: a service gets nothing, though it may be there. Events: the only domain
 /// that has it falls silent. Cause: it is given up with the domain, and no other
 /// one serves the same.
 #[test]
-fn what_only_a_silent_domain_has_is_still_tried() {
-    let mut scene = Scene::new();
+fn a_service_only_in_a_silent_domain_still_gets_requests() {
+    let mut setup = StreamingHost::new();
     let mut all = engines_in_domains(&DOMAINS, ENGINES);
     let services = upstreams().into_iter();
     let mut services: Vec<_> = services
@@ -137,44 +137,44 @@
         }
     }
     all.extend(services);
-    scene.host.read_directory(all, &[]);
-    scene.advance(600, &["north-a", "north-c"]);
-    assert!(!scene.next_domains().contains("north-b"));
-    assert!(sent(&scene.host.ask(lookup()).1).is_some());
+    setup.host.read_directory(all, &[]);
+    setup.advance(600, &["north-a", "north-c"]);
+    assert!(!setup.next_domains().contains("north-b"));
+    assert!(sent(&setup.host.ask(lookup()).1).is_some());
 }
 
 /// What is ejected comes back by a probe.
 #[test]
 fn a_domain_comes_back_when_its_upstreams_answer() {
-    let mut scene = Scene::new();
-    scene.advance(600, &["north-a", "north-c"]);
-    scene.advance(1_100, &DOMAINS);
+    let mut setup = StreamingHost::new();
+    setup.advance(600, &["north-a", "north-c"]);
+    setup.advance(1_100, &DOMAINS);
     for number in ENGINES..2 * ENGINES {
-        scene.host.handle(Event::ProbeAnswered {
+        setup.host.handle(Event::ProbeAnswered {
             healthy: true,
             upstream: format!("engine-{number}").parse().unwrap(),
         });
     }
-    assert_eq!(scene.next_domains(), BTreeSet::from(DOMAINS));
+    assert_eq!(setup.next_domains(), BTreeSet::from(DOMAINS));
 }
 
 /// Symptom: a host that woke up gives up upstreams that are well. Events: it is
 /// suspended for two seconds. Cause: it takes its own pause for theirs.
 #[test]
-fn a_host_that_stood_still_believes_in_all_domains() {
-    let mut scene = Scene::new();
-    scene.host.now = scene.host.now.plus_ms(2_000);
-    let as_of = scene.host.now;
-    scene.host.handle(Event::ConfigurationConfirmed { as_of });
-    scene.host.handle(Event::Ticked);
-    assert_eq!(scene.next_domains(), BTreeSet::from(DOMAINS));
+fn a_host_that_was_suspended_ejects_no_domain() {
+    let mut setup = StreamingHost::new();
+    setup.host.now = setup.host.now.plus_ms(2_000);
+    let as_of = setup.host.now;
+    setup.host.handle(Event::ConfigurationConfirmed { as_of });
+    setup.host.handle(Event::Ticked);
+    assert_eq!(setup.next_domains(), BTreeSet::from(DOMAINS));
 }
 
 /// A host that observes nobody is more likely to be cut off itself, and goes on
 /// trying.
 #[test]
-fn a_host_that_observes_nobody_gives_nobody_up() {
-    let mut scene = Scene::new();
-    scene.advance(600, &[]);
-    assert_eq!(scene.next_domains(), BTreeSet::from(DOMAINS));
+fn a_host_that_gets_no_progress_from_any_domain_ejects_none() {
+    let mut setup = StreamingHost::new();
+    setup.advance(600, &[]);
+    assert_eq!(setup.next_domains(), BTreeSet::from(DOMAINS));
 }
--- a/crates/policy/tests/installation/upstreams.rs
+++ b/crates/policy/tests/installation/upstreams.rs
@@ -9,7 +9,7 @@
 /// store is away, the upstreams' entries lapse, the first reading lists none.
 /// Cause: a missing entry is taken for one that was removed.
 #[test]
-fn keeps_upstreams_that_may_only_have_lapsed() {
+fn keeps_upstreams_whose_entries_may_have_expired() {
     let mut host = Host::new(0);
     host.lose_directory(2_000);
     host.read_directory(engines(0), &[]);
@@ -29,7 +29,7 @@
 /// removed while the store is well. Cause: the memory of missing entries is used
 /// although nothing can have lapsed.
 #[test]
-fn drops_a_missing_upstream_at_once_while_the_store_is_well() {
+fn drops_a_missing_upstream_at_once_while_the_store_is_available() {
     let mut host = Host::new(0);
     host.advance(3_000);
     host.read_directory(engines(0), &[]);
@@ -39,7 +39,7 @@
 /// Guards against requests to an upstream whose entry was removed, where only the host was
 /// turned away that informed this one of what the store says.
 #[test]
-fn drops_a_missing_upstream_at_once_where_the_store_never_was_away() {
+fn drops_a_missing_upstream_at_once_where_the_store_stayed_available() {
     let mut host = Host::new(0);
     host.handle(Event::DirectoryLost);
     host.advance(2_000);
@@ -50,7 +50,7 @@
 
 /// Guards against requests to an upstream that left while a host lost its own way to the store.
 #[test]
-fn an_upstream_that_left_gets_nothing_from_a_host_that_lost_its_way_to_the_store() {
+fn an_upstream_that_left_during_a_hosts_store_outage_gets_no_requests() {
     let mut host = Host::new(0);
     host.lose_directory(2_000);
     let mut listed = upstreams();
@@ -69,16 +69,16 @@
 
 /// Guards against refusals where an outage let most entries lapse, and some are back before others.
 #[test]
-fn upstreams_that_lapsed_together_are_kept_until_the_last_ones_are_back() {
+fn upstreams_that_expired_together_are_kept_while_entries_come_back() {
     let mut host = Host::new(0);
     host.lose_directory(4_000);
-    for back in ["shop-0", "shop-1"] {
+    for restored in ["shop-0", "shop-1"] {
         let mut listed = upstreams();
-        listed.retain(|id, _| id.name() == back);
+        listed.retain(|id, _| id.name() == restored);
         host.read_directory(listed, &[]);
         host.advance(500);
         let unlisted = host.controller.unlisted();
-        assert!(unlisted.contains(&"shop-2".parse().unwrap()), "{back}");
+        assert!(unlisted.contains(&"shop-2".parse().unwrap()), "{restored}");
     }
     host.advance(1_100);
     assert_eq!(host.controller.unlisted(), []);
@@ -86,7 +86,7 @@
 
 /// Guards against refusals where all that is listed after an outage is leaving.
 #[test]
-fn an_upstream_that_may_have_lapsed_is_kept_where_all_that_are_listed_leave() {
+fn an_expired_upstream_is_kept_where_all_listed_upstreams_are_leaving() {
     let mut host = Host::new(0);
     host.read_directory(upstreams(), &["shop-0", "shop-1"]);
     host.lose_directory(4_000);
@@ -101,7 +101,7 @@
 
 /// Guards against requests to upstreams that left, where a host learns late that the store is back.
 #[test]
-fn missing_upstreams_are_kept_from_the_stores_return_not_from_the_word_of_it() {
+fn retention_of_missing_upstreams_starts_when_the_store_returns() {
     let mut host = Host::new(0);
     host.handle(Event::DirectoryLost);
     host.advance(4_000);
@@ -118,7 +118,7 @@
 /// leaving, the store goes away, and its entry is gone at the return. Cause: one
 /// that was leaving is taken for one that lapsed.
 #[test]
-fn does_not_keep_an_upstream_that_said_it_was_leaving() {
+fn does_not_keep_a_leaving_upstream() {
     let mut host = Host::new(0);
     let all = ["shop-0", "shop-1", "shop-2"];
     host.read_directory(upstreams(), &all);
--- a/crates/policy/tests/installation/urgency.rs
+++ b/crates/policy/tests/installation/urgency.rs
@@ -27,7 +27,7 @@
 /// tier takes the place of the class's. Before, few of the
 /// urgent short replies were in time at 1.5 times the capacity.
 #[test]
-fn a_queue_orders_by_the_teams_tier_and_then_by_the_class() {
+fn a_queue_orders_by_team_tier_then_by_class() {
     let mut host = Host::new(0);
     let mut engine = engines(1);
     for upstream in engine.values_mut() {
@@ -45,14 +45,14 @@
         assert!(sent(&actions).is_none());
         waiting.push(request);
     }
-    for wanted in waiting.into_iter().rev() {
+    for expected in waiting.into_iter().rev() {
         let actions = host.handle(Event::CallerGone { request: running });
         let mut started = actions.iter().filter_map(|action| match action {
             Action::Send { request, .. } => Some(*request),
             _ => None,
         });
         running = started.next().unwrap();
-        assert_eq!(running, wanted);
+        assert_eq!(running, expected);
     }
 }
 
@@ -61,7 +61,7 @@
 /// the urgent ones of a lesser team. Cause: the team's tier goes first at the engine as
 /// it does in the queue, and the lesser levels share one priority.
 #[test]
-fn an_engine_is_given_the_class_first_and_then_the_teams_tier() {
+fn an_engines_priorities_order_by_class_then_by_team_tier() {
     let mut host = Host::new(0);
     let mut priority = |class, key| sent(&host.ask(prompt(class, key)).1).unwrap().priority;
     let levels = [
@@ -74,8 +74,8 @@
     assert!(levels.is_sorted_by(|a, b| a < b), "{levels:?}");
 }
 
-/// Lets an engine give its first event, and ten more `each_ms` apart.
-fn give_tokens(host: &mut Host, request: RequestId, order: &policy::SendOrder, each_ms: u64) {
+/// Lets an engine give its first event, and ten more `interval_ms` apart.
+fn report_tokens(host: &mut Host, request: RequestId, order: &policy::SendOrder, interval_ms: u64) {
     let progress = |host: &mut Host, tokens| {
         host.handle(Event::Progressed {
             attempt: order.attempt,
@@ -85,7 +85,7 @@
         });
     };
     progress(host, 1);
-    host.now = host.now.plus_ms(10 * each_ms);
+    host.now = host.now.plus_ms(10 * interval_ms);
     progress(host, 10);
     host.handle(Event::CallerGone { request });
 }
@@ -96,17 +96,17 @@
 /// prompts' and 161 of the long ones' shared parts were read on a further engine
 /// on a quiet day, after it 263 and 16.
 #[test]
-fn an_idle_engine_draws_no_prompt_from_its_home() {
+fn an_idle_engine_takes_no_prompts_from_their_preferred_engines() {
     let mut host = Host::new(0);
     let parts = |number: u64| [(number, 13_300), (1_000 + number, 3_700)];
-    let mut homes = std::collections::BTreeMap::new();
+    let mut placements = std::collections::BTreeMap::new();
     for number in 0..30 {
         let ask = TestRequest::prompt("question", "shop-key", &parts(number));
         let (request, actions) = host.ask(ask);
         let order = sent(&actions).unwrap();
-        let idle = order.upstream.name() == "engine-0";
-        give_tokens(&mut host, request, &order, if idle { 3 } else { 24 });
-        homes.insert(number, order.upstream);
+        let is_idle = order.upstream.name() == "engine-0";
+        report_tokens(&mut host, request, &order, if is_idle { 3 } else { 24 });
+        placements.insert(number, order.upstream);
         let as_of = host.now;
         host.handle(Event::ConfigurationConfirmed { as_of });
     }
@@ -116,9 +116,14 @@
         let (request, actions) = host.ask(ask);
         let order = sent(&actions).unwrap();
         host.handle(Event::CallerGone { request });
-        homes.insert(number, order.upstream);
+        placements.insert(number, order.upstream);
     }
-    let drawn = homes.values().filter(|home| home.name() == "engine-0");
-    let drawn = drawn.count();
-    assert!((10..=32).contains(&drawn), "{drawn} of 60 at one of three");
+    let on_idle = placements
+        .values()
+        .filter(|engine| engine.name() == "engine-0");
+    let on_idle = on_idle.count();
+    assert!(
+        (10..=32).contains(&on_idle),
+        "{on_idle} of 60 at one of three"
+    );
 }
--- a/crates/policy/tests/installation/usage.rs
+++ b/crates/policy/tests/installation/usage.rs
@@ -28,7 +28,7 @@
 }
 
 /// Requests that the host tells the holder of.
-fn announced(host: &mut Host) -> u32 {
+fn reported_count(host: &mut Host) -> u32 {
     host.actions.clear();
     host.advance(1_000);
     let mut notes = host.actions.iter().filter_map(|action| match action {
@@ -62,37 +62,37 @@
 }
 
 #[test]
-fn a_stream_counts_with_its_first_token_and_once() {
+fn a_stream_is_counted_once_at_its_first_token() {
     let mut host = counting_host();
     let (request, order) = send(&mut host, stream());
-    assert_eq!(announced(&mut host), 0);
+    assert_eq!(reported_count(&mut host), 0);
     progress(&mut host, request, &order);
     progress(&mut host, request, &order);
     host.finish(&order, request);
-    assert_eq!(announced(&mut host), 1);
+    assert_eq!(reported_count(&mut host), 1);
 }
 
 #[test]
-fn a_call_of_a_service_counts_once_it_was_answered() {
+fn a_service_call_is_counted_when_it_completes() {
     let mut host = counting_host();
     let (request, order) = send(&mut host, lookup());
     host.finish(&order, request);
-    assert_eq!(announced(&mut host), 1);
+    assert_eq!(reported_count(&mut host), 1);
 }
 
 /// Guards against reports that lack what an upstream began and answered with an error.
 #[test]
-fn an_error_of_the_upstream_counts_and_a_refusal_does_not() {
+fn an_upstream_error_is_counted_but_a_failed_connection_is_not() {
     let mut host = counting_host();
     let (request, order) = send(&mut host, stream());
     let (cause, verdict) = (FailureCause::ErrorStatus, Verdict::Ran);
     host.fail(&order, request, cause, verdict, false);
-    assert_eq!(announced(&mut host), 1);
+    assert_eq!(reported_count(&mut host), 1);
     let (request, order) = send(&mut host, stream());
     let (cause, verdict) = (FailureCause::Connect, Verdict::NotRun);
     host.fail(&order, request, cause, verdict, false);
     host.handle(Event::CallerGone { request });
-    assert_eq!(announced(&mut host), 1);
+    assert_eq!(reported_count(&mut host), 1);
 }
 
 #[test]
@@ -100,16 +100,16 @@
     let mut host = counting_host();
     let (request, order) = send(&mut host, TestRequest::public_call("lookup"));
     host.finish(&order, request);
-    assert_eq!(announced(&mut host), 0);
+    assert_eq!(reported_count(&mut host), 0);
 }
 
 /// Guards against orders of upstreams that follow nothing, as the holder is not told what is
 /// asked for.
 #[test]
-fn the_holder_is_told_what_was_put_on_engines() {
+fn the_duty_holder_receives_the_work_placed_on_engines() {
     let mut host = counting_host();
     let (request, order) = send(&mut host, stream());
-    let work = |host: &mut Host| {
+    let take_work = |host: &mut Host| {
         host.actions.clear();
         host.advance(1_000);
         let mut works = host.actions.iter().filter_map(|action| match action {
@@ -118,13 +118,13 @@
         });
         works.next_back().unwrap()
     };
-    let waiting = work(&mut host);
+    let waiting = take_work(&mut host);
     assert_eq!(waiting[0].model.as_str(), "pool");
     assert_eq!((waiting[0].in_flight, waiting[0].total_ms), (1, 1));
     assert_eq!(waiting[0].waiting_ms, 1);
     progress(&mut host, request, &order);
     host.finish(&order, request);
-    let done = work(&mut host);
+    let done = take_work(&mut host);
     assert_eq!((done[0].in_flight, done[0].total_ms), (0, 1));
     assert_eq!(done[0].waiting_ms, 0);
 }
