--- a/crates/policy/tests/installation/service_world.rs
+++ b/crates/policy/tests/installation/service_world.rs
@@ -1,6 +1,7 @@
-//! Hosts in several failure domains before the replicas of a service, in virtual time: connections
-//! of a host's own can be cut, and another host can open one for it; replicas have room for so many
-//! requests, and may fall over when they have to reject much.
+//! Simulates, in virtual time, hosts in several failure domains that send requests to the replicas
+//! of a service. Direct paths between hosts and replicas can be cut, and another host can then
+//! connect on behalf of a host. Replicas have a limited number of slots, and can crash when they
+//! reject too many requests.
 
 use {
     crate::{
@@ -21,46 +22,50 @@
 
 pub const DOMAINS: [&str; 3] = ["north-a", "north-b", "north-c"];
 
-/// Replicas of the service.
+/// Number of replicas of the service.
 pub const REPLICAS: usize = 12;
 
-/// Where replicas listen, apart from hosts.
+/// Number of the first replica's address, beyond the addresses of hosts.
 const FIRST_REPLICA_ADDRESS: usize = 5_000;
 
 const TICK: Duration = Duration::from_millis(20);
 
+/// Delay of a datagram between two hosts.
 const DATAGRAM_DELAY: Duration = Duration::from_millis(1);
 
-/// Usual time in which a replica answers, on average.
+/// Default of [`World::mean_response_time`].
 const MEAN_RESPONSE_TIME: Duration = Duration::from_millis(30);
 
-/// Head start of a path over the next one, and the time for all of them.
+/// Delay before the next path is tried while the previous one has not connected.
 const HEAD_START: Duration = Duration::from_millis(60);
+/// Time limit for all paths of an attempt.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time for which a host tries to connect for another one.
+/// Time limit of a host that connects on behalf of another host.
 const TRANSIT_TIMEOUT: Duration = Duration::from_millis(200);
 
+/// Time to establish or refuse a direct connection, also used as the delay of responses.
 const CONNECT_TIME: Duration = Duration::from_millis(1);
 
-/// Paths that are lost for a time.
+/// Direct paths from hosts to replicas that are cut for a time.
 #[derive(Clone, Debug)]
 pub struct Cut {
     pub from: Time,
     pub hosts: BTreeSet<usize>,
-    /// Whether connections are refused, rather than not answered.
+    /// Whether connections are refused; otherwise they get no response.
     pub refuses: bool,
     pub replicas: BTreeSet<usize>,
     pub until: Time,
 }
 
-/// First tries of callers, and how many of them were served.
+/// Numbers of requests, not counting retries.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestCounts {
     pub total: usize,
     pub served: usize,
 }
 
+/// An event of the simulation that is due at a later time.
 enum ScheduledEvent {
     RequestArrives {
         host: usize,
@@ -86,36 +91,39 @@
     },
 }
 
+/// The simulated hosts and replicas.
 pub struct World {
-    /// Time in which a replica answers, on average.
+    /// Mean time in which a replica processes a request; the times are spread by half of it.
     pub mean_response_time: Duration,
-    /// When each request arrived at which host.
+    /// Arrival time of each request, by the number of its host.
     arrival_times: BTreeMap<(usize, RequestId), Time>,
     pub cuts: Vec<Cut>,
-    /// Hosts that do nothing, and answer nothing.
+    /// Hosts that process no events and respond to no other host.
     pub stopped_hosts: BTreeSet<usize>,
+    /// Events by due time; the number keeps the order of events with equal times.
     scheduled: BTreeMap<(Time, u64), ScheduledEvent>,
     pub hosts: Vec<Host>,
     last_event_number: u64,
     pub now: Time,
     pub replicas: Vec<ServedReplica>,
     rng: SmallRng,
-    /// Requests that were served: when and where they arrived.
+    /// Served requests, with their arrival times and the numbers of their hosts.
     served: BTreeSet<(Time, usize, RequestId)>,
-    /// Hosts whose datagrams get nowhere.
+    /// Hosts that neither send nor receive any datagrams.
     pub hosts_losing_datagrams: BTreeSet<usize>,
-    /// Attempts that connected through another host.
+    /// Number of attempts that connected through another host.
     pub indirect_attempts: usize,
+    /// All requests, with their arrival times and the numbers of their hosts.
     requests: Vec<(Time, usize, RequestId)>,
 }
 
 impl World {
-    /// Hosts before replicas that always have room.
+    /// Creates hosts, and replicas with 64 slots each.
     pub fn new(hosts: usize, seed: u64) -> Self {
         Self::with_slots(hosts, 64, seed)
     }
 
-    /// The same with so many slots of each replica.
+    /// Like [`Self::new`], with the given number of slots for each replica.
     pub fn with_slots(hosts: usize, slots: usize, seed: u64) -> Self {
         let peers: Vec<PeerHost> = (0..hosts).map(peer).collect();
         let start = |number: usize| {
@@ -134,6 +142,7 @@
             requests: Vec::new(),
             cuts: Vec::new(),
             stopped_hosts: BTreeSet::new(),
+            /// Events by due time; the number keeps the order of events with equal times.
             scheduled: BTreeMap::new(),
             hosts: (0..hosts).map(start).collect(),
             last_event_number: 0,
@@ -148,7 +157,7 @@
         }
     }
 
-    /// Cuts hosts off from replicas from now on.
+    /// Cuts the direct paths from hosts to replicas, from now on for a time.
     pub fn cut(&mut self, hosts: &[usize], replicas: &[usize], refuses: bool, span: Duration) {
         self.cuts.push(Cut {
             from: self.now,
@@ -159,7 +168,7 @@
         });
     }
 
-    /// Lets time pass, with so many requests a second at each host.
+    /// Advances the time, with `per_host_s` requests a second at each host.
     pub fn advance(&mut self, span: Duration, per_host_s: f64) {
         let end = self.now + span;
         while self.now < end {
@@ -187,7 +196,8 @@
         }
     }
 
-    /// Lets replicas be brittle, and less wait there.
+    /// Sets the rate of rejections above which replicas crash, or `None` for replicas that do not
+    /// crash. Replicas that can crash reject requests instead of queueing them.
     pub fn make_brittle(&mut self, replicas: &[usize], rejections_per_s: Option<f64>) {
         for replica in replicas {
             let replica = &mut self.replicas[*replica];
@@ -200,11 +210,12 @@
         }
     }
 
+    /// Returns the number of crashes of all replicas.
     pub fn crash_count(&self) -> usize {
         self.replicas.iter().map(|replica| replica.falls).sum()
     }
 
-    /// Requests that arrived in a span at hosts for which something holds.
+    /// Counts requests that arrived in a time span at the selected hosts.
     pub fn request_counts(
         &self,
         from: Time,
@@ -220,12 +231,12 @@
         })
     }
 
-    /// Numbers of the replicas.
+    /// Returns the numbers of all replicas.
     pub fn all_replicas() -> Vec<usize> {
         (0..REPLICAS).collect()
     }
 
-    /// Hosts of a domain.
+    /// Returns the numbers of the hosts in a failure domain.
     pub fn hosts_in(&self, domain: &str) -> Vec<usize> {
         let hosts = 0..self.hosts.len();
         hosts.filter(|host| domain_of(*host) == domain).collect()
@@ -242,6 +253,7 @@
         self.perform_actions(host);
     }
 
+    /// Processes the events that are due before `until`.
     fn process_events(&mut self, until: Time) {
         while let Some(entry) = self.scheduled.first_entry() {
             let (at, _) = *entry.key();
@@ -334,7 +346,9 @@
         self.schedule_attempt_end(ended, end, CONNECT_TIME);
     }
 
-    /// Tells a host what the replica says of itself in the answer to a request.
+    /// Delivers the notice in a replica's response: the rejection limit that the replica advertises.
+    /// A replica without a limit sends one only if the order contains an earlier limit, which the
+    /// notice then withdraws.
     fn send_notice(&mut self, replica: usize, visit: &Visit) {
         let brittle = self.replicas[replica].brittle.and_then(Rate::per_second);
         if brittle.is_none() && visit.order.inputs.rejection_limit.is_none() {
@@ -369,6 +383,7 @@
         );
     }
 
+    /// Passes an event to a host and carries out its actions.
     fn handle_event(&mut self, host: usize, event: Event) {
         if self.stopped_hosts.contains(&host) {
             return;
@@ -458,7 +473,8 @@
         }
     }
 
-    /// Opens the first path that connects; gives what was tried, and how long it took.
+    /// Tries paths in order, each with a head start over the next one. Returns the path that
+    /// connects first, the outcomes of the paths tried, and the time taken.
     fn open_connection(
         &mut self,
         host: usize,
@@ -513,6 +529,7 @@
         (opened.map(|(path, _)| path), tries, span)
     }
 
+    /// Returns how long a path takes to connect or fail, and with what outcome.
     fn try_path(
         &mut self,
         host: usize,
--- a/crates/policy/tests/installation/support.rs
+++ b/crates/policy/tests/installation/support.rs
@@ -1,5 +1,5 @@
-//! Controllers of an installation, driven without a network: routes, teams with
-//! tiers, engines and a service named by a directory, notes between hosts.
+//! Drives the controllers of hosts without a network. Provides a configuration with teams and
+//! request classes, a directory of engines and service replicas, and the exchange of load notes.
 
 use {
     config::{Document, Engine, ServiceReplica, Upstream, VersionedDocument},
@@ -18,45 +18,47 @@
     types::prelude::*,
 };
 
-/// Bound for a removed key that the hosts of the tests are given.
+/// Maximum time for which hosts in the tests may accept a key after its removal.
 pub const KEY_KNOWLEDGE_LIMIT: Duration = Duration::from_secs(4);
 
-/// Time for which a host may go on with a version that it knows to be outdated.
+/// Maximum time for which a host may apply a configuration version that it knows to be outdated.
 pub const APPLY_LIMIT: Duration = Duration::from_secs(2);
 
 pub const ENGINES: usize = 3;
 
-/// How long callers wait.
+/// Default time limit of requests.
 pub const TIME_LIMIT: Duration = Duration::from_secs(8);
 
-/// Window of the counted requests.
+/// Length of the windows in which hosts count requests for usage reports.
 pub const USAGE_WINDOW: Duration = Duration::from_secs(5);
 
-/// Retries that all hosts together may make beyond the ratio.
+/// Retries that all hosts together may make in addition to the retry ratio.
 pub const RETRY_EXTRA: u32 = 42;
 
+/// A controller with its virtual clock.
 pub struct Host {
+    /// Actions of all events so far, until a test takes them.
     pub actions: Vec<Action>,
     pub controller: Controller,
     pub now: Time,
     next_request: u64,
 }
 
-/// A request to be sent to a host.
+/// A request that a test sends to a host.
 pub struct TestRequest {
-    /// Its body; `None` for one that no other request has.
+    /// `None` stands for a body that differs from those of all other requests.
     pub body: Option<String>,
     pub class: &'static str,
     pub key: &'static str,
-    /// Whether its route needs no key.
+    /// Whether the route accepts requests without a key.
     pub public: bool,
     pub parts: Vec<PromptPart>,
     pub target: Target,
-    /// How long its caller waits.
     pub time_limit: Duration,
 }
 
 impl TestRequest {
+    /// A prompt for the engines. Parts are pairs of an id and a number of tokens.
     pub fn prompt(class: &'static str, key: &'static str, parts: &[(u64, u32)]) -> Self {
         Self {
             body: None,
@@ -89,7 +91,7 @@
 }
 
 impl TestRequest {
-    /// A call by a route that needs no key.
+    /// A service call on a route that accepts requests without a key.
     pub fn public_call(class: &'static str) -> Self {
         Self {
             public: true,
@@ -99,12 +101,12 @@
 }
 
 impl Host {
-    /// A host that has read the configuration and the directory.
+    /// Returns a host in `north-a` that has read the configuration and the directory.
     pub fn new(number: u64) -> Self {
         Self::new_in("north-a", number)
     }
 
-    /// The same in a failure domain.
+    /// Like [`Self::new`], in the given failure domain.
     pub fn new_in(domain: &str, number: u64) -> Self {
         let mut host = Self {
             actions: Vec::new(),
@@ -136,7 +138,7 @@
         host
     }
 
-    /// Reads a list of so many hosts.
+    /// Gives the host a peer list of `count` hosts.
     pub fn list_hosts(&mut self, count: usize) {
         let peers = (0..count).map(|number| PeerHost {
             address: address(number),
@@ -174,7 +176,7 @@
         });
     }
 
-    /// Has no answer of the directory for a time.
+    /// Makes the directory unavailable to the host for a time.
     pub fn lose_directory(&mut self, ms: u64) {
         self.handle(Event::DirectoryLost);
         self.advance(ms);
@@ -182,12 +184,12 @@
         self.handle(Event::DirectoryRegained { at });
     }
 
-    /// Numbers its next requests from here on.
+    /// Sets the id of the next request; later requests count on from there.
     pub fn set_next_request_id(&mut self, to: u64) {
         self.next_request = to;
     }
 
-    /// Lets time pass in ticks of the controller's thread.
+    /// Advances the clock in steps of 10 ms, with a tick of the controller at each step.
     pub fn advance(&mut self, ms: u64) {
         let end = self.now.plus_ms(ms);
         while self.now < end {
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Sends a request; gives its id and what was done at once.
+    /// Sends a request. Returns its id and the actions that the controller took immediately.
     pub fn ask(&mut self, test_request: TestRequest) -> (RequestId, Vec<Action>) {
         let request = RequestId::new(self.next_request);
         self.next_request += 1;
@@ -221,6 +223,7 @@
         (request, actions)
     }
 
+    /// Reports that an attempt failed.
     pub fn fail(
         &mut self,
         order: &SendOrder,
@@ -241,7 +244,7 @@
         })
     }
 
-    /// An attempt is answered whole.
+    /// Reports that the response of an attempt is complete.
     pub fn finish(&mut self, order: &SendOrder, request: RequestId) {
         self.handle(Event::AttemptEnded {
             attempt: order.attempt,
@@ -254,7 +257,7 @@
         });
     }
 
-    /// The newest notes that this host wants sent.
+    /// Takes all recorded actions, and returns the load notes that the host sent last.
     pub fn take_notes(&mut self) -> Vec<(SocketAddr, LoadNote)> {
         let actions = std::mem::take(&mut self.actions);
         let mut notes = actions.into_iter().filter_map(|action| match action {
@@ -265,6 +268,7 @@
     }
 }
 
+/// Returns the first order to send an attempt.
 pub fn sent(actions: &[Action]) -> Option<SendOrder> {
     actions.iter().find_map(|action| match action {
         Action::Send { order, .. } => Some(order.clone()),
@@ -272,6 +276,7 @@
     })
 }
 
+/// Returns the first refusal, before or within a response stream.
 pub fn refused(actions: &[Action]) -> Option<Refusal> {
     actions.iter().find_map(|action| match action {
         Action::Refuse { refusal, .. } | Action::FailStream { refusal, .. } => Some(*refusal),
@@ -284,13 +289,12 @@
     format!("10.0.{high}.{low}:80").parse().unwrap()
 }
 
-/// Engines of one failure domain.
+/// Returns engines in `north-a`.
 pub fn engines(count: usize) -> BTreeMap<UpstreamId, Upstream> {
     engines_in_domains(&["north-a"], count)
 }
 
-/// So many engines in each of some failure domains, numbered one domain after the
-/// other.
+/// Returns `each` engines for each of the failure domains, numbered domain by domain.
 pub fn engines_in_domains(domains: &[&str], each: usize) -> BTreeMap<UpstreamId, Upstream> {
     let engines = (0..domains.len() * each).map(|number| {
         let engine = Engine {
@@ -312,7 +316,7 @@
     engines.collect()
 }
 
-/// Three engines and three replicas of a service.
+/// Returns [`ENGINES`] engines and three replicas of the service `shop`.
 pub fn upstreams() -> BTreeMap<UpstreamId, Upstream> {
     let mut upstreams = engines(ENGINES);
     for number in 0..3 {
@@ -367,17 +371,17 @@
     .unwrap()
 }
 
-/// A call that may be repeated.
+/// An idempotent service call, which may be retried.
 pub fn lookup() -> TestRequest {
     TestRequest::call("lookup")
 }
 
-/// A call that must not run twice.
+/// A service call that must not run twice.
 pub fn order() -> TestRequest {
     TestRequest::call("order")
 }
 
-/// Lets hosts receive the notes that the others want sent.
+/// Delivers the load notes that hosts sent to each other.
 pub fn exchange_notes(hosts: &mut [Host]) {
     let hosts_listed = hosts.len();
     for from in 0..hosts.len() {
--- a/crates/policy/tests/installation/usage.rs
+++ b/crates/policy/tests/installation/usage.rs
@@ -106,7 +106,7 @@
 /// Guards against orders of upstreams that follow nothing, as the holder is not told what is
 /// asked for.
 #[test]
-fn the_duty_holder_receives_the_work_placed_on_engines() {
+fn the_coordinator_receives_the_work_placed_on_engines() {
     let mut host = counting_host();
     let (request, order) = send(&mut host, stream());
     let take_work = |host: &mut Host| {
