--- a/crates/policy/tests/installation/faulty_replicas.rs
+++ b/crates/policy/tests/installation/faulty_replicas.rs
@@ -1,5 +1,4 @@
-//! Upstreams that fail, are slow, or cannot be reached, and how few requests they
-//! get then.
+//! Tests that replicas with a high error rate or response time get few requests.
 
 use {
     crate::support::{Host, lookup, sent},
@@ -8,11 +7,11 @@
     types::prelude::*,
 };
 
-/// How one replica behaves.
+/// Response time and errors of a simulated replica.
 #[derive(Clone, Copy)]
 struct ReplicaBehavior {
     response_ms: u64,
-    /// One in so many requests fails; 0 for none.
+    /// Every n-th request fails; 0 means that none fails.
     failure_interval: u64,
 }
 
@@ -21,8 +20,8 @@
     failure_interval: 0,
 };
 
-/// Plays lookups on a host, one each 40 ms, against three replicas of which the
-/// first is faulty; gives how many first attempts each got after the first 5 s.
+/// Sends a lookup every 40 ms through a host with three replicas, the first with the given
+/// behavior. Returns the number of first attempts that each replica got after the first 5 s.
 fn first_attempts(faulty: ReplicaBehavior) -> BTreeMap<String, usize> {
     let mut host = Host::new(0);
     let mut shares = BTreeMap::new();
@@ -85,15 +84,15 @@
     shares
 }
 
+/// Returns the share of the first attempts that the replica with the given behavior got.
 fn share_of_faulty_replica(faulty: ReplicaBehavior) -> f64 {
     let shares = first_attempts(faulty);
     let total: usize = shares.values().sum();
     shares.get("shop-0").copied().unwrap_or_default() as f64 / total as f64
 }
 
-/// Symptom: one in six calls of a class fails. Events: one of three replicas
-/// answers every second request with an error, never three in a row. Cause: only
-/// failures in a row count. Before: 36 in 100 requests went there.
+/// Guards against a host that counts only consecutive failures: a replica that fails every second
+/// request then keeps 36 in 100 requests, and one in six calls of the class fails.
 #[test]
 fn a_replica_that_fails_half_of_its_requests_gets_few_requests() {
     let share = share_of_faulty_replica(ReplicaBehavior {
@@ -103,9 +102,8 @@
     assert!(share < 0.08, "{share:.2} of the requests");
 }
 
-/// Symptom: a third of the calls of a class are late. Events: one of three
-/// replicas takes five times as long. Cause: requests go to the replica with the
-/// fewest in flight, and with little load all have none. Before: 17 in 100.
+/// Guards against a host that compares replicas only by their requests in flight. Under a low load
+/// all replicas have none, so a replica that takes five times as long keeps 17 in 100 requests.
 #[test]
 fn a_slow_replica_gets_few_requests() {
     let share = share_of_faulty_replica(ReplicaBehavior {
@@ -115,7 +113,7 @@
     assert!(share < 0.08, "{share:.2} of the requests");
 }
 
-/// One that is sound again gets its part back: what was seen is forgotten.
+/// Guards against a host that sends a healthy replica less than its share of the requests.
 #[test]
 fn a_healthy_replica_gets_its_share() {
     let share = share_of_faulty_replica(HEALTHY);
--- a/crates/policy/tests/installation/service_world.rs
+++ b/crates/policy/tests/installation/service_world.rs
@@ -142,7 +142,6 @@
             requests: Vec::new(),
             cuts: Vec::new(),
             stopped_hosts: BTreeSet::new(),
-            /// Events by due time; the number keeps the order of events with equal times.
             scheduled: BTreeMap::new(),
             hosts: (0..hosts).map(start).collect(),
             last_event_number: 0,
@@ -346,9 +345,9 @@
         self.schedule_attempt_end(ended, end, CONNECT_TIME);
     }
 
-    /// Delivers the notice in a replica's response: the rejection limit that the replica advertises.
-    /// A replica without a limit sends one only if the order contains an earlier limit, which the
-    /// notice then withdraws.
+    /// Delivers the notice in a replica's response, which contains the replica's rejection limit.
+    /// A replica without a limit sends a notice only if the order contains an earlier limit, which
+    /// the notice then withdraws.
     fn send_notice(&mut self, replica: usize, visit: &Visit) {
         let brittle = self.replicas[replica].brittle.and_then(Rate::per_second);
         if brittle.is_none() && visit.order.inputs.rejection_limit.is_none() {
--- a/crates/policy/tests/installation/speeds.rs
+++ b/crates/policy/tests/installation/speeds.rs
@@ -1,5 +1,5 @@
-//! Engines of different speeds: what hosts learn of them, and where prompts go. Virtual time, no
-//! network.
+//! Tests how hosts learn the speeds of engines, and how they place prompts by these speeds. The
+//! simulation uses virtual time and no network.
 
 use {
     crate::support::{Host, TestRequest, address, engines, exchange_notes, sent},
@@ -16,48 +16,53 @@
 const HOSTS: usize = 24;
 const ENGINES: usize = 30;
 
-/// Speeds of engines, repeated over all of them.
+/// Speeds relative to a usual engine, assigned to the engines in turn.
 const SPEEDS: [f64; 3] = [0.7, 0.7, 1.7];
 
-/// Prompt tokens that an engine of speed 1 reads in a millisecond, and the time between two of
-/// its tokens.
+/// Prefill rate of an engine of speed 1.
 const PREFILL_TOKENS_PER_MS: f64 = 64.0;
+/// Time between two output tokens of an engine of speed 1.
 const TOKEN_INTERVAL_MS: f64 = 20.0;
 
 const DOCUMENTS: u64 = 1_200;
 const DOCUMENT_TOKENS: u32 = 2_000;
+/// Tokens of a prompt that no other prompt shares.
 const UNIQUE_TOKENS: u32 = 3_000;
 
-/// Tokens of an answer after its first one.
+/// Tokens of a response after the first one.
 const ANSWER_TOKENS: u32 = 10;
 
-/// Requests of the whole installation in 100 ms, at which slow engines have no room for an even
-/// part.
+/// Load of the whole installation at which slow engines are overloaded if all engines get equal
+/// shares.
 const REQUESTS_EACH_100_MS: u64 = 22;
 
-/// Requests in 100 ms that hardly wait for each other.
+/// Load of the whole installation at which requests rarely wait for each other.
 const LIGHT_REQUESTS_EACH_100_MS: u64 = 6;
 
+/// Time for which hosts learn the speeds before the results are measured.
 const LEARNING_MS: u64 = 10_000;
 const MEASURING_MS: u64 = 5_000;
 
-/// Placements of requests before equal engines, as they were before hosts learned speeds.
+/// Hash of the placements on equal engines by a host that learns no speeds.
 const PLACEMENTS_OF_EQUAL_ENGINES: u64 = 5_285_496_014_297_717_941;
 
-/// What an engine has read, and until when it reads.
+/// An engine that prefills one prompt at a time and keeps all documents in its cache.
 #[derive(Default)]
 struct SimulatedEngine {
+    /// Time at which all prefills are complete.
     busy_until_ms: f64,
+    /// Prefill time since the last reset, without slowdowns.
     prefill_ms: f64,
     cached_documents: BTreeSet<u64>,
 }
 
-/// What comes of a request, and when.
+/// Progress of an attempt that the simulation reports to the host later.
 enum ScheduledProgress {
     FirstToken(RunningAttempt),
     LastTokens(RunningAttempt),
 }
 
+/// An attempt on an engine of the given speed.
 #[derive(Clone)]
 struct RunningAttempt {
     attempt: AttemptId,
@@ -67,19 +72,21 @@
 }
 
 struct World {
+    /// Progress by due time in microseconds and a unique number.
     due: BTreeMap<(u64, usize), ScheduledProgress>,
     hosts: Vec<Host>,
-    /// Whether hosts get the notes of each other.
+    /// Whether hosts receive each other's load notes.
     exchanges_notes: bool,
     first_token_times_ms: Vec<f64>,
     elapsed_ms: u64,
-    /// Hash over the engines that requests were sent to.
+    /// Hash of the names of the engines that requests were sent to.
     placements: u64,
     simulated_engines: BTreeMap<UpstreamId, SimulatedEngine>,
     requests_each_100_ms: u64,
     rng: SmallRng,
     sends: usize,
     speeds: BTreeMap<UpstreamId, f64>,
+    /// Speed changes that hosts reported, with the number of the host.
     speed_changes: Vec<(usize, SpeedChange)>,
 }
 
@@ -144,6 +151,7 @@
         }
     }
 
+    /// Sends a prompt that starts with the document, and simulates its prefill.
     fn arrive(&mut self, host: usize, document: u64) {
         let unique_part = 1_000_000 + self.sends as u64;
         let parts = [(document, DOCUMENT_TOKENS), (unique_part, UNIQUE_TOKENS)];
@@ -204,7 +212,7 @@
         );
     }
 
-    /// Forgets what was counted.
+    /// Clears the measurements of the learning phase.
     fn reset_measurements(&mut self) {
         self.first_token_times_ms.clear();
         for engine in self.simulated_engines.values_mut() {
@@ -212,8 +220,8 @@
         }
     }
 
-    /// Time that the busiest engine reads, against what each would if all were divided by what they
-    /// can do.
+    /// Returns the prefill time of the busiest engine, divided by the time that each engine would
+    /// need if the load were distributed in proportion to the speeds.
     fn max_load_ratio(&self) -> f64 {
         let simulated_engines = self.simulated_engines.iter();
         let work = simulated_engines.map(|(id, engine)| engine.prefill_ms * self.speeds[id]);
@@ -225,13 +233,13 @@
         times.fold(0.0, f64::max) / even_ms
     }
 
-    /// Time within which 95 in 100 get their first token.
+    /// Returns the 95th percentile of the time to the first token.
     fn first_token_p95_ms(&mut self) -> f64 {
         self.first_token_times_ms.sort_by(f64::total_cmp);
         self.first_token_times_ms[self.first_token_times_ms.len() * 95 / 100]
     }
 
-    /// The factor in force at a host for each engine that was ever seen to differ.
+    /// Returns the current speed factors at a host, for engines whose factor ever changed.
     fn speed_factors(&self, host: usize) -> BTreeMap<UpstreamId, f64> {
         let noted = self
             .speed_changes
@@ -242,21 +250,21 @@
             .collect()
     }
 
-    /// Engines that a host believes to be faster than usual.
+    /// Returns the engines that a host considers faster than usual.
     fn engines_believed_faster(&self, host: usize) -> BTreeSet<UpstreamId> {
         let factors = self.speed_factors(host).into_iter();
         let faster = factors.filter(|(_, factor)| *factor > 1.0);
         faster.map(|(id, _)| id).collect()
     }
 
-    /// Engines that are faster than usual.
+    /// Returns the engines that are faster than usual.
     fn faster_engines(&self) -> BTreeSet<UpstreamId> {
         let faster = self.speeds.iter().filter(|(_, speed)| **speed > 1.0);
         faster.map(|(id, _)| id.clone()).collect()
     }
 }
 
-/// How much slower an engine is at a moment: 2.5 times for 0.6 s, now and then.
+/// Returns the temporary slowdown of an engine: a factor of 2.5 in 15 in 100 periods of 0.6 s.
 fn slowdown(id: &UpstreamId, at_ms: u64) -> f64 {
     let seed = id.name().bytes().fold(at_ms / 600, |seed, byte| {
         seed.wrapping_mul(31) + u64::from(byte)
@@ -265,7 +273,8 @@
     if is_slowed_down { 2.5 } else { 1.0 }
 }
 
-/// Plays a load until hosts know the engines, and looks at what comes of it then.
+/// Runs a load until hosts know the speeds, then checks the distribution of the load and the times
+/// to the first token.
 fn check_uneven_speeds(seed: u64) {
     let mut world = World::new(HOSTS, &SPEEDS, REQUESTS_EACH_100_MS);
     world.rng = SmallRng::seed_from_u64(seed);
@@ -278,7 +287,7 @@
         max_load_ratio < 1.5,
         "busiest engine has {max_load_ratio} times its share"
     );
-    // The target of the class.
+    // The first-token target of the class.
     assert!(
         first_token_p95_ms < 500.0,
         "95 in 100 within {first_token_p95_ms} ms"
@@ -292,20 +301,21 @@
     }
 }
 
-/// Guards against slow engines that are late with their part while fast ones are idle.
+/// Guards against equal shares, with which slow engines are late while fast engines are idle.
 #[test]
 fn engines_get_prompts_in_proportion_to_their_speed() {
     check_uneven_speeds(3);
 }
 
-/// Guards against engines that are taken for slow as prompts waited there while hosts knew little.
+/// Guards against engines that are considered slow because prompts queued there before the hosts
+/// knew the load.
 #[test]
 fn engines_get_prompts_by_what_they_can_do_after_a_bad_start() {
     check_uneven_speeds(6);
 }
 
-/// Guards against engines that are taken for slow as they are delayed now and then, and against
-/// placements that change where engines are alike.
+/// Guards against engines that are considered slow because of temporary slowdowns, and against
+/// placements on equal engines that change with the learning of speeds.
 #[test]
 fn learning_speeds_leaves_placements_on_equal_engines_unchanged() {
     let mut world = World::new(4, &[1.0], LIGHT_REQUESTS_EACH_100_MS);
@@ -314,7 +324,7 @@
     assert_eq!(world.placements, PLACEMENTS_OF_EQUAL_ENGINES);
 }
 
-/// Guards against a host that takes all engines for alike as no other host is in reach.
+/// Guards against a host that assumes equal speeds because it receives no notes from other hosts.
 #[test]
 fn isolated_hosts_learn_the_same_speeds() {
     let mut world = World::new(2, &SPEEDS, LIGHT_REQUESTS_EACH_100_MS);
@@ -329,8 +339,8 @@
     }
 }
 
-/// Guards against speeds that outlive what they rest on: an engine that no request reaches any
-/// more, and one that started again.
+/// Guards against outdated speeds: of an engine that gets no more requests, and of an engine that
+/// restarted.
 #[test]
 fn an_engine_without_recent_requests_has_the_usual_speed_again() {
     let mut world = World::new(1, &SPEEDS, LIGHT_REQUESTS_EACH_100_MS);
@@ -350,7 +360,7 @@
     assert_eq!(host.controller.speed_counts().usual, ENGINES);
 }
 
-/// A note by which engines read so many tokens in a millisecond.
+/// Returns a load note of a host with the given prefill rates in tokens per millisecond.
 fn note_with_speeds(host: u64, rates: &[(&str, f64)]) -> LoadNote {
     let mut other = Host::new(host);
     other.advance(2_000);
@@ -363,8 +373,8 @@
     note
 }
 
-/// Guards against a host that has to learn all anew after its start, and against one that follows
-/// a single other host.
+/// Guards against a host that must learn all speeds itself after its start, and against a host that
+/// trusts the report of a single other host.
 #[test]
 fn a_starting_host_adopts_speeds_that_eight_hosts_report() {
     let mut host = Host::new(0);
@@ -379,8 +389,8 @@
     }
 }
 
-/// Guards against notes of a host that cost more than its budget, which votes on speeds would make
-/// rarer.
+/// Guards against load notes that exceed a host's bandwidth budget: larger notes are sent less
+/// often.
 #[test]
 fn speed_votes_add_at_most_17_bytes_to_a_load_note() {
     for hosts in [61, 985] {
--- a/crates/policy/tests/installation/stream_separation.rs
+++ b/crates/policy/tests/installation/stream_separation.rs
@@ -1,4 +1,5 @@
-//! Which engines streams share with long prompts, where hosts learn nothing of each other.
+//! Tests which engines serve pause-sensitive streams and which serve long prompts, where hosts
+//! receive no load notes from each other.
 
 use {
     crate::support::{Host, TestRequest, engines, sent},
@@ -8,12 +9,12 @@
 
 const DOCUMENT_TOKENS: u32 = 13_000;
 
-/// Where a stream of the class with the shortest target for pauses goes.
+/// Sends a prompt of the class with the shortest pause target, and returns its engine.
 fn place_stream(host: &mut Host, unique_part: u64) -> String {
     place(host, "question", &[(unique_part, 100)])
 }
 
-/// Where a prompt goes that shares a document.
+/// Sends a long prompt that starts with a document, and returns its engine.
 fn place_document(host: &mut Host, document: u64, unique_part: u64) -> String {
     place(
         host,
@@ -22,6 +23,7 @@
     )
 }
 
+/// Sends a prompt, cancels it after 20 ms, and returns its engine.
 fn place(host: &mut Host, class: &'static str, parts: &[(u64, u32)]) -> String {
     let (request, actions) = host.ask(TestRequest::prompt(class, "first-key", parts));
     let engine = sent(&actions).unwrap().upstream.to_string();
@@ -36,20 +38,19 @@
     host
 }
 
-/// Symptom: half of the most urgent class is late by its longest pause or its first token
-/// on a large fleet, though engines are idle seven eighths of the time. Events: 40 hosts
-/// get a few requests a second each, and place streams and prompts of 16,000 tokens by what
-/// they sent themselves. Cause: nothing but the load that a host knows of keeps them apart,
-/// and a host knows little. Before, streams and documents met on every engine.
+/// Guards against streams and long prompts that share engines on a large fleet. If each host
+/// separates them only by the load that it knows, which is little, they meet on every engine: half
+/// of the most urgent class then misses its target for the longest pause or the first token, while
+/// engines are idle seven eighths of the time.
 ///
-/// Each document has one engine for all hosts, too: it is read once.
+/// All hosts must also choose the same engine for a document, so that it is prefilled once.
 #[test]
 fn isolated_hosts_separate_streams_and_documents_consistently() {
     let mut streams = BTreeSet::new();
     let mut documents: BTreeMap<u64, BTreeSet<String>> = BTreeMap::new();
     for seed in 0..40 {
         let mut host = host_with_engines(seed, 24);
-        // Each host gets a mix of its own, and another order.
+        // Each host gets a different mix and order of requests.
         for number in 0..60 {
             let class_choice = (number * 7 + seed * 13) % 10;
             if class_choice < 3 + seed % 2 {
@@ -57,7 +58,7 @@
             } else {
                 let document = number % 8;
                 let engine = place_document(&mut host, 90 + document, 20_000 * seed + number);
-                // The first ones come before a host has seen a stream.
+                // The first documents can arrive before the host has had a stream.
                 if number >= 16 {
                     documents.entry(document).or_default().insert(engine);
                 }
@@ -75,8 +76,8 @@
     assert!((6..=12).contains(&streams.len()), "streams on {streams:?}");
 }
 
-/// Symptom: streams share few engines, and more of them are lost with one. Events: nearly
-/// all that is asked for are streams. Cause: a fixed part of the engines is for them.
+/// Guards against a fixed share of engines for streams: where nearly all requests are streams, they
+/// would share few engines, and the crash of an engine would interrupt more of them.
 #[test]
 fn streams_use_all_engines_without_other_requests() {
     let mut host = host_with_engines(0, 12);
@@ -90,9 +91,8 @@
     assert!(used.len() >= 11, "streams on {used:?}");
 }
 
-/// Symptom: the second of two engines gets nothing. Events: an installation of two engines
-/// starts, and is asked for streams. Cause: a part of the engines is kept for what was not
-/// asked for yet.
+/// Guards against an unused engine in an installation of two that starts with streams only: an
+/// engine must not be kept free for kinds of requests that have not arrived yet.
 #[test]
 fn the_first_streams_of_a_small_installation_use_both_engines() {
     let mut host = host_with_engines(0, 2);
@@ -105,8 +105,8 @@
     assert_eq!(used.len(), 2, "streams on {used:?}");
 }
 
-/// Symptom: a third of the engines is idle in an overload. Events: nobody asks for streams.
-/// Cause: engines are kept for them all the same.
+/// Guards against engines that stay reserved for streams where there are none: a third of the
+/// engines would be idle in an overload.
 #[test]
 fn documents_use_all_engines_without_streams() {
     let mut host = host_with_engines(0, 12);
@@ -116,8 +116,8 @@
     assert!(engines.len() >= 11, "documents on {engines:?}");
 }
 
-/// Symptom: a burst of streams waits behind one another while other engines are idle.
-/// Events: 300 streams at once. Cause: what belongs to the other side is never used.
+/// Guards against a strict separation: a burst of 300 streams would queue on the engines reserved
+/// for streams while the other engines are idle.
 #[test]
 fn a_burst_of_streams_also_uses_engines_for_documents() {
     let mut host = host_with_engines(0, 12);
--- a/crates/policy/tests/installation/unreachable.rs
+++ b/crates/policy/tests/installation/unreachable.rs
@@ -1,4 +1,4 @@
-//! Failure domains that are cut off, with all upstreams in them.
+//! Tests the ejection of all upstreams in failure domains that a host cannot reach.
 
 use {
     crate::support::{Host, TestRequest, engines_in_domains, lookup, sent, upstreams},
@@ -8,22 +8,22 @@
     types::prelude::*,
 };
 
-/// Domains of the tests; the host stands in the first one.
+/// Failure domains of the tests; the host is in the first one.
 const DOMAINS: [&str; 3] = ["north-a", "north-b", "north-c"];
 
-/// Engines in each of them.
+/// Number of engines in each failure domain.
 const ENGINES: usize = 3;
 
-/// A host with engines in three domains, and the streams that it carries.
+/// A host with engines in three failure domains, and its running streams.
 struct StreamingHost {
     host: Host,
     streams: Vec<(RequestId, SendOrder)>,
-    /// Part of the next prompt that no other one shares.
+    /// Highest id of a prompt part so far; each prompt gets two unique parts.
     next_part: u64,
 }
 
 impl StreamingHost {
-    /// Streams run on each engine.
+    /// Starts streams on every engine, and lets all of them progress for a second.
     fn new() -> Self {
         let mut host = Host::new(0);
         host.read_directory(engines_in_domains(&DOMAINS, ENGINES), &[]);
@@ -41,6 +41,7 @@
         setup
     }
 
+    /// Sends a prompt; returns `None` if no attempt was sent.
     fn start_stream(&mut self) -> Option<SendOrder> {
         self.next_part += 2;
         let parts = [(self.next_part, 500), (self.next_part + 1, 100)];
@@ -52,7 +53,7 @@
         Some(order)
     }
 
-    /// Lets time pass while streams in some domains bring tokens.
+    /// Advances the time; only streams in the given domains receive tokens.
     fn advance(&mut self, ms: u64, progressing: &[&str]) {
         for _ in 0..ms / 50 {
             self.host.advance(50);
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Domains to which the next requests go.
+    /// Returns the domains to which the next twelve requests are sent.
     fn next_domains(&mut self) -> BTreeSet<&'static str> {
         let orders: Vec<SendOrder> = (0..12).filter_map(|_| self.start_stream()).collect();
         orders.iter().map(domain_of).collect()
@@ -84,10 +85,9 @@
     DOMAINS[number / ENGINES]
 }
 
-/// Symptom: in a failure domain that is cut off, most requests are lost for
-/// seconds. Events: the streams of two of three domains fall silent at once, and
-/// nothing has failed yet. Cause: each upstream there is believed until three
-/// requests to it have failed, and half of all are never given up.
+/// Guards against a host that loses most requests for seconds after it is cut off from two of three
+/// domains. The streams there stop at once, but no request has failed yet. The host must not wait
+/// for three failures of each upstream, nor keep half of all upstreams from being ejected.
 #[test]
 fn a_host_cut_off_from_other_domains_uses_only_its_own() {
     let mut setup = StreamingHost::new();
@@ -102,9 +102,8 @@
     assert_eq!(setup.next_domains(), BTreeSet::from(["north-a", "north-c"]));
 }
 
-/// Symptom: a sound engine gets nothing for seconds. Events: the two other engines of
-/// its domain crash while it has nothing to do. Cause: their streams are taken for
-/// the whole domain's.
+/// Guards against a healthy engine that gets no requests for seconds because the two other engines
+/// of its domain crash while it is idle: their stopped streams say nothing about the idle engine.
 #[test]
 fn an_idle_engine_is_not_ejected_with_its_failed_neighbors() {
     let mut setup = StreamingHost::new();
@@ -120,9 +119,8 @@
     assert_eq!(setup.next_domains(), BTreeSet::from(DOMAINS));
 }
 
-/// Symptom: a service gets nothing, though it may be there. Events: the only domain
-/// that has it falls silent. Cause: it is given up with the domain, and no other
-/// one serves the same.
+/// Guards against a service that gets no requests because its only failure domain is silent. The
+/// service may still be reachable, and no other domain has replicas of it.
 #[test]
 fn a_service_only_in_a_silent_domain_still_gets_requests() {
     let mut setup = StreamingHost::new();
@@ -143,7 +141,7 @@
     assert!(sent(&setup.host.ask(lookup()).1).is_some());
 }
 
-/// What is ejected comes back by a probe.
+/// Successful probes end the ejection of upstreams.
 #[test]
 fn a_domain_comes_back_when_its_upstreams_answer() {
     let mut setup = StreamingHost::new();
@@ -158,8 +156,8 @@
     assert_eq!(setup.next_domains(), BTreeSet::from(DOMAINS));
 }
 
-/// Symptom: a host that woke up gives up upstreams that are well. Events: it is
-/// suspended for two seconds. Cause: it takes its own pause for theirs.
+/// Guards against a host that ejects healthy upstreams after it was suspended for two seconds
+/// because it mistakes its own pause for a pause of the upstreams.
 #[test]
 fn a_host_that_was_suspended_ejects_no_domain() {
     let mut setup = StreamingHost::new();
@@ -170,8 +168,8 @@
     assert_eq!(setup.next_domains(), BTreeSet::from(DOMAINS));
 }
 
-/// A host that observes nobody is more likely to be cut off itself, and goes on
-/// trying.
+/// A host that gets no progress from any upstream is more likely to be cut off itself. It continues
+/// to send requests to all domains.
 #[test]
 fn a_host_that_gets_no_progress_from_any_domain_ejects_none() {
     let mut setup = StreamingHost::new();
--- a/crates/policy/tests/installation/upstreams.rs
+++ b/crates/policy/tests/installation/upstreams.rs
@@ -1,13 +1,13 @@
-//! Upstreams that come, leave, and go missing.
+//! Tests which upstreams get requests when directory entries are removed, expire or are leaving.
 
 use {
     crate::support::{Host, engines, lookup, sent, upstreams},
     policy::Event,
 };
 
-/// Symptom: all requests are refused right after the store's return. Events: the
-/// store is away, the upstreams' entries lapse, the first reading lists none.
-/// Cause: a missing entry is taken for one that was removed.
+/// Guards against refusals of all requests after an outage of the store. Entries of upstreams
+/// expire during the outage, so the first reading afterwards lists none. A missing entry must not be taken
+/// for a removed one until running upstreams had time to be listed again.
 #[test]
 fn keeps_upstreams_whose_entries_may_have_expired() {
     let mut host = Host::new(0);
@@ -25,9 +25,8 @@
     assert!(sent(&host.ask(lookup()).1).is_none());
 }
 
-/// Symptom: requests reach an upstream that left long ago. Events: its entry is
-/// removed while the store is well. Cause: the memory of missing entries is used
-/// although nothing can have lapsed.
+/// Guards against requests to an upstream that left long ago: while the store is available, no
+/// entry can have expired, so a missing entry was removed.
 #[test]
 fn drops_a_missing_upstream_at_once_while_the_store_is_available() {
     let mut host = Host::new(0);
@@ -36,8 +35,9 @@
     assert!(sent(&host.ask(lookup()).1).is_none());
 }
 
-/// Guards against requests to an upstream whose entry was removed, where only the host was
-/// turned away that informed this one of what the store says.
+/// Guards against requests to an upstream whose entry was removed while only the host that relays
+/// the directory could not read the store. The store itself was available, so no entry can have
+/// expired.
 #[test]
 fn drops_a_missing_upstream_at_once_where_the_store_stayed_available() {
     let mut host = Host::new(0);
@@ -48,7 +48,8 @@
     assert!(sent(&host.ask(lookup()).1).is_none());
 }
 
-/// Guards against requests to an upstream that left while a host lost its own way to the store.
+/// Guards against requests to an upstream that left while the host had no connection to the store.
+/// The other entries are still listed, so the missing entry did not expire.
 #[test]
 fn an_upstream_that_left_during_a_hosts_store_outage_gets_no_requests() {
     let mut host = Host::new(0);
@@ -67,7 +68,8 @@
     }
 }
 
-/// Guards against refusals where an outage let most entries lapse, and some are back before others.
+/// Guards against refusals after an outage in which most entries expired, where some upstreams are
+/// listed again before others.
 #[test]
 fn upstreams_that_expired_together_are_kept_while_entries_come_back() {
     let mut host = Host::new(0);
@@ -84,7 +86,7 @@
     assert_eq!(host.controller.unlisted(), []);
 }
 
-/// Guards against refusals where all that is listed after an outage is leaving.
+/// Guards against refusals where only leaving upstreams are listed after an outage.
 #[test]
 fn an_expired_upstream_is_kept_where_all_listed_upstreams_are_leaving() {
     let mut host = Host::new(0);
@@ -99,7 +101,8 @@
     assert_eq!(order.upstream.name(), "shop-2");
 }
 
-/// Guards against requests to upstreams that left, where a host learns late that the store is back.
+/// Guards against requests to upstreams that left, where a host learns late that the store is
+/// available again: the retention time counts from the return of the store, not from the message.
 #[test]
 fn retention_of_missing_upstreams_starts_when_the_store_returns() {
     let mut host = Host::new(0);
@@ -114,9 +117,8 @@
     assert_eq!(host.controller.unlisted(), []);
 }
 
-/// Symptom: as above, after an outage. Events: an upstream says that it is
-/// leaving, the store goes away, and its entry is gone at the return. Cause: one
-/// that was leaving is taken for one that lapsed.
+/// Guards against requests to an upstream that announced its departure before an outage of the
+/// store. Its entry is missing after the outage, but must not be taken for an expired one.
 #[test]
 fn does_not_keep_a_leaving_upstream() {
     let mut host = Host::new(0);
--- a/crates/policy/tests/installation/urgency.rs
+++ b/crates/policy/tests/installation/urgency.rs
@@ -1,4 +1,5 @@
-//! Which request goes first, and which engine is taken for a slow one.
+//! Tests the order of requests in a host's queue, the priorities that engines get, and the
+//! placement of prompts where an idle engine is faster than busy ones.
 
 use {
     crate::support::{Host, TestRequest, engines, sent},
@@ -8,8 +9,8 @@
     types::prelude::*,
 };
 
-/// Classes and keys, most urgent first in a host's queue: the first team's tier goes
-/// before the second's, and within a team the classes are in order.
+/// Classes and keys in the order of a host's queue, the most urgent first: the first team's tier
+/// precedes the second's, and the classes of a team are ordered by their own tiers.
 const QUEUE_ORDER: [(&str, &str); 5] = [
     ("question", "first-key"),
     ("summary", "first-key"),
@@ -22,10 +23,9 @@
     TestRequest::prompt(class, key, &[(1, 500), (2, 100)])
 }
 
-/// Symptom: in an overload the most urgent class waits behind the least. Events:
-/// all teams have one tier, and long summaries fill the engines. Cause: a team's
-/// tier takes the place of the class's. Before, few of the
-/// urgent short replies were in time at 1.5 times the capacity.
+/// Guards against a team's tier that replaces the tier of the class. Where all teams have the same
+/// tier, the most urgent class would wait behind long summaries in an overload: at 1.5 times the
+/// capacity, few of the urgent short responses would be in time.
 #[test]
 fn a_queue_orders_by_team_tier_then_by_class() {
     let mut host = Host::new(0);
@@ -56,10 +56,9 @@
     }
 }
 
-/// Symptom: many short urgent streams are preempted at an engine while long summaries
-/// run on beside them. Events: an engine's slots or memory run out while it runs both,
-/// the urgent ones of a lesser team. Cause: the team's tier goes first at the engine as
-/// it does in the queue, and the lesser levels share one priority.
+/// Guards against priorities that order by the team's tier first, as the queue does, and merge the
+/// less urgent levels. When an engine runs out of slots or memory, it would preempt many short
+/// urgent streams of a less urgent team while long summaries continue.
 #[test]
 fn an_engines_priorities_order_by_class_then_by_team_tier() {
     let mut host = Host::new(0);
@@ -74,7 +73,8 @@
     assert!(levels.is_sorted_by(|a, b| a < b), "{levels:?}");
 }
 
-/// Lets an engine give its first event, and ten more `interval_ms` apart.
+/// Reports the first token of a response and ten more at the given interval, then cancels the
+/// request.
 fn report_tokens(host: &mut Host, request: RequestId, order: &policy::SendOrder, interval_ms: u64) {
     let progress = |host: &mut Host, tokens| {
         host.handle(Event::Progressed {
@@ -90,11 +90,10 @@
     host.handle(Event::CallerGone { request });
 }
 
-/// Symptom: prompts are read again on quiet days. Events: one engine has nothing
-/// to do and gives tokens many times as fast as the others, which read prompts.
-/// Cause: every other engine is taken for a slow one. Before, 538 of the short
-/// prompts' and 161 of the long ones' shared parts were read on a further engine
-/// on a quiet day, after it 263 and 16.
+/// Guards against prompts that are prefilled again on another engine under a low load. An idle
+/// engine emits tokens many times as fast as engines that prefill prompts. If the host takes the
+/// others for slow engines, prompts move to the idle one: in a day of low load, shared parts of 538
+/// short and 161 long prompts are prefilled on a further engine, instead of 263 and 16.
 #[test]
 fn an_idle_engine_takes_no_prompts_from_their_preferred_engines() {
     let mut host = Host::new(0);
@@ -110,7 +109,7 @@
         let as_of = host.now;
         host.handle(Event::ConfigurationConfirmed { as_of });
     }
-    // Another host sent them; this one only knows the engines' pace.
+    // The host has not sent these prompts before; it knows only the speeds of the engines.
     for number in 100..130 {
         let ask = TestRequest::prompt("question", "shop-key", &parts(number));
         let (request, actions) = host.ask(ask);
--- a/crates/policy/tests/installation/usage.rs
+++ b/crates/policy/tests/installation/usage.rs
@@ -1,4 +1,4 @@
-//! Which requests a host counts for the usage reports.
+//! Tests which requests and how much engine load a host reports to the coordinator.
 
 use {
     crate::support::{Host, TestRequest, address, lookup, sent},
@@ -11,7 +11,7 @@
 /// Unix time in the tests, in milliseconds.
 const UNIX_MS: u64 = 1_800_000_000_000;
 
-/// A host that knows who holds the duties.
+/// Returns a host that knows the address of the coordinator.
 fn counting_host() -> Host {
     let mut host = Host::new(0);
     host.handle(Event::TimeOfDay { unix_ms: UNIX_MS });
@@ -27,7 +27,7 @@
     host
 }
 
-/// Requests that the host tells the holder of.
+/// Returns the number of requests that the host reports to the coordinator within a second.
 fn reported_count(host: &mut Host) -> u32 {
     host.actions.clear();
     host.advance(1_000);
@@ -80,7 +80,8 @@
     assert_eq!(reported_count(&mut host), 1);
 }
 
-/// Guards against reports that lack what an upstream began and answered with an error.
+/// Guards against usage reports without the requests that an upstream started and ended with an
+/// error.
 #[test]
 fn an_upstream_error_is_counted_but_a_failed_connection_is_not() {
     let mut host = counting_host();
@@ -103,8 +104,8 @@
     assert_eq!(reported_count(&mut host), 0);
 }
 
-/// Guards against orders of upstreams that follow nothing, as the holder is not told what is
-/// asked for.
+/// Guards against orders for upstreams that ignore the demand because the coordinator does not
+/// receive the load of the engines.
 #[test]
 fn the_coordinator_receives_the_work_placed_on_engines() {
     let mut host = counting_host();
