--- a/crates/policy/benches/installation/main.rs
+++ b/crates/policy/benches/installation/main.rs
@@ -9,7 +9,7 @@
 use {
     policy::Event,
     std::time::{Duration, Instant},
-    support::{Ask, Host, engines, sent},
+    support::{Host, TestRequest, engines, sent},
 };
 
 #[path = "../../tests/installation/support.rs"]
@@ -25,7 +25,7 @@
         host.read_directory(engines(count), &[]);
         let placed = each(ROUNDS, |round| place(&mut host, round));
         place(&mut host, 0);
-        let tick = each(ROUNDS, |_| host.pass(10));
+        let tick = each(ROUNDS, |_| host.advance(10));
         let table = each(20, |round| change_table(&mut host, count, round));
         host.handle(Event::DirectoryLost);
         host.handle(Event::DirectoryRegained { at: host.now });
@@ -54,7 +54,7 @@
         (u64::from(round % 40), 6_000),
         (1_000 + u64::from(round), 2_000),
     ];
-    let (request, actions) = host.ask(Ask::prompt("draft", "first-key", &parts));
+    let (request, actions) = host.ask(TestRequest::prompt("draft", "first-key", &parts));
     let order = sent(&actions).unwrap();
     if !round.is_multiple_of(8) {
         host.finish(&order, request);
--- a/crates/policy/tests/installation/stream_separation.rs
+++ b/crates/policy/tests/installation/stream_separation.rs
@@ -38,10 +38,11 @@
     host
 }
 
-/// Guards against streams and long prompts that share engines on a large fleet. If each host
-/// separates them only by the load that it knows, which is little, they meet on every engine: half
-/// of the most urgent class then misses its target for the longest pause or the first token, while
-/// engines are idle seven eighths of the time.
+/// Guards against streams and prompts of 16,000 tokens that share engines on a large fleet. Each of
+/// 40 hosts gets a few requests a second and knows little of the load. If the hosts separate
+/// streams and long prompts only by the load that they know, both meet on every engine: half of the
+/// most urgent class then misses its target for the longest pause or the first token, while engines
+/// are idle seven eighths of the time.
 ///
 /// All hosts must also choose the same engine for a document, so that it is prefilled once.
 #[test]
--- a/crates/policy/tests/installation/upstreams.rs
+++ b/crates/policy/tests/installation/upstreams.rs
@@ -6,8 +6,8 @@
 };
 
 /// Guards against refusals of all requests after an outage of the store. Entries of upstreams
-/// expire during the outage, so the first reading afterwards lists none. A missing entry must not be taken
-/// for a removed one until running upstreams had time to be listed again.
+/// expire during the outage, so the first reading afterwards lists none. A missing entry must not
+/// be taken for a removed one until running upstreams had time to be listed again.
 #[test]
 fn keeps_upstreams_whose_entries_may_have_expired() {
     let mut host = Host::new(0);
