--- a/crates/policy/tests/installation/service_world.rs
+++ b/crates/policy/tests/installation/service_world.rs
@@ -287,7 +287,7 @@
                 } => self.finish(replica, host, attempt),
                 ScheduledEvent::HostEvent { event, host } => self.handle_event(host, *event),
                 ScheduledEvent::RequestReachesReplica { replica, visit } => {
-                    self.deliver_to_replica(replica, visit)
+                    self.deliver_to_replica(replica, visit);
                 }
             }
         }
