--- a/crates/policy/tests/installation/newer_configuration.rs
+++ b/crates/policy/tests/installation/newer_configuration.rs
@@ -2,7 +2,7 @@
 //! requests until it has that version.
 
 use {
-    crate::support::{APPLY_LIMIT, Ask, Host, address, lookup, refused, sent},
+    crate::support::{APPLY_LIMIT, Host, TestRequest, address, lookup, refused, sent},
     peer::VersionNote,
     policy::{Action, Event, FetchEnd, RefusalReason},
     std::{
@@ -128,7 +128,7 @@
         None
     );
     host.actions.clear();
-    host.pass(150);
+    host.advance(150);
     assert!(
         fetch_address(&host.actions).is_some(),
         "a busy host is not asked again"
@@ -145,10 +145,10 @@
     let first = fetch_address(&host.handle(Event::ConfigurationAnnounced)).unwrap();
     host.actions.clear();
     host.handle(fetch_ended(first, FetchEnd::Received));
-    host.pass(500);
+    host.advance(500);
     assert_eq!(fetch_address(&host.actions), None);
     host.read_version(2);
-    host.pass(1_000);
+    host.advance(1_000);
     assert_eq!(fetch_address(&host.actions), None);
 }
 
@@ -168,14 +168,14 @@
 fn refuses_requests_once_its_version_has_been_outdated_for_too_long() {
     let mut host = Host::new(0);
     host.handle(advertised(3, 2));
-    host.pass(APPLY_LIMIT.as_millis() as u64 - 100);
+    host.advance(APPLY_LIMIT.as_millis() as u64 - 100);
     confirm(&mut host);
-    assert!(sent(&host.ask(Ask::open("lookup")).1).is_some());
+    assert!(sent(&host.ask(TestRequest::public_call("lookup")).1).is_some());
     assert!(host.controller.is_configuration_current(host.now));
 
-    host.pass(100);
+    host.advance(100);
     confirm(&mut host);
-    for ask in [Ask::open("lookup"), lookup()] {
+    for ask in [TestRequest::public_call("lookup"), lookup()] {
         let refusal = refused(&host.ask(ask).1).unwrap();
         assert_eq!(refusal.reason, RefusalReason::ConfigurationStale);
         assert_eq!(refusal.verdict, Verdict::NotRun);
@@ -187,7 +187,7 @@
     );
 
     host.read_version(2);
-    assert!(sent(&host.ask(Ask::open("lookup")).1).is_some());
+    assert!(sent(&host.ask(TestRequest::public_call("lookup")).1).is_some());
 }
 
 /// Guards against rejecting a key that was just added, after which the caller does not retry. This
@@ -196,7 +196,7 @@
 #[test]
 fn does_not_reject_a_key_that_a_newer_version_may_have_added() {
     let mut host = Host::new(0);
-    let ask = || Ask {
+    let ask = || TestRequest {
         key: "new-key",
         ..lookup()
     };
@@ -261,7 +261,7 @@
 
     fn step(&mut self) {
         for number in 0..self.hosts.len() {
-            self.hosts[number].pass(10);
+            self.hosts[number].advance(10);
             self.complete_transfer(number);
             for action in std::mem::take(&mut self.hosts[number].actions) {
                 match action {
--- a/crates/policy/tests/installation/overload.rs
+++ b/crates/policy/tests/installation/overload.rs
@@ -2,7 +2,7 @@
 //! prompts that exceed their slots and queue.
 
 use {
-    crate::support::{Ask, Host, engines},
+    crate::support::{Host, TestRequest, engines},
     policy::{Action, AttemptEnd, Event, SendOrder},
     std::{collections::BTreeMap, time::Duration},
     types::prelude::*,
@@ -141,7 +141,7 @@
             }
             let number = now_ms / interval_ms + 1_000 * host as u64;
             let parts = [(number % 40, 5_000), (100_000 + number, 500)];
-            let (request, actions) = self.hosts[host].ask(Ask::prompt(name, key, &parts));
+            let (request, actions) = self.hosts[host].ask(TestRequest::prompt(name, key, &parts));
             self.class_of
                 .insert((host, request), (class, self.is_counting));
             self.counts[class].arrived += usize::from(self.is_counting);
--- a/crates/policy/tests/installation/prompt_transfers.rs
+++ b/crates/policy/tests/installation/prompt_transfers.rs
@@ -2,7 +2,9 @@
 //! delay which engine has read what. The time is virtual, and no network is used.
 
 use {
-    crate::support::{Ask, Host, address, engines, engines_of, exchange_notes, sent},
+    crate::support::{
+        Host, TestRequest, address, engines, engines_in_domains, exchange_notes, sent,
+    },
     config::{Engine, Upstream},
     peer::{LoadNote, UpstreamLoad},
     policy::{Event, SendOrder},
@@ -146,7 +148,8 @@
             (document, DOCUMENT_TOKENS),
             (1_000_000 + unique, UNIQUE_TOKENS),
         ];
-        let (request, actions) = self.hosts[host].ask(Ask::prompt("summary", "shop-key", &parts));
+        let (request, actions) =
+            self.hosts[host].ask(TestRequest::prompt("summary", "shop-key", &parts));
         let Some(order) = sent(&actions) else {
             self.results.refused += 1;
             return;
@@ -352,9 +355,9 @@
     }
 }
 
-fn prompt(unique: u64) -> Ask {
+fn prompt(unique: u64) -> TestRequest {
     let parts = [(7, DOCUMENT_TOKENS), (1_000_000 + unique, UNIQUE_TOKENS)];
-    Ask::prompt("draft", "shop-key", &parts)
+    TestRequest::prompt("draft", "shop-key", &parts)
 }
 
 fn first_token(host: &mut Host, request: RequestId, order: &SendOrder) {
@@ -402,7 +405,7 @@
             assert_eq!(order.fetch_from, None);
         }
         let notes = |scenario: &mut Scenario| {
-            scenario.host.pass(2_000);
+            scenario.host.advance(2_000);
             scenario.host.take_notes()
         };
         assert_eq!(notes(&mut changed), notes(&mut without_transfers));
@@ -458,7 +461,7 @@
     let (request, order) = scenario.ask_with_busy_home();
     assert_eq!(order.inputs.prefill_tokens, Tokens::new(PROMPT_TOKENS));
     // The new incarnation fetches what the second engine has read.
-    scenario.host.pass(500);
+    scenario.host.advance(500);
     first_token(&mut scenario.host, request, &order);
     scenario.report_busy(&[&order.upstream]);
     let (_, home_order) = scenario.ask();
@@ -481,7 +484,7 @@
 fn an_engine_that_refused_a_prompt_has_no_copy() {
     let mut scenario = Scenario::new(with_links(engines(3)));
     let (request, refused) = scenario.ask_with_busy_home();
-    scenario.host.pass(500);
+    scenario.host.advance(500);
     scenario.host.take_notes();
     let home = scenario.home.upstream.clone();
     scenario.report_busy(&[&home]);
@@ -490,7 +493,7 @@
     let retry = sent(&actions).unwrap();
     assert_ne!(retry.upstream, refused.upstream);
     assert_eq!(retry.fetch_from, Some(scenario.home.address));
-    scenario.host.pass(2_000);
+    scenario.host.advance(2_000);
     let notes = scenario.host.take_notes();
     let reads = notes.iter().flat_map(|(_, note)| &note.reads);
     assert!(reads.clone().all(|read| read.upstream != refused.upstream));
@@ -510,8 +513,8 @@
     let mut hosts = [scenario.host, Host::new(1)];
     hosts[1].read_directory(with_links(engines(3)), &[]);
     for _ in 0..5 {
-        hosts[0].pass(100);
-        hosts[1].pass(100);
+        hosts[0].advance(100);
+        hosts[1].advance(100);
         exchange_notes(&mut hosts);
     }
     let [_, host] = hosts;
@@ -538,7 +541,7 @@
     first_token(&mut scenario.host, request, &copy);
     let (cause, verdict) = (FailureCause::Reset, Verdict::MayHaveRun);
     let home = scenario.home.upstream.clone();
-    scenario.host.pass(500);
+    scenario.host.advance(500);
     scenario.report_busy(&[&home]);
     let actions = scenario.host.fail(&copy, request, cause, verdict, true);
     let moved = sent(&actions).unwrap();
@@ -570,7 +573,7 @@
     let fetches = orders.iter().filter(from_home);
     assert_eq!(fetches.count(), 4);
     // Transfers count as finished after a while, whether or not their end was reported.
-    scenario.host.pass(500);
+    scenario.host.advance(500);
     let home = scenario.home.upstream.clone();
     scenario.report_busy(&[&home, &orders[0].upstream]);
     assert_eq!(scenario.ask().1.fetch_from, Some(scenario.home.address));
@@ -580,7 +583,7 @@
 #[test]
 fn a_source_in_another_failure_domain_must_be_faster_than_prefill() {
     for (megabits_per_s, fetches) in [(550_000.0, true), (400_000.0, false)] {
-        let mut spread = with_links(engines_of(&["north-a", "north-b"], 1));
+        let mut spread = with_links(engines_in_domains(&["north-a", "north-b"], 1));
         for upstream in spread.values_mut() {
             if let Upstream::Engine(engine) = upstream {
                 engine.link = Bandwidth::megabits_per_s(megabits_per_s);
--- a/crates/policy/tests/installation/reach.rs
+++ b/crates/policy/tests/installation/reach.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         service_world::{DOMAINS, REPLICAS, World, domain_of},
-        support::{Ask, Host, address, lookup, order, sent},
+        support::{Host, TestRequest, address, lookup, order, sent},
     },
     policy::{Action, Event},
     rand::{Rng, SeedableRng, rngs::SmallRng, seq::IteratorRandom},
@@ -38,7 +38,7 @@
 fn play_cut(world: &mut World, hosts: &[usize], replicas: &[usize], refuses: bool) -> Time {
     let began = world.now;
     world.cut(hosts, replicas, refuses, CUT_DURATION);
-    world.pass(CUT_DURATION, REQUESTS_PER_HOST_S);
+    world.advance(CUT_DURATION, REQUESTS_PER_HOST_S);
     began
 }
 
@@ -49,13 +49,13 @@
         began + DETECTION_TIME,
         began + CUT_DURATION - REQUEST_DURATION,
     );
-    let cut = world.tries(from, until, |host| hosts.contains(&host));
-    let others = world.tries(from, until, |host| !hosts.contains(&host));
+    let cut = world.request_counts(from, until, |host| hosts.contains(&host));
+    let others = world.request_counts(from, until, |host| !hosts.contains(&host));
     let share = |served: usize, all: usize| served as f64 / all.max(1) as f64;
-    let served = share(cut.served, cut.all);
-    assert!(cut.all > 0, "{label}: no request arrived");
+    let served = share(cut.served, cut.total);
+    assert!(cut.total > 0, "{label}: no request arrived");
     assert!(
-        others.all == 0 || served >= MIN_SERVED_SHARE * share(others.served, others.all),
+        others.total == 0 || served >= MIN_SERVED_SHARE * share(others.served, others.total),
         "{label}: {cut:?}, others {others:?}"
     );
     assert!(1.0 - served <= MAX_FAILED_SHARE, "{label}: {cut:?}");
@@ -63,7 +63,7 @@
 
 fn warmed_up_world(hosts: usize, seed: u64) -> World {
     let mut world = World::new(hosts, seed);
-    world.pass(WARM_UP, REQUESTS_PER_HOST_S);
+    world.advance(WARM_UP, REQUESTS_PER_HOST_S);
     world
 }
 
@@ -122,9 +122,16 @@
     let some: Vec<usize> = (0..REPLICAS / 4).collect();
     let began = play_cut(&mut world, &[0, 1], &some, false);
     assert_served(&world, began, &[0, 1], "some upstreams");
-    let cut = world.tries(began, began + CUT_DURATION, |host| host < 2);
-    assert!(world.through > 0, "no request took an indirect path");
-    assert!(world.through * 2 < cut.all, "{} of {cut:?}", world.through);
+    let cut = world.request_counts(began, began + CUT_DURATION, |host| host < 2);
+    assert!(
+        world.indirect_attempts > 0,
+        "no request took an indirect path"
+    );
+    assert!(
+        world.indirect_attempts * 2 < cut.total,
+        "{} of {cut:?}",
+        world.indirect_attempts
+    );
 }
 
 /// Guards against using indirect paths after the direct paths are restored.
@@ -133,10 +140,10 @@
     let mut world = warmed_up_world(22, 7);
     let cut: Vec<usize> = (0..7).collect();
     play_cut(&mut world, &cut, &World::all_replicas(), false);
-    world.pass(Duration::from_secs(1), REQUESTS_PER_HOST_S);
-    let before = world.through;
-    world.pass(Duration::from_secs(2), REQUESTS_PER_HOST_S);
-    assert_eq!(world.through, before);
+    world.advance(Duration::from_secs(1), REQUESTS_PER_HOST_S);
+    let before = world.indirect_attempts;
+    world.advance(Duration::from_secs(2), REQUESTS_PER_HOST_S);
+    assert_eq!(world.indirect_attempts, before);
     for host in &world.hosts {
         assert!(host.controller.out_of_reach().is_empty());
     }
@@ -154,11 +161,11 @@
     let mut world = warmed_up_world(6, 9);
     play_cut(&mut world, &all, &World::all_replicas(), true);
     let began = world.now;
-    world.pass(Duration::from_secs(6), REQUESTS_PER_HOST_S);
-    let after = world.tries(began + DETECTION_TIME, world.now - REQUEST_DURATION, |_| {
+    world.advance(Duration::from_secs(6), REQUESTS_PER_HOST_S);
+    let after = world.request_counts(began + DETECTION_TIME, world.now - REQUEST_DURATION, |_| {
         true
     });
-    assert_eq!(after.served, after.all);
+    assert_eq!(after.served, after.total);
 }
 
 /// Guards against waiting for a stopped host that was the indirect path so far.
@@ -167,12 +174,12 @@
     for dead in 1..6 {
         let mut world = warmed_up_world(6, 11);
         world.cut(&[0], &World::all_replicas(), false, CUT_DURATION);
-        world.pass(DETECTION_TIME, REQUESTS_PER_HOST_S);
-        world.dead.insert(dead);
+        world.advance(DETECTION_TIME, REQUESTS_PER_HOST_S);
+        world.stopped_hosts.insert(dead);
         let began = world.now;
-        world.pass(CUT_DURATION - DETECTION_TIME, REQUESTS_PER_HOST_S);
-        let tries = world.tries(began, world.now - REQUEST_DURATION, |host| host == 0);
-        assert_eq!(tries.served, tries.all, "without host {dead}");
+        world.advance(CUT_DURATION - DETECTION_TIME, REQUESTS_PER_HOST_S);
+        let tries = world.request_counts(began, world.now - REQUEST_DURATION, |host| host == 0);
+        assert_eq!(tries.served, tries.total, "without host {dead}");
     }
 }
 
@@ -190,7 +197,7 @@
             let began = play_cut(&mut world, &cut, &World::all_replicas(), refuses);
             let label = format!("seed {seed}, cut {number}, {hosts} hosts, {cut:?}, {refuses}");
             assert_served(&world, began, &cut, &label);
-            world.pass(
+            world.advance(
                 Duration::from_millis(rng.random_range(0..2_000)),
                 REQUESTS_PER_HOST_S,
             );
@@ -203,8 +210,8 @@
 fn indirect_paths_prefer_the_own_failure_domain() {
     let mut world = warmed_up_world(9, 13);
     world.cut(&[0], &World::all_replicas(), false, CUT_DURATION);
-    world.pass(DETECTION_TIME, REQUESTS_PER_HOST_S);
-    let (_, actions) = world.hosts[0].ask(Ask::call("lookup"));
+    world.advance(DETECTION_TIME, REQUESTS_PER_HOST_S);
+    let (_, actions) = world.hosts[0].ask(TestRequest::call("lookup"));
     let paths = sent(&actions).unwrap().paths;
     let through = |host: &usize| paths.contains(&Path::Through(address(*host)));
     let used: Vec<usize> = (1..9).filter(through).collect();
@@ -247,15 +254,15 @@
     let (repeatable, actions) = host.ask(lookup());
     assert!(sent(&actions).is_some());
     host.ask(order());
-    host.pass(2_000);
+    host.advance(2_000);
     assert_eq!(abandoned(&mut host), [], "the path is not lost yet");
     let others = (0..3).map(|number| format!("shop-{number}").parse().unwrap());
     for other in others {
         lose_path(&mut host, &other);
     }
-    host.pass(200);
+    host.advance(200);
     assert_eq!(abandoned(&mut host), [repeatable]);
-    host.pass(1_000);
+    host.advance(1_000);
     assert_eq!(
         abandoned(&mut host),
         [],
@@ -278,6 +285,6 @@
         upstream: upstream.clone(),
     });
     lose_path(&mut host, &upstream);
-    host.pass(2_000);
+    host.advance(2_000);
     assert_eq!(abandoned(&mut host), []);
 }
--- a/crates/policy/tests/installation/refusals.rs
+++ b/crates/policy/tests/installation/refusals.rs
@@ -2,7 +2,7 @@
 //! run twice must not.
 
 use {
-    crate::support::{Ask, Host, upstreams},
+    crate::support::{Host, TestRequest, upstreams},
     policy::{Action, Event, RefusalReason, SendOrder},
     rand::{Rng, SeedableRng, rngs::SmallRng},
     std::{
@@ -64,11 +64,11 @@
             13 => self.cancel(),
             14..=15 => self.notice(),
             16 => self.change_directory(),
-            17 => self.host.pass(self.rng.random_range(100..2_500)),
+            17 => self.host.advance(self.rng.random_range(100..2_500)),
             _ => {
                 let as_of = self.host.now;
                 self.host.handle(Event::ConfigurationConfirmed { as_of });
-                self.host.pass(self.rng.random_range(10..150));
+                self.host.advance(self.rng.random_range(10..150));
             }
         }
         self.check();
@@ -78,9 +78,9 @@
         let body = BODIES[self.rng.random_range(0..BODIES.len())];
         let may_repeat = self.rng.random_bool(0.3);
         let class = if may_repeat { "lookup" } else { "payment" };
-        let (id, _) = self.host.ask(Ask {
+        let (id, _) = self.host.ask(TestRequest {
             body: body.map(str::to_string),
-            ..Ask::call(class)
+            ..TestRequest::call(class)
         });
         let call = self.calls.entry(id).or_default();
         (call.is_fatal, call.may_repeat) = (body.is_some(), may_repeat);
@@ -248,7 +248,7 @@
     for seed in 0..SEEDS {
         let mut simulation = Simulation::new(seed);
         (0..STEPS).for_each(|_| simulation.step());
-        simulation.host.pass(20_000);
+        simulation.host.advance(20_000);
         simulation.check();
         reasons.extend(simulation.reasons);
     }
--- a/crates/policy/tests/installation/retries_of_many.rs
+++ b/crates/policy/tests/installation/retries_of_many.rs
@@ -2,7 +2,7 @@
 //! retry beyond the ratio.
 
 use {
-    crate::support::{APPLY_LIMIT, Host, KEY_KNOWLEDGE, lookup, sent},
+    crate::support::{APPLY_LIMIT, Host, KEY_KNOWLEDGE_LIMIT, lookup, sent},
     policy::{Event, RelayRules},
     std::time::Duration,
     types::prelude::*,
@@ -19,7 +19,7 @@
     host.handle(Event::RulesChanged(RelayRules {
         apply_limit: APPLY_LIMIT,
         first_start: false,
-        key_knowledge_limit: KEY_KNOWLEDGE,
+        key_knowledge_limit: KEY_KNOWLEDGE_LIMIT,
         retry_extra,
         retry_ratio: RATIO,
         retry_window: WINDOW,
@@ -32,7 +32,7 @@
 fn pass_with_confirmed_configuration(host: &mut Host, span: Duration) {
     let end = host.now + span;
     while host.now < end {
-        host.pass(500);
+        host.advance(500);
         let as_of = host.now;
         host.handle(Event::ConfigurationConfirmed { as_of });
     }
@@ -88,7 +88,7 @@
         for _ in 0..CALLS {
             asked += 1;
             retried += u32::from(is_retried(host));
-            host.pass(100);
+            host.advance(100);
         }
     };
     for number in 0..HOSTS {
--- a/crates/policy/tests/installation/service_world.rs
+++ b/crates/policy/tests/installation/service_world.rs
@@ -1,11 +1,12 @@
-//! Hosts in several failure domains before the replicas of a service, in virtual time: connections
-//! of a host's own can be cut, and another host can open one for it; replicas have room for so many
-//! requests, and may fall over when they have to reject much.
+//! Simulates, in virtual time, hosts in several failure domains that send requests to the replicas
+//! of a service. Direct paths between hosts and replicas can be cut, and another host can then
+//! connect on behalf of a host. Replicas have a limited number of slots, and can crash when they
+//! reject too many requests.
 
 use {
     crate::{
         served_replica::{Admission, ReplicaRequest, ServedReplica},
-        support::{Ask, Host, address},
+        support::{Host, TestRequest, address},
     },
     config::{ServiceReplica, Upstream},
     peer::PeerHost,
@@ -21,101 +22,108 @@
 
 pub const DOMAINS: [&str; 3] = ["north-a", "north-b", "north-c"];
 
-/// Replicas of the service.
+/// Number of replicas of the service.
 pub const REPLICAS: usize = 12;
 
-/// Where replicas listen, apart from hosts.
-const REPLICAS_AT: usize = 5_000;
+/// Number of the first replica's address, beyond the addresses of hosts.
+const FIRST_REPLICA_ADDRESS: usize = 5_000;
 
 const TICK: Duration = Duration::from_millis(20);
 
-const DATAGRAM: Duration = Duration::from_millis(1);
+/// Delay of a datagram between two hosts.
+const DATAGRAM_DELAY: Duration = Duration::from_millis(1);
 
-/// Usual time in which a replica answers, on average.
-const ANSWER: Duration = Duration::from_millis(30);
+/// Default of [`World::mean_response_time`].
+const MEAN_RESPONSE_TIME: Duration = Duration::from_millis(30);
 
-/// Head start of a path over the next one, and the time for all of them.
+/// Delay before the next path is tried while the previous one has not connected.
 const HEAD_START: Duration = Duration::from_millis(60);
-const OPEN_LIMIT: Duration = Duration::from_millis(300);
+/// Time limit for all paths of an attempt.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time for which a host tries to connect for another one.
-const TRANSIT_LIMIT: Duration = Duration::from_millis(200);
+/// Time limit of a host that connects on behalf of another host.
+const TRANSIT_TIMEOUT: Duration = Duration::from_millis(200);
 
-const CONNECT: Duration = Duration::from_millis(1);
+/// Time to establish or refuse a direct connection, also used as the delay of responses.
+const CONNECT_TIME: Duration = Duration::from_millis(1);
 
-/// Paths that are lost for a time.
+/// Direct paths from hosts to replicas that are cut for a time.
 #[derive(Clone, Debug)]
 pub struct Cut {
     pub from: Time,
     pub hosts: BTreeSet<usize>,
-    /// Whether connections are refused, rather than not answered.
+    /// Whether connections are refused; otherwise they get no response.
     pub refuses: bool,
     pub replicas: BTreeSet<usize>,
     pub until: Time,
 }
 
-/// First tries of callers, and how many of them were served.
+/// Numbers of requests, not counting retries.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tries {
-    pub all: usize,
+pub struct RequestCounts {
+    pub total: usize,
     pub served: usize,
 }
 
-enum Due {
-    Asks {
+/// An event of the simulation that is due at a later time.
+enum ScheduledEvent {
+    RequestArrives {
         host: usize,
     },
-    Ended {
+    AttemptEnds {
         end: Box<AttemptEnd>,
         host: usize,
         order: Box<SendOrder>,
         request: RequestId,
     },
-    Finishes {
+    ReplicaFinishes {
         attempt: AttemptId,
         host: usize,
         replica: usize,
     },
-    Happens {
+    HostEvent {
         event: Box<Event>,
         host: usize,
     },
-    Reaches {
+    RequestReachesReplica {
         replica: usize,
         visit: ReplicaRequest,
     },
 }
 
+/// The simulated hosts and replicas.
 pub struct World {
-    /// Time in which a replica answers, on average.
-    pub answer: Duration,
-    /// When each request arrived at which host.
-    arrivals: BTreeMap<(usize, RequestId), Time>,
+    /// Mean time in which a replica processes a request; the times are spread by half of it.
+    pub mean_response_time: Duration,
+    /// Arrival time of each request, by the number of its host.
+    arrival_times: BTreeMap<(usize, RequestId), Time>,
     pub cuts: Vec<Cut>,
-    /// Hosts that do nothing, and answer nothing.
-    pub dead: BTreeSet<usize>,
-    due: BTreeMap<(Time, u64), Due>,
+    /// Hosts that process no events and respond to no other host.
+    pub stopped_hosts: BTreeSet<usize>,
+    /// Events by due time; the number keeps the order of events with equal times.
+    scheduled: BTreeMap<(Time, u64), ScheduledEvent>,
     pub hosts: Vec<Host>,
-    next: u64,
+    last_event_number: u64,
     pub now: Time,
     pub replicas: Vec<ServedReplica>,
     rng: SmallRng,
-    /// Requests that were served: when and where they arrived.
+    /// Served requests, with their arrival times and the numbers of their hosts.
     served: BTreeSet<(Time, usize, RequestId)>,
-    /// Hosts whose datagrams get nowhere.
-    pub silent: BTreeSet<usize>,
-    /// Attempts that connected through another host.
-    pub through: usize,
-    asked: Vec<(Time, usize, RequestId)>,
+    /// Hosts that neither send nor receive any datagrams.
+    pub hosts_losing_datagrams: BTreeSet<usize>,
+    /// Number of attempts that connected through another host.
+    pub indirect_attempts: usize,
+    /// All requests, with their arrival times and the numbers of their hosts.
+    requests: Vec<(Time, usize, RequestId)>,
 }
 
 impl World {
-    /// Hosts before replicas that always have room.
+    /// Creates hosts, and replicas with 64 slots each.
     pub fn new(hosts: usize, seed: u64) -> Self {
         Self::with_slots(hosts, 64, seed)
     }
 
-    /// The same with so many slots of each replica.
+    /// Like [`Self::new`], with the given number of slots for each replica.
     pub fn with_slots(hosts: usize, slots: usize, seed: u64) -> Self {
         let peers: Vec<PeerHost> = (0..hosts).map(peer).collect();
         let start = |number: usize| {
@@ -129,26 +137,26 @@
             host
         };
         Self {
-            answer: ANSWER,
-            arrivals: BTreeMap::new(),
-            asked: Vec::new(),
+            mean_response_time: MEAN_RESPONSE_TIME,
+            arrival_times: BTreeMap::new(),
+            requests: Vec::new(),
             cuts: Vec::new(),
-            dead: BTreeSet::new(),
-            due: BTreeMap::new(),
+            stopped_hosts: BTreeSet::new(),
+            scheduled: BTreeMap::new(),
             hosts: (0..hosts).map(start).collect(),
-            next: 0,
+            last_event_number: 0,
             now: Time::from_ms(1_000),
             replicas: (0..REPLICAS)
                 .map(|_| ServedReplica::new(slots, slots))
                 .collect(),
             rng: SmallRng::seed_from_u64(seed),
             served: BTreeSet::new(),
-            silent: BTreeSet::new(),
-            through: 0,
+            hosts_losing_datagrams: BTreeSet::new(),
+            indirect_attempts: 0,
         }
     }
 
-    /// Cuts hosts off from replicas from now on.
+    /// Cuts the direct paths from hosts to replicas, from now on for a time.
     pub fn cut(&mut self, hosts: &[usize], replicas: &[usize], refuses: bool, span: Duration) {
         self.cuts.push(Cut {
             from: self.now,
@@ -159,8 +167,8 @@
         });
     }
 
-    /// Lets time pass, with so many requests a second at each host.
-    pub fn pass(&mut self, span: Duration, per_host_s: f64) {
+    /// Advances the time, with `per_host_s` requests a second at each host.
+    pub fn advance(&mut self, span: Duration, per_host_s: f64) {
         let end = self.now + span;
         while self.now < end {
             let next = self.now + TICK;
@@ -169,25 +177,26 @@
                 while self.rng.random::<f64>() < expected {
                     expected -= 1.0;
                     let after = TICK.mul_f64(self.rng.random());
-                    self.add(after, Due::Asks { host });
+                    self.schedule(after, ScheduledEvent::RequestArrives { host });
                 }
             }
-            self.settle(next);
+            self.process_events(next);
             self.now = next;
             for host in 0..self.hosts.len() {
                 if next.as_us().is_multiple_of(1_000_000) {
-                    self.tell(host, Event::ConfigurationConfirmed { as_of: next });
+                    self.handle_event(host, Event::ConfigurationConfirmed { as_of: next });
                 }
                 if next.as_us().is_multiple_of(500_000) {
                     let unix_ms = next.as_us() / 1_000;
-                    self.tell(host, Event::TimeOfDay { unix_ms });
+                    self.handle_event(host, Event::TimeOfDay { unix_ms });
                 }
-                self.tell(host, Event::Ticked);
+                self.handle_event(host, Event::Ticked);
             }
         }
     }
 
-    /// Lets replicas be brittle, and less wait there.
+    /// Sets the rate of rejections above which replicas crash, or `None` for replicas that do not
+    /// crash. Replicas that can crash reject requests instead of queueing them.
     pub fn make_brittle(&mut self, replicas: &[usize], rejections_per_s: Option<f64>) {
         for replica in replicas {
             let replica = &mut self.replicas[*replica];
@@ -200,44 +209,52 @@
         }
     }
 
-    pub fn falls(&self) -> usize {
+    /// Returns the number of crashes of all replicas.
+    pub fn crash_count(&self) -> usize {
         self.replicas.iter().map(|replica| replica.crashes).sum()
     }
 
-    /// Requests that arrived in a span at hosts for which something holds.
-    pub fn tries(&self, from: Time, until: Time, counts: impl Fn(usize) -> bool) -> Tries {
-        let asked = self.asked.iter();
-        let asked = asked.filter(|(at, host, _)| *at >= from && *at < until && counts(*host));
-        asked.fold(Tries::default(), |tries, asked| Tries {
-            all: tries.all + 1,
-            served: tries.served + usize::from(self.served.contains(asked)),
+    /// Counts requests that arrived in a time span at the selected hosts.
+    pub fn request_counts(
+        &self,
+        from: Time,
+        until: Time,
+        includes_host: impl Fn(usize) -> bool,
+    ) -> RequestCounts {
+        let requests = self.requests.iter();
+        let requests =
+            requests.filter(|(at, host, _)| *at >= from && *at < until && includes_host(*host));
+        requests.fold(RequestCounts::default(), |counts, request| RequestCounts {
+            total: counts.total + 1,
+            served: counts.served + usize::from(self.served.contains(request)),
         })
     }
 
-    /// Numbers of the replicas.
+    /// Returns the numbers of all replicas.
     pub fn all_replicas() -> Vec<usize> {
         (0..REPLICAS).collect()
     }
 
-    /// Hosts of a domain.
+    /// Returns the numbers of the hosts in a failure domain.
     pub fn hosts_in(&self, domain: &str) -> Vec<usize> {
         let hosts = 0..self.hosts.len();
         hosts.filter(|host| domain_of(*host) == domain).collect()
     }
 
-    fn ask(&mut self, host: usize) {
-        if self.dead.contains(&host) {
+    fn send_request(&mut self, host: usize) {
+        if self.stopped_hosts.contains(&host) {
             return;
         }
         self.hosts[host].now = self.now;
-        let (request, _) = self.hosts[host].ask(Ask::call("lookup"));
-        self.arrivals.insert((host, request), self.now);
-        self.asked.push((self.now, host, request));
-        self.carry_out(host);
+        let (request, _) = self.hosts[host].ask(TestRequest::call("lookup"));
+        self.arrival_times.insert((host, request), self.now);
+        self.requests.push((self.now, host, request));
+        self.perform_actions(host);
     }
 
-    fn settle(&mut self, until: Time) {
-        while let Some(entry) = self.due.first_entry() {
+    /// Processes the events that are due before `until`.
+    fn process_events(&mut self, until: Time) {
+        while let Some(entry) = self.scheduled.first_entry() {
             let (at, _) = *entry.key();
             if at >= until {
                 return;
@@ -245,15 +262,15 @@
             let due = entry.remove();
             self.now = self.now.max(at);
             match due {
-                Due::Asks { host } => self.ask(host),
-                Due::Ended {
+                ScheduledEvent::RequestArrives { host } => self.send_request(host),
+                ScheduledEvent::AttemptEnds {
                     end,
                     host,
                     order,
                     request,
                 } => {
                     if matches!(*end, AttemptEnd::Completed { .. }) {
-                        let arrived = self.arrivals[&(host, request)];
+                        let arrived = self.arrival_times[&(host, request)];
                         self.served.insert((arrived, host, request));
                     }
                     let event = Event::AttemptEnded {
@@ -261,42 +278,50 @@
                         end: *end,
                         request,
                     };
-                    self.tell(host, event);
+                    self.handle_event(host, event);
                 }
-                Due::Finishes {
+                ScheduledEvent::ReplicaFinishes {
                     attempt,
                     host,
                     replica,
                 } => self.finish(replica, host, attempt),
-                Due::Happens { event, host } => self.tell(host, *event),
-                Due::Reaches { replica, visit } => self.reach(replica, visit),
+                ScheduledEvent::HostEvent { event, host } => self.handle_event(host, *event),
+                ScheduledEvent::RequestReachesReplica { replica, visit } => {
+                    self.deliver_to_replica(replica, visit);
+                }
             }
         }
     }
 
-    fn reach(&mut self, replica: usize, visit: ReplicaRequest) {
+    fn deliver_to_replica(&mut self, replica: usize, visit: ReplicaRequest) {
         let (host, attempt) = (visit.host, visit.order.attempt);
         match self.replicas[replica].arrive(visit, self.now) {
             Admission::Crashed(there) => {
                 for visit in there {
                     let failed = failed(FailureCause::Reset, Verdict::MayHaveRun);
-                    self.end(visit, failed, CONNECT);
+                    self.schedule_attempt_end(visit, failed, CONNECT_TIME);
                 }
             }
             Admission::Rejected(visit) => {
-                self.say(replica, &visit);
-                self.end(visit, failed(FailureCause::Busy, Verdict::NotRun), CONNECT);
+                self.send_notice(replica, &visit);
+                self.schedule_attempt_end(
+                    visit,
+                    failed(FailureCause::Busy, Verdict::NotRun),
+                    CONNECT_TIME,
+                );
             }
-            Admission::Started => self.run(replica, host, attempt),
+            Admission::Started => self.schedule_finish(replica, host, attempt),
             Admission::Queued => {}
         }
     }
 
-    fn run(&mut self, replica: usize, host: usize, attempt: AttemptId) {
-        let takes = self.answer.mul_f64(self.rng.random_range(0.5..1.5));
-        self.add(
-            takes,
-            Due::Finishes {
+    fn schedule_finish(&mut self, replica: usize, host: usize, attempt: AttemptId) {
+        let duration = self
+            .mean_response_time
+            .mul_f64(self.rng.random_range(0.5..1.5));
+        self.schedule(
+            duration,
+            ScheduledEvent::ReplicaFinishes {
                 attempt,
                 host,
                 replica,
@@ -309,19 +334,21 @@
             return;
         };
         if let Some(next) = next {
-            self.run(replica, next.host, next.order.attempt);
+            self.schedule_finish(replica, next.host, next.order.attempt);
         }
-        self.say(replica, &ended);
+        self.send_notice(replica, &ended);
         let end = AttemptEnd::Completed {
             response: None,
             longest_pause: Duration::ZERO,
             tokens: Tokens::default(),
         };
-        self.end(ended, end, CONNECT);
+        self.schedule_attempt_end(ended, end, CONNECT_TIME);
     }
 
-    /// Tells a host what the replica says of itself in the answer to a request.
-    fn say(&mut self, replica: usize, visit: &ReplicaRequest) {
+    /// Delivers the notice in a replica's response, which contains the replica's rejection limit.
+    /// A replica without a limit sends a notice only if the order contains an earlier limit, which
+    /// the notice then withdraws.
+    fn send_notice(&mut self, replica: usize, visit: &ReplicaRequest) {
         let brittle = self.replicas[replica]
             .rejection_limit_per_s
             .and_then(Rate::per_second);
@@ -333,22 +360,22 @@
                 rejection_limit: brittle.map_or(AdvertisedLimit::Absent, AdvertisedLimit::Valid),
                 ..UpstreamNotice::default()
             },
-            sent: self.now - CONNECT,
+            sent: self.now - CONNECT_TIME,
             upstream: self::replica(replica),
         };
-        self.happens(CONNECT, visit.host, event);
+        self.schedule_host_event(CONNECT_TIME, visit.host, event);
     }
 
-    fn end(&mut self, visit: ReplicaRequest, end: AttemptEnd, after: Duration) {
+    fn schedule_attempt_end(&mut self, visit: ReplicaRequest, end: AttemptEnd, after: Duration) {
         let ReplicaRequest {
             host,
             order,
             request,
         } = visit;
         let end = Box::new(end);
-        self.add(
+        self.schedule(
             after,
-            Due::Ended {
+            ScheduledEvent::AttemptEnds {
                 end,
                 host,
                 order,
@@ -357,36 +384,41 @@
         );
     }
 
-    fn tell(&mut self, host: usize, event: Event) {
-        if self.dead.contains(&host) {
+    /// Passes an event to a host and carries out its actions.
+    fn handle_event(&mut self, host: usize, event: Event) {
+        if self.stopped_hosts.contains(&host) {
             return;
         }
         self.hosts[host].now = self.now;
         self.hosts[host].handle(event);
-        self.carry_out(host);
+        self.perform_actions(host);
     }
 
-    fn carry_out(&mut self, host: usize) {
+    fn perform_actions(&mut self, host: usize) {
         for action in std::mem::take(&mut self.hosts[host].actions) {
             match action {
                 Action::Send { order, request } => self.send(host, order, request),
                 Action::CheckPath {
                     paths, upstream, ..
                 } => {
-                    let (_, tries, span) = self.open(host, &paths, &upstream);
+                    let (_, tries, span) = self.open_connection(host, &paths, &upstream);
                     let event = Event::PathsTried {
                         request: None,
                         attempts: tries,
                         upstream,
                     };
-                    self.happens(span, host, event);
+                    self.schedule_host_event(span, host, event);
                 }
                 Action::Probe {
                     paths, upstream, ..
                 } => {
-                    let (path, _, span) = self.open(host, &paths, &upstream);
+                    let (path, _, span) = self.open_connection(host, &paths, &upstream);
                     let healthy = path.is_some();
-                    self.happens(span, host, Event::ProbeAnswered { healthy, upstream });
+                    self.schedule_host_event(
+                        span,
+                        host,
+                        Event::ProbeAnswered { healthy, upstream },
+                    );
                 }
                 Action::SendLoadNotes { notes } => {
                     for (to, note) in notes {
@@ -406,37 +438,45 @@
     }
 
     fn send_datagram(&mut self, from: usize, to: SocketAddr, event: Event) {
-        let is_lost = |host: &usize| self.silent.contains(host);
-        let to = self.number_of(to);
-        if let Some(to) = to.filter(|to| !is_lost(to) && !is_lost(&from)) {
-            self.happens(DATAGRAM, to, event);
+        let loses_datagrams = |host: &usize| self.hosts_losing_datagrams.contains(host);
+        let to = self.host_at(to);
+        if let Some(to) = to.filter(|to| !loses_datagrams(to) && !loses_datagrams(&from)) {
+            self.schedule_host_event(DATAGRAM_DELAY, to, event);
         }
     }
 
     fn send(&mut self, host: usize, order: SendOrder, request: RequestId) {
-        let (path, tries, span) = self.open(host, &order.paths, &order.upstream);
-        self.through += usize::from(matches!(path, Some(Path::Through(_))));
+        let (path, tries, span) = self.open_connection(host, &order.paths, &order.upstream);
+        self.indirect_attempts += usize::from(matches!(path, Some(Path::Through(_))));
         let upstream = order.upstream.clone();
         let event = Event::PathsTried {
             request: Some(request),
             attempts: tries,
             upstream,
         };
-        self.happens(span, host, event);
-        let replica = number_of_replica(&order.upstream);
+        self.schedule_host_event(span, host, event);
+        let replica = replica_number(&order.upstream);
         let visit = ReplicaRequest {
             host,
             order: Box::new(order),
             request,
         };
         match path {
-            Some(_) => self.add(span + CONNECT, Due::Reaches { replica, visit }),
-            None => self.end(visit, failed(FailureCause::Connect, Verdict::NotRun), span),
+            Some(_) => self.schedule(
+                span + CONNECT_TIME,
+                ScheduledEvent::RequestReachesReplica { replica, visit },
+            ),
+            None => self.schedule_attempt_end(
+                visit,
+                failed(FailureCause::Connect, Verdict::NotRun),
+                span,
+            ),
         }
     }
 
-    /// Opens the first path that connects; gives what was tried, and how long it took.
-    fn open(
+    /// Tries paths in order, each with a head start over the next one. Returns the path that
+    /// connects first, the outcomes of the paths tried, and the time taken.
+    fn open_connection(
         &mut self,
         host: usize,
         paths: &[Path],
@@ -448,22 +488,25 @@
             let connects = |(_, _, end, outcome): &(_, _, Duration, _)| {
                 *outcome == PathOutcome::Connected && *end <= start
             };
-            if start >= OPEN_LIMIT || attempts.iter().any(connects) {
+            if start >= OPEN_TIMEOUT || attempts.iter().any(connects) {
                 break;
             }
-            let (takes, outcome) = self.attempt(host, *path, upstream);
-            attempts.push((start, *path, start + takes, outcome));
+            let (duration, outcome) = self.try_path(host, *path, upstream);
+            attempts.push((start, *path, start + duration, outcome));
             let ends = attempts.iter().map(|(_, _, end, _)| *end);
-            let next = ends.filter(|end| *end > start).min().unwrap_or(OPEN_LIMIT);
+            let next = ends
+                .filter(|end| *end > start)
+                .min()
+                .unwrap_or(OPEN_TIMEOUT);
             start = next.min(start + HEAD_START);
         }
-        let standing = attempts
+        let connected = attempts
             .iter()
             .filter(|(.., outcome)| *outcome == PathOutcome::Connected);
-        let first = standing.min_by_key(|(_, _, end, _)| *end);
+        let first = connected.min_by_key(|(_, _, end, _)| *end);
         let opened = first.map(|(_, path, end, _)| (*path, *end));
-        let opened = opened.filter(|(_, end)| *end <= OPEN_LIMIT);
-        let until = opened.map_or(OPEN_LIMIT, |(_, end)| end);
+        let opened = opened.filter(|(_, end)| *end <= OPEN_TIMEOUT);
+        let until = opened.map_or(OPEN_TIMEOUT, |(_, end)| end);
         let tries = attempts
             .iter()
             .filter_map(|(start, path, end, outcome)| {
@@ -481,31 +524,32 @@
             .collect();
         let all_failed = attempts.iter().map(|(_, _, end, _)| *end).max();
         let span = opened.map_or_else(
-            || all_failed.unwrap_or(OPEN_LIMIT).min(OPEN_LIMIT),
+            || all_failed.unwrap_or(OPEN_TIMEOUT).min(OPEN_TIMEOUT),
             |(_, end)| end,
         );
         (opened.map(|(path, _)| path), tries, span)
     }
 
-    fn attempt(
+    /// Returns how long a path takes to connect or fail, and with what outcome.
+    fn try_path(
         &mut self,
         host: usize,
         path: Path,
         upstream: &UpstreamId,
     ) -> (Duration, PathOutcome) {
-        let is_down = self.replicas[number_of_replica(upstream)].is_down(self.now);
+        let is_down = self.replicas[replica_number(upstream)].is_down(self.now);
         let other = match path {
             Path::Direct => {
                 return match self.cut_between(host, upstream) {
-                    None if is_down => (CONNECT, PathOutcome::Refused),
-                    None => (CONNECT, PathOutcome::Connected),
-                    Some(cut) if cut.refuses => (CONNECT, PathOutcome::Refused),
+                    None if is_down => (CONNECT_TIME, PathOutcome::Refused),
+                    None => (CONNECT_TIME, PathOutcome::Connected),
+                    Some(cut) if cut.refuses => (CONNECT_TIME, PathOutcome::Refused),
                     Some(_) => (Duration::MAX / 4, PathOutcome::NoAnswer),
                 };
             }
-            Path::Through(address) => self.number_of(address),
+            Path::Through(address) => self.host_at(address),
         };
-        let Some(other) = other.filter(|other| !self.dead.contains(other)) else {
+        let Some(other) = other.filter(|other| !self.stopped_hosts.contains(other)) else {
             return (Duration::MAX / 4, PathOutcome::NoAnswer);
         };
         self.hosts[other].now = self.now;
@@ -513,7 +557,7 @@
             call: 0,
             upstream: upstream.clone(),
         });
-        self.carry_out(other);
+        self.perform_actions(other);
         let connects = answers.iter().any(|action| {
             matches!(
                 action,
@@ -524,13 +568,13 @@
             )
         });
         if !connects {
-            return (CONNECT * 2, PathOutcome::Declined);
+            return (CONNECT_TIME * 2, PathOutcome::Declined);
         }
         match self.cut_between(other, upstream) {
-            None if is_down => (CONNECT * 3, PathOutcome::Unreached),
-            None => (CONNECT * 3, PathOutcome::Connected),
-            Some(cut) if cut.refuses => (CONNECT * 3, PathOutcome::Unreached),
-            Some(_) => (TRANSIT_LIMIT, PathOutcome::Unreached),
+            None if is_down => (CONNECT_TIME * 3, PathOutcome::Unreached),
+            None => (CONNECT_TIME * 3, PathOutcome::Connected),
+            Some(cut) if cut.refuses => (CONNECT_TIME * 3, PathOutcome::Unreached),
+            Some(_) => (TRANSIT_TIMEOUT, PathOutcome::Unreached),
         }
     }
 
@@ -544,18 +588,19 @@
         })
     }
 
-    fn number_of(&self, at: SocketAddr) -> Option<usize> {
+    fn host_at(&self, at: SocketAddr) -> Option<usize> {
         (0..self.hosts.len()).find(|number| address(*number) == at)
     }
 
-    fn happens(&mut self, after: Duration, host: usize, event: Event) {
+    fn schedule_host_event(&mut self, after: Duration, host: usize, event: Event) {
         let event = Box::new(event);
-        self.add(after, Due::Happens { event, host });
+        self.schedule(after, ScheduledEvent::HostEvent { event, host });
     }
 
-    fn add(&mut self, after: Duration, due: Due) {
-        self.next += 1;
-        self.due.insert((self.now + after, self.next), due);
+    fn schedule(&mut self, after: Duration, due: ScheduledEvent) {
+        self.last_event_number += 1;
+        self.scheduled
+            .insert((self.now + after, self.last_event_number), due);
     }
 }
 
@@ -576,7 +621,7 @@
     }
 }
 
-fn number_of_replica(id: &UpstreamId) -> usize {
+fn replica_number(id: &UpstreamId) -> usize {
     let number = id.name().rsplit('-').next();
     number.unwrap().parse().unwrap()
 }
@@ -593,7 +638,7 @@
 fn replicas(slots: usize) -> BTreeMap<UpstreamId, Upstream> {
     let replicas = (0..REPLICAS).map(|number| {
         let definition = ServiceReplica {
-            address: address(REPLICAS_AT + number),
+            address: address(FIRST_REPLICA_ADDRESS + number),
             failure_domain: domain_of(number).parse().unwrap(),
             health_path: "/health".to_string(),
             service: "shop".parse().unwrap(),
--- a/crates/policy/tests/installation/urgency.rs
+++ b/crates/policy/tests/installation/urgency.rs
@@ -1,15 +1,16 @@
-//! Which request goes first, and which engine is taken for a slow one.
+//! Tests the order of requests in a host's queue, the priorities that engines get, and the
+//! placement of prompts where an idle engine is faster than busy ones.
 
 use {
-    crate::support::{Ask, Host, engines, sent},
+    crate::support::{Host, TestRequest, engines, sent},
     config::Upstream,
     policy::{Action, Event},
     std::time::Duration,
     types::prelude::*,
 };
 
-/// Classes and keys, most urgent first in a host's queue: the first team's tier goes
-/// before the second's, and within a team the classes are in order.
+/// Classes and keys in the order of a host's queue, the most urgent first: the first team's tier
+/// precedes the second's, and the classes of a team are ordered by their own tiers.
 const QUEUE_ORDER: [(&str, &str); 5] = [
     ("question", "first-key"),
     ("summary", "first-key"),
@@ -18,16 +19,15 @@
     ("summary", "shop-key"),
 ];
 
-fn prompt(class: &'static str, key: &'static str) -> Ask {
-    Ask::prompt(class, key, &[(1, 500), (2, 100)])
+fn prompt(class: &'static str, key: &'static str) -> TestRequest {
+    TestRequest::prompt(class, key, &[(1, 500), (2, 100)])
 }
 
-/// Symptom: in an overload the most urgent class waits behind the least. Events:
-/// all teams have one tier, and long summaries fill the engines. Cause: a team's
-/// tier takes the place of the class's. Before, few of the
-/// urgent short replies were in time at 1.5 times the capacity.
+/// Guards against a team's tier that replaces the tier of the class. Where all teams have the same
+/// tier, the most urgent class would wait behind long summaries in an overload: at 1.5 times the
+/// capacity, few of the urgent short responses would be in time.
 #[test]
-fn a_queue_orders_by_the_teams_tier_and_then_by_the_class() {
+fn a_queue_orders_by_team_tier_then_by_class() {
     let mut host = Host::new(0);
     let mut engine = engines(1);
     for upstream in engine.values_mut() {
@@ -45,23 +45,22 @@
         assert!(sent(&actions).is_none());
         waiting.push(request);
     }
-    for wanted in waiting.into_iter().rev() {
+    for expected in waiting.into_iter().rev() {
         let actions = host.handle(Event::CallerGone { request: running });
         let mut started = actions.iter().filter_map(|action| match action {
             Action::Send { request, .. } => Some(*request),
             _ => None,
         });
         running = started.next().unwrap();
-        assert_eq!(running, wanted);
+        assert_eq!(running, expected);
     }
 }
 
-/// Symptom: many short urgent streams are preempted at an engine while long summaries
-/// run on beside them. Events: an engine's slots or memory run out while it runs both,
-/// the urgent ones of a lesser team. Cause: the team's tier goes first at the engine as
-/// it does in the queue, and the lesser levels share one priority.
+/// Guards against priorities that order by the team's tier first, as the queue does, and merge the
+/// less urgent levels. When an engine runs out of slots or memory, it would preempt many short
+/// urgent streams of a less urgent team while long summaries continue.
 #[test]
-fn an_engine_is_given_the_class_first_and_then_the_teams_tier() {
+fn an_engines_priorities_order_by_class_then_by_team_tier() {
     let mut host = Host::new(0);
     let mut priority = |class, key| sent(&host.ask(prompt(class, key)).1).unwrap().priority;
     let levels = [
@@ -74,8 +73,9 @@
     assert!(levels.is_sorted_by(|a, b| a < b), "{levels:?}");
 }
 
-/// Lets an engine give its first event, and ten more `each_ms` apart.
-fn give_tokens(host: &mut Host, request: RequestId, order: &policy::SendOrder, each_ms: u64) {
+/// Reports the first token of a response and ten more at the given interval, then cancels the
+/// request.
+fn report_tokens(host: &mut Host, request: RequestId, order: &policy::SendOrder, interval_ms: u64) {
     let progress = |host: &mut Host, tokens| {
         host.handle(Event::Progressed {
             attempt: order.attempt,
@@ -85,40 +85,44 @@
         });
     };
     progress(host, 1);
-    host.now = host.now.plus_ms(10 * each_ms);
+    host.now = host.now.plus_ms(10 * interval_ms);
     progress(host, 10);
     host.handle(Event::CallerGone { request });
 }
 
-/// Symptom: prompts are read again on quiet days. Events: one engine has nothing
-/// to do and gives tokens many times as fast as the others, which read prompts.
-/// Cause: every other engine is taken for a slow one. Before, 538 of the short
-/// prompts' and 161 of the long ones' shared parts were read on a further engine
-/// on a quiet day, after it 263 and 16.
+/// Guards against prompts that are prefilled again on another engine under a low load. An idle
+/// engine emits tokens many times as fast as engines that prefill prompts. If the host takes the
+/// others for slow engines, prompts move to the idle one: in a day of low load, shared parts of 538
+/// short and 161 long prompts are prefilled on a further engine, instead of 263 and 16.
 #[test]
-fn an_idle_engine_draws_no_prompt_from_its_home() {
+fn an_idle_engine_takes_no_prompts_from_their_preferred_engines() {
     let mut host = Host::new(0);
     let parts = |number: u64| [(number, 13_300), (1_000 + number, 3_700)];
-    let mut homes = std::collections::BTreeMap::new();
+    let mut placements = std::collections::BTreeMap::new();
     for number in 0..30 {
-        let ask = Ask::prompt("question", "shop-key", &parts(number));
+        let ask = TestRequest::prompt("question", "shop-key", &parts(number));
         let (request, actions) = host.ask(ask);
         let order = sent(&actions).unwrap();
-        let idle = order.upstream.name() == "engine-0";
-        give_tokens(&mut host, request, &order, if idle { 3 } else { 24 });
-        homes.insert(number, order.upstream);
+        let is_idle = order.upstream.name() == "engine-0";
+        report_tokens(&mut host, request, &order, if is_idle { 3 } else { 24 });
+        placements.insert(number, order.upstream);
         let as_of = host.now;
         host.handle(Event::ConfigurationConfirmed { as_of });
     }
-    // Another host sent them; this one only knows the engines' pace.
+    // The host has not sent these prompts before; it knows only the speeds of the engines.
     for number in 100..130 {
-        let ask = Ask::prompt("question", "shop-key", &parts(number));
+        let ask = TestRequest::prompt("question", "shop-key", &parts(number));
         let (request, actions) = host.ask(ask);
         let order = sent(&actions).unwrap();
         host.handle(Event::CallerGone { request });
-        homes.insert(number, order.upstream);
+        placements.insert(number, order.upstream);
     }
-    let drawn = homes.values().filter(|home| home.name() == "engine-0");
-    let drawn = drawn.count();
-    assert!((10..=32).contains(&drawn), "{drawn} of 60 at one of three");
+    let on_idle = placements
+        .values()
+        .filter(|engine| engine.name() == "engine-0");
+    let on_idle = on_idle.count();
+    assert!(
+        (10..=32).contains(&on_idle),
+        "{on_idle} of 60 at one of three"
+    );
 }
--- a/crates/policy/tests/installation/usage.rs
+++ b/crates/policy/tests/installation/usage.rs
@@ -1,7 +1,7 @@
-//! Which requests a host counts for the usage reports.
+//! Tests which requests and how much engine load a host reports to the coordinator.
 
 use {
-    crate::support::{Ask, Host, address, lookup, sent},
+    crate::support::{Host, TestRequest, address, lookup, sent},
     peer::DutyNote,
     policy::{Action, Event, SendOrder},
     std::time::Duration,
@@ -11,7 +11,7 @@
 /// Unix time in the tests, in milliseconds.
 const UNIX_MS: u64 = 1_800_000_000_000;
 
-/// A host that knows who holds the duties.
+/// Returns a host that knows the address of the coordinator.
 fn counting_host() -> Host {
     let mut host = Host::new(0);
     host.handle(Event::TimeOfDay { unix_ms: UNIX_MS });
@@ -27,10 +27,10 @@
     host
 }
 
-/// Requests that the host tells the holder of.
-fn announced(host: &mut Host) -> u32 {
+/// Returns the number of requests that the host reports to the coordinator within a second.
+fn reported_count(host: &mut Host) -> u32 {
     host.actions.clear();
-    host.pass(1_000);
+    host.advance(1_000);
     let mut notes = host.actions.iter().filter_map(|action| match action {
         Action::SendUsageNote { note, to } => {
             assert_eq!(*to, Some(address(1)));
@@ -43,13 +43,13 @@
     counts.map(|(_, count)| count).sum()
 }
 
-fn send(host: &mut Host, ask: Ask) -> (RequestId, SendOrder) {
+fn send(host: &mut Host, ask: TestRequest) -> (RequestId, SendOrder) {
     let (request, actions) = host.ask(ask);
     (request, sent(&actions).unwrap())
 }
 
-fn stream() -> Ask {
-    Ask::prompt("question", "first-key", &[(7, 100)])
+fn stream() -> TestRequest {
+    TestRequest::prompt("question", "first-key", &[(7, 100)])
 }
 
 fn progress(host: &mut Host, request: RequestId, order: &SendOrder) {
@@ -62,69 +62,70 @@
 }
 
 #[test]
-fn a_stream_counts_with_its_first_token_and_once() {
+fn a_stream_is_counted_once_at_its_first_token() {
     let mut host = counting_host();
     let (request, order) = send(&mut host, stream());
-    assert_eq!(announced(&mut host), 0);
+    assert_eq!(reported_count(&mut host), 0);
     progress(&mut host, request, &order);
     progress(&mut host, request, &order);
     host.finish(&order, request);
-    assert_eq!(announced(&mut host), 1);
+    assert_eq!(reported_count(&mut host), 1);
 }
 
 #[test]
-fn a_call_of_a_service_counts_once_it_was_answered() {
+fn a_service_call_is_counted_when_it_completes() {
     let mut host = counting_host();
     let (request, order) = send(&mut host, lookup());
     host.finish(&order, request);
-    assert_eq!(announced(&mut host), 1);
+    assert_eq!(reported_count(&mut host), 1);
 }
 
-/// Guards against reports that lack what an upstream began and answered with an error.
+/// Guards against usage reports without the requests that an upstream started and ended with an
+/// error.
 #[test]
-fn an_error_of_the_upstream_counts_and_a_refusal_does_not() {
+fn an_upstream_error_is_counted_but_a_failed_connection_is_not() {
     let mut host = counting_host();
     let (request, order) = send(&mut host, stream());
     let (cause, verdict) = (FailureCause::ErrorStatus, Verdict::Ran);
     host.fail(&order, request, cause, verdict, false);
-    assert_eq!(announced(&mut host), 1);
+    assert_eq!(reported_count(&mut host), 1);
     let (request, order) = send(&mut host, stream());
     let (cause, verdict) = (FailureCause::Connect, Verdict::NotRun);
     host.fail(&order, request, cause, verdict, false);
     host.handle(Event::CallerGone { request });
-    assert_eq!(announced(&mut host), 1);
+    assert_eq!(reported_count(&mut host), 1);
 }
 
 #[test]
 fn requests_without_a_team_are_not_counted() {
     let mut host = counting_host();
-    let (request, order) = send(&mut host, Ask::open("lookup"));
+    let (request, order) = send(&mut host, TestRequest::public_call("lookup"));
     host.finish(&order, request);
-    assert_eq!(announced(&mut host), 0);
+    assert_eq!(reported_count(&mut host), 0);
 }
 
-/// Guards against orders of upstreams that follow nothing, as the holder is not told what is
-/// asked for.
+/// Guards against orders for upstreams that ignore the demand because the coordinator does not
+/// receive the load of the engines.
 #[test]
-fn the_holder_is_told_what_was_put_on_engines() {
+fn the_coordinator_receives_the_work_placed_on_engines() {
     let mut host = counting_host();
     let (request, order) = send(&mut host, stream());
-    let work = |host: &mut Host| {
+    let take_work = |host: &mut Host| {
         host.actions.clear();
-        host.pass(1_000);
+        host.advance(1_000);
         let mut works = host.actions.iter().filter_map(|action| match action {
             Action::SendUsageNote { note, .. } => Some(note.work.clone()),
             _ => None,
         });
         works.next_back().unwrap()
     };
-    let waiting = work(&mut host);
+    let waiting = take_work(&mut host);
     assert_eq!(waiting[0].model.as_str(), "pool");
     assert_eq!((waiting[0].in_flight, waiting[0].total_ms), (1, 1));
     assert_eq!(waiting[0].waiting_ms, 1);
     progress(&mut host, request, &order);
     host.finish(&order, request);
-    let done = work(&mut host);
+    let done = take_work(&mut host);
     assert_eq!((done[0].in_flight, done[0].total_ms), (0, 1));
     assert_eq!(done[0].waiting_ms, 0);
 }
