--- a/crates/policy/tests/duties/capacity.rs
+++ b/crates/policy/tests/duties/capacity.rs
@@ -4,15 +4,16 @@
     types::Time,
 };
 
-/// A platform that fills orders some seconds later, in virtual time.
+/// Simulated platform, in virtual time. Ordered upstreams are ready after [`BOOT_TIME`].
 struct Platform {
+    /// Starting upstreams: when each is ready, and whether it is reclaimable.
     booting: Vec<(Time, bool)>,
     now: Time,
     orders: Vec<String>,
     plan: CapacityPlan,
     reclaimable: u32,
     regular: u32,
-    /// Whether reclaimable upstreams can be had.
+    /// Whether orders of reclaimable upstreams are accepted.
     offers_reclaimable: bool,
 }
 
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The pool that is played, beside two of other domains.
+    /// The simulated pool in domain `a`, and the same pool in two other domains.
     fn pools(&self) -> Vec<PoolCapacity> {
         let names = ["a", "b", "c"];
         let pools = names.map(|domain| PoolCapacity {
@@ -121,16 +122,19 @@
     let mut platform = Platform::with_regular(20);
     platform.advance(Duration::from_secs(5));
     assert_eq!(platform.orders(), "reclaimable 20");
-    assert_eq!(platform.regular, 20, "none is given up before");
+    assert_eq!(
+        platform.regular, 20,
+        "no regular upstream is released before"
+    );
     platform.advance(Duration::from_secs(10));
     assert_eq!(platform.orders(), "regular 2, reclaimable 38");
     platform.advance(Duration::from_secs(60));
-    assert_eq!(platform.orders(), "", "nothing is ordered again");
+    assert_eq!(platform.orders(), "", "the orders are not repeated");
     assert_eq!((platform.reclaimable, platform.regular), (38, 2));
 }
 
-/// Guards against a domain that stays without upstreams after its reclaimable ones were
-/// taken away and cannot be had.
+/// Guards against a domain that stays short of upstreams after all its reclaimable ones were taken
+/// away and new ones are refused.
 #[test]
 fn regular_upstreams_are_ordered_at_once_after_a_reclaim() {
     let mut platform = Platform::with_regular(20);
@@ -142,7 +146,7 @@
     assert_eq!(
         platform.orders(),
         "regular 20",
-        "it is the same in all domains"
+        "all domains lose their reclaimable upstreams"
     );
     platform.advance(Duration::from_secs(10));
     assert_eq!(platform.regular, 20);
@@ -154,8 +158,8 @@
     );
 }
 
-/// Guards against dear upstreams in a domain whose cheaper ones were taken away, while those
-/// of the others are enough for all.
+/// Guards against unnecessary orders of regular upstreams, which cost more, in a domain that lost
+/// its reclaimable ones while the upstreams of the other domains suffice for all.
 #[test]
 fn no_regular_upstreams_are_ordered_while_other_domains_have_enough() {
     let mut plan = CapacityPlan::default();
@@ -196,8 +200,8 @@
     );
 }
 
-/// Guards against a later holder that takes what it finds in the midst of a reclaim for what
-/// is wanted.
+/// Guards against a new lease holder that takes over during a reclaim and adopts the reduced number
+/// of upstreams as the baseline.
 #[test]
 fn a_new_lease_holder_keeps_the_stored_baselines() {
     let mut platform = Platform::with_regular(20);
@@ -211,8 +215,8 @@
     assert_eq!((platform.reclaimable, platform.regular), (38, 2));
 }
 
-/// Guards against thousands of upstreams that come and go at once, and hold up what hosts
-/// must learn in time.
+/// Guards against thousands of upstreams that start and stop at once. Their announcements would
+/// delay other updates that the hosts need in time.
 #[test]
 fn large_pools_keep_their_regular_upstreams() {
     let mut platform = Platform::with_regular(100);
--- a/crates/policy/tests/duties/demand.rs
+++ b/crates/policy/tests/duties/demand.rs
@@ -1,4 +1,4 @@
-//! Upstreams ordered by what is asked for: loads played in virtual time.
+//! Tests of the number of upstreams that follows the demand, with loads simulated in virtual time.
 
 use {
     crate::simulated_service::{Load, SimulatedService, SimulationTotals},
@@ -21,14 +21,14 @@
     service.totals
 }
 
-/// What the plan costs and serves that keeps the number of the start.
+/// Totals of a plan that ignores the demand and keeps the initial number of upstreams.
 fn simulate_without_demand(load: Load, length_s: u64) -> SimulationTotals {
     let mut service = SimulatedService::without_demand(load);
     service.advance(seconds(length_s));
     service.totals
 }
 
-/// Guards against upstreams that nobody asks for.
+/// Guards against paying for upstreams that the demand does not require.
 #[test]
 fn a_steady_load_costs_a_third_less_without_excess_work() {
     let before = simulate_without_demand(STEADY, 120);
@@ -41,7 +41,8 @@
     );
 }
 
-/// Guards against a reserve that only fits what was seen.
+/// Guards against a reserve that covers only the load observed so far, so that a sudden burst
+/// exceeds the capacity.
 #[test]
 fn a_sudden_burst_is_served() {
     let load = Load {
@@ -56,7 +57,8 @@
     );
 }
 
-/// Guards against upstreams that are given up in each trough and missing at each crest.
+/// Guards against upstreams that are released in each trough of a periodic load and missing at each
+/// peak.
 #[test]
 fn a_periodic_load_releases_no_upstreams_in_its_troughs() {
     let load = Load {
@@ -69,13 +71,13 @@
     service.advance(seconds(120));
     assert_eq!(
         service.orders, settled,
-        "nothing is ordered once it is seen"
+        "no orders after the load cycle was observed"
     );
     assert_eq!(service.totals.excess_work, 0.0);
     assert!(service.totals.cost < simulate_without_demand(load, 180).cost);
 }
 
-/// Guards against a reclaim at the crest that leaves less than what urgent requests need.
+/// Guards against a reclaim at peak load that leaves too few upstreams for urgent requests.
 #[test]
 fn a_reclaim_at_the_peak_leaves_enough_for_urgent_requests() {
     let load = Load {
@@ -95,7 +97,8 @@
     );
 }
 
-/// Guards against a cold start that is taken for calm.
+/// Guards against treating the low load after a cold start as steady and releasing upstreams too
+/// early.
 #[test]
 fn a_cold_start_releases_no_upstreams_before_a_load_cycle_was_observed() {
     let load = Load {
@@ -113,7 +116,7 @@
     assert!(after.ready() < before.ready() / 2, "{}", after.ready());
 }
 
-/// Guards against a rise that is followed only once it is over.
+/// Guards against new upstreams that are ready only after a rise in load has ended.
 #[test]
 fn a_rise_is_followed_within_the_time_that_an_upstream_takes_to_start() {
     let load = Load {
@@ -127,7 +130,8 @@
     assert!(service.ready() >= 80, "{}", service.ready());
 }
 
-/// Guards against dear upstreams where more are wanted than at the start.
+/// Guards against ordering regular upstreams, which cost more, when the service grows beyond its
+/// initial number.
 #[test]
 fn growth_beyond_the_baseline_orders_reclaimable_upstreams() {
     let load = Load {
@@ -140,7 +144,8 @@
     assert_eq!(service.regular(), 6);
 }
 
-/// Guards against upstreams that are given up while those of another failure domain are missing.
+/// Guards against releasing upstreams while those of another failure domain are missing after a
+/// reclaim.
 #[test]
 fn nothing_is_released_while_a_failure_domain_lacks_upstreams() {
     let load = Load {
@@ -155,10 +160,14 @@
     service.advance(seconds(24));
     assert!(service.ready() >= ready, "{} of {ready}", service.ready());
     service.advance(seconds(60));
-    assert!(service.ready() <= 30, "8 busy of 27: {}", service.ready());
+    assert!(
+        service.ready() <= 30,
+        "8 upstreams are busy and about 27 are expected; {} are ready",
+        service.ready()
+    );
 }
 
-/// Guards against growth that gives up upstreams of a dear failure domain.
+/// Guards against releasing upstreams of an expensive failure domain while the service grows.
 #[test]
 fn no_failure_domain_shrinks_where_the_service_grows() {
     let load = Load {
@@ -174,8 +183,8 @@
     }
 }
 
-/// Guards against a new holder that takes what it finds in the middle of a step for what is
-/// wanted, or gives up what it knows nothing of.
+/// Guards against a new lease holder that takes over during a scale-up and adopts the current
+/// number of upstreams as the target, or releases upstreams while the demand is unknown to it.
 #[test]
 fn a_new_lease_holder_continues_during_a_scale_up() {
     let load = Load {
@@ -194,7 +203,7 @@
     assert_eq!(service.totals.excess_work, 0.0, "{:?}", service.totals);
 }
 
-/// Guards against an order that was lost and is never made again.
+/// Guards against a lost order that is never placed again.
 #[test]
 fn a_lost_order_is_made_again() {
     let load = Load {
@@ -210,7 +219,8 @@
     assert!(service.ready() >= 80, "{}", service.ready());
 }
 
-/// Guards against a refusal of cheaper upstreams that leaves a failure domain's loss unfilled.
+/// Guards against upstreams lost to a reclaim that are not replaced because orders of reclaimable
+/// ones are refused.
 #[test]
 fn regular_upstreams_are_ordered_where_reclaimable_ones_are_refused() {
     let mut service = SimulatedService::new(STEADY);
@@ -227,7 +237,7 @@
     );
 }
 
-/// Guards against hosts that fall silent and are taken for hosts without work.
+/// Guards against treating hosts that stop reporting as hosts without work.
 #[test]
 fn missing_usage_notes_release_no_upstreams() {
     let load = Load {
@@ -243,7 +253,7 @@
     assert_eq!(service.bound(), TargetBound::Unknown);
 }
 
-/// Guards against figures that cannot be, and orders without end for them.
+/// Guards against unbounded orders for implausibly large work totals.
 #[test]
 fn implausible_work_totals_are_ignored() {
     let load = Load {
@@ -257,7 +267,8 @@
     assert_eq!(service.plan.targets(), targets);
 }
 
-/// Guards against prices that send all upstreams to one failure domain, or none anywhere.
+/// Guards against extreme or invalid prices that place all upstreams in one failure domain, or none
+/// in any.
 #[test]
 fn cheaper_failure_domains_get_more_within_bounds() {
     let prices = |named: [Option<f64>; 3]| DomainPrices::new(named.into_iter());
@@ -277,7 +288,7 @@
     assert_eq!(DomainPrices::equal(4).shares(), [0.25; 4]);
 }
 
-/// Guards against an upstream's start time that is taken from one late order.
+/// Guards against a start time estimate that a single delayed order distorts.
 #[test]
 fn start_times_are_learned() {
     let mut start = StartTime::default();
--- a/crates/policy/tests/duties/lease.rs
+++ b/crates/policy/tests/duties/lease.rs
@@ -1,5 +1,5 @@
-//! Hosts that take the lease from each other over a store that is slow, loses answers and
-//! does writes late, with hosts that freeze, restart and give it up, under random schedules.
+//! Tests of the lease under random schedules of faults. The store is slow, loses responses and
+//! applies writes late; the hosts freeze, restart and release the lease.
 
 use {
     policy::{FencingToken, Lease, LeaseRecord, LeaseStep, StoredLease},
@@ -14,22 +14,22 @@
 const STEP_MS: u64 = 50;
 const RUN_MS: u64 = 60_000;
 
-/// Longest time in which the store does a write whose answer was lost.
+/// Longest delay until the store applies a write whose response was lost.
 const MAX_WRITE_DELAY_MS: u64 = 6_000;
 
-/// A planted fault, that the check must find.
+/// Fault in the lease protocol that the check must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum InjectedFault {
     Nothing,
-    /// A holder acts without looking at the end of its term.
+    /// A holder acts without checking whether its term has ended.
     IgnoresExpiry,
-    /// A new holder takes the token of the one before.
+    /// A new holder reuses the token of the previous holder.
     ReusesToken,
-    /// A host that gave the lease up may take it back at once.
+    /// A host that released the lease may acquire it again immediately.
     ReacquiresAtOnce,
 }
 
-/// A schedule of faults.
+/// Random schedule of faults, determined by its seed.
 #[derive(Clone, Debug)]
 struct Schedule {
     seed: u64,
@@ -46,7 +46,7 @@
 struct Node {
     frozen_until_ms: u64,
     lease: Lease,
-    /// Answers on their way: when they come, and what is said.
+    /// Response in transit, with its arrival time in milliseconds.
     response: Option<(u64, StoreResponse)>,
     next_ms: u64,
 }
@@ -63,7 +63,7 @@
     },
 }
 
-/// What the holders did, as the platform sees it.
+/// Action of a lease holder, as seen by the platform.
 #[derive(Clone, Copy, Debug)]
 struct Action {
     at_ms: u64,
@@ -73,7 +73,8 @@
 
 struct Simulation {
     actions: Vec<Action>,
-    /// Writes that the store will still do, and when.
+    /// Writes that the store applies later: the time in milliseconds, the expected version and the
+    /// record.
     delayed_writes: Vec<(u64, u64, LeaseRecord)>,
     nodes: Vec<Node>,
     now_ms: u64,
@@ -118,7 +119,7 @@
             let now = Time::from_ms(self.now_ms);
             if let Some((record, version)) = self.nodes[host].lease.release(now) {
                 self.write(version, record);
-                // A program that was stopped starts again.
+                // The process that released the lease on shutdown starts again.
                 self.nodes[host] = node(host, self.now_ms);
             }
         }
@@ -197,9 +198,9 @@
                     record.token = row.record.token;
                 }
                 if self.rng.random_range(0..10) == 0 {
-                    // The answer is lost, and the write may be done seconds later, or never.
-                    let late_ms = self.now_ms + self.rng.random_range(0..MAX_WRITE_DELAY_MS);
-                    self.delayed_writes.push((late_ms, expected, record));
+                    // The response is lost. The store may apply the write seconds later, or never.
+                    let applied_at_ms = self.now_ms + self.rng.random_range(0..MAX_WRITE_DELAY_MS);
+                    self.delayed_writes.push((applied_at_ms, expected, record));
                     self.nodes[host].response = Some((self.now_ms + 900, StoreResponse::Lost));
                     return;
                 }
@@ -241,12 +242,13 @@
         }
     }
 
-    /// What the platform would complain of.
+    /// First violation of the lease guarantees in the recorded actions: a token that decreases, a
+    /// token with two holders, or two holders that alternate within a term.
     fn violation(&self) -> Option<String> {
         for (index, action) in self.actions.iter().enumerate() {
             let before = &self.actions[..index];
             if before.iter().any(|earlier| earlier.token > action.token) {
-                return Some(format!("a lower token at {action:?}"));
+                return Some(format!("token decreased at {action:?}"));
             }
             let is_same_token_elsewhere =
                 |earlier: &&Action| earlier.token == action.token && earlier.host != action.host;
@@ -254,7 +256,7 @@
                 .iter()
                 .any(|earlier| is_same_token_elsewhere(&earlier))
             {
-                return Some(format!("a token of two holders at {action:?}"));
+                return Some(format!("token used by two hosts at {action:?}"));
             }
             let term_ms = TERM.as_millis() as u64;
             let recent = |earlier: &&Action| action.at_ms - earlier.at_ms < term_ms;
@@ -264,7 +266,7 @@
                 if earlier.host != action.host {
                     has_other_holder = true;
                 } else if has_other_holder {
-                    return Some(format!("two holders in turns at {action:?}"));
+                    return Some(format!("two holders alternate within a term at {action:?}"));
                 }
             }
         }
@@ -317,7 +319,7 @@
     }
 }
 
-/// Guards against duties that nobody does for long after their holder was lost.
+/// Guards against duties that stay undone for long after the lease holder was lost.
 #[test]
 fn another_host_acts_within_two_terms_of_a_lost_holder() {
     for seed in 0..50 {
@@ -335,7 +337,8 @@
     }
 }
 
-/// Guards against a host that gets the lease back at once after two others gave it up.
+/// Guards against a host that acquires the lease again immediately after two other hosts released
+/// it.
 #[test]
 fn a_released_lease_is_not_reacquired_within_a_term() {
     let now = Time::from_ms(10_000);
@@ -345,7 +348,7 @@
         assert_eq!(lease.next_step(now, 0), LeaseStep::Read);
         lease.note_read(now, row.clone());
         let LeaseStep::Write { record, .. } = lease.next_step(now, 0) else {
-            panic!("it is free");
+            panic!("the lease is free, so a write is expected");
         };
         lease.note_written(now, record, version);
         let (record, version) = lease.release(now).unwrap();
--- a/crates/policy/tests/duties/ledger.rs
+++ b/crates/policy/tests/duties/ledger.rs
@@ -1,4 +1,4 @@
-//! Work that hosts tell the holder of the duties.
+//! Tests of the work totals that hosts report to the lease holder.
 
 use {
     peer::{ModelWork, UsageNote},
@@ -28,7 +28,7 @@
     ledger.observed_demand(now, 1).unwrap()[&model].total_ms
 }
 
-/// Guards against work that counts twice, or that a host did before it was observed.
+/// Guards against counting work twice, or counting work that a host did before it was observed.
 #[test]
 fn work_totals_are_counted_once() {
     let mut ledger = DemandLedger::default();
@@ -40,7 +40,7 @@
     assert_eq!(total_ms(&mut ledger, at(700)), 400.0);
 }
 
-/// Guards against a host's restart that loses its work, or counts that of before again.
+/// Guards against losing the work of a restarted host, or counting its earlier work again.
 #[test]
 fn a_restarted_host_adds_its_new_work() {
     let mut ledger = DemandLedger::default();
@@ -52,7 +52,7 @@
     assert_eq!(total_ms(&mut ledger, at(950)), 300.0);
 }
 
-/// Guards against demand that seems to fall as hosts fall silent.
+/// Guards against demand that appears to fall because hosts have stopped reporting.
 #[test]
 fn demand_is_unknown_while_many_hosts_are_silent() {
     let mut ledger = DemandLedger::default();
--- a/crates/policy/tests/duties/main.rs
+++ b/crates/policy/tests/duties/main.rs
@@ -1,5 +1,5 @@
-//! Duties that one host at a time does for all: the lease, the usage reports and the number
-//! of upstreams, without a network.
+//! Tests, without a network, of the duties that the lease holder does for all hosts: the lease
+//! itself, the usage reports and the number of upstreams.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
--- a/crates/policy/tests/duties/simulated_service.rs
+++ b/crates/policy/tests/duties/simulated_service.rs
@@ -5,50 +5,59 @@
     types::prelude::*,
 };
 
+/// Interval of the simulation steps.
 const STEP: Duration = Duration::from_millis(400);
+
+/// Time from an order until the upstream is ready.
 const START_TIME: Duration = Duration::from_secs(4);
 const HOSTS: u64 = 6;
+
+/// Price of a regular upstream in each failure domain.
 const PRICES: [f64; 3] = [1.0, 0.8, 1.25];
+
+/// Price of a reclaimable upstream as a fraction of the price of a regular one.
 const RECLAIMABLE_PRICE: f64 = 0.22;
 
-/// Upstreams of a failure domain at the start.
+/// Initial upstreams of each failure domain, all regular.
 const INITIAL_UPSTREAMS: u32 = 20;
 
-/// Seconds from the hosts' start until callers come.
+/// Seconds from the start of the hosts until the first requests.
 const WARM_UP_S: u64 = 14;
 
-/// Part of the load that is of urgent classes.
+/// Share of the load in urgent classes.
 const URGENT_SHARE: f64 = 0.6;
 
-/// What callers ask for, by seconds since they came.
+/// Load by seconds since the first requests.
 #[derive(Clone, Copy)]
 pub struct Load {
-    /// Upstreams kept busy.
+    /// Number of upstreams that the load keeps busy.
     pub busy: fn(u64) -> f64,
-    /// Whether hosts tell it.
+    /// Whether the hosts report their work.
     pub is_reported: fn(u64) -> bool,
 }
 
-/// What a play cost, and what callers got, in upstreams times seconds.
+/// Totals of a simulation. Work is measured in upstream-seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SimulationTotals {
-    /// Work beyond what was there.
+    /// Work that exceeded the ready upstreams.
     pub excess_work: f64,
-    /// Urgent work beyond what was there.
+    /// Urgent work that exceeded the ready upstreams.
     pub excess_urgent_work: f64,
-    /// Seconds of upstreams times their price.
+    /// Upstream-seconds multiplied by the price.
     pub cost: f64,
 }
 
-/// A service of three failure domains that fills orders later, in virtual time.
+/// Simulated service in three failure domains, in virtual time. Ordered upstreams are ready after
+/// [`START_TIME`].
 pub struct SimulatedService {
+    /// Starting upstreams: when each is ready, its failure domain, and whether it is reclaimable.
     booting: Vec<(Time, usize, bool)>,
     follows_demand: bool,
     ledger: DemandLedger,
     load: Load,
     pub loses_orders: bool,
     now: Time,
-    /// Orders that were taken.
+    /// Number of accepted orders.
     pub orders: usize,
     pub plan: CapacityPlan,
     pub totals: SimulationTotals,
@@ -64,7 +73,7 @@
         Self::started(load, true)
     }
 
-    /// The same where the plan does not look at what is asked for.
+    /// Creates a service whose plan ignores the demand.
     pub fn without_demand(load: Load) -> Self {
         Self::started(load, false)
     }
@@ -96,12 +105,12 @@
         }
     }
 
-    /// Upstreams that take work.
+    /// Number of upstreams that accept requests.
     pub fn ready(&self) -> u32 {
         self.ready.iter().flatten().sum()
     }
 
-    /// Regular ones among them.
+    /// Number of regular upstreams that accept requests.
     pub fn regular(&self) -> u32 {
         self.ready.iter().map(|[_, regular]| regular).sum()
     }
@@ -111,7 +120,7 @@
         view.unwrap().bound
     }
 
-    /// Takes the reclaimable upstreams of a failure domain away; none are to be had for a while.
+    /// Takes away the reclaimable upstreams of a failure domain and refuses new ones for `span`.
     pub fn reclaim(&mut self, domain: usize, span: Duration) {
         self.ready[domain][0] = 0;
         self.reclaimed_until[domain] = self.now + span;
@@ -127,7 +136,7 @@
         self.plan.restore_targets(targets);
     }
 
-    /// Seconds since callers came; `None` before.
+    /// Seconds since the first requests; `None` before them.
     fn load_second(&self) -> Option<u64> {
         (self.now.as_us() / 1_000_000).checked_sub(WARM_UP_S + 1)
     }
--- a/crates/policy/tests/duties/usage.rs
+++ b/crates/policy/tests/duties/usage.rs
@@ -10,10 +10,10 @@
     window_length: Duration::from_secs(5),
 };
 
-/// Unix time at the steady clock's zero.
+/// Unix time at the zero of the monotonic clock.
 const CLOCK_ORIGIN_UNIX_MS: u64 = 1_800_000_000_000;
 
-/// The window that begins then.
+/// Window that begins at [`CLOCK_ORIGIN_UNIX_MS`].
 const WINDOW: u64 = CLOCK_ORIGIN_UNIX_MS / 5_000;
 
 fn note(host: u64, incarnation: u64, now: Time, counts: &[(u64, u32)]) -> UsageNote {
@@ -54,11 +54,15 @@
     ledger.record(after, note(2, 7, after, &[(WINDOW, 5), (WINDOW + 1, 1)]));
     assert_eq!(ledger.next_report(after), report(WINDOW, 20));
     ledger.note_reported(WINDOW);
-    assert_eq!(ledger.next_report(after), None, "the next window goes on");
+    assert_eq!(
+        ledger.next_report(after),
+        None,
+        "the next window has not ended"
+    );
 }
 
-/// Guards against a report without a host whose last counts are still on their way, and
-/// against one that is never made as a host is cut off.
+/// Guards against a report that misses the last counts of a host because they are still in transit,
+/// and against a report that is never made because a host is unreachable.
 #[test]
 fn a_silent_host_delays_a_report_only_until_its_deadline() {
     let mut ledger = UsageLedger::new(RULES);
@@ -74,7 +78,7 @@
     assert_eq!(ledger.next_report(last), report(WINDOW, 22));
 }
 
-/// Guards against windows that begin where the time of day of a few hosts has jumped.
+/// Guards against windows that shift because the wall clocks of a few hosts have jumped.
 #[test]
 fn a_minority_of_jumped_clocks_does_not_move_the_windows() {
     let mut ledger = UsageLedger::new(RULES);
@@ -88,7 +92,7 @@
     assert_eq!(ledger.unix_ms(now), Some(CLOCK_ORIGIN_UNIX_MS + 2_000));
 }
 
-/// Guards against two different reports of one window.
+/// Guards against two different reports of the same window, the second by a new lease holder.
 #[test]
 fn a_new_lease_holder_reports_no_stored_window_again() {
     let mut ledger = UsageLedger::new(RULES);
@@ -101,7 +105,8 @@
     assert_eq!(ledger.next_report(later), report(WINDOW + 1, 9));
 }
 
-/// Guards against a new holder that reports a window from the first hosts that it observes.
+/// Guards against a new lease holder that reports a window from only the first hosts that it
+/// observes.
 #[test]
 fn a_new_lease_holder_waits_until_all_hosts_had_time_to_report() {
     let mut ledger = UsageLedger::new(RULES);
--- a/crates/policy/tests/transfers.rs
+++ b/crates/policy/tests/transfers.rs
@@ -1,5 +1,5 @@
-//! Hosts of a failure domain that start together and get the table of upstreams from each
-//! other over thin links, in virtual time.
+//! Simulation, in virtual time, of the hosts of a failure domain that start together and copy the
+//! table of upstreams from each other over slow links.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -10,24 +10,24 @@
     types::Time,
 };
 
-/// Bytes a second of each host's link: 10 Mbit/s.
+/// Bandwidth of each host's link: 10 Mbit/s.
 const LINK_BYTES_PER_S: f64 = 1_250_000.0;
 
-/// Time for a question and an answer without rows.
+/// Time for a request and a response without rows.
 const ROUND_TRIP_MS: u64 = 2;
 
-/// Longest pause of a host that found nobody with a free slot.
+/// Longest delay before a host that found no free transfer slot tries again.
 const MAX_RETRY_DELAY_MS: u64 = 200;
 
 const STEP_MS: u64 = 1;
 
-/// What a host does.
+/// State of a host in the simulation.
 enum HostState {
-    /// Waits, and asks the first host then.
+    /// Waits until `until_ms`, then requests the table from the first host.
     Waiting {
         until_ms: u64,
     },
-    /// Asks others than the first one.
+    /// Requests the table from hosts other than the first.
     Searching {
         search: TableSourceSearch,
         at_ms: u64,
@@ -55,7 +55,7 @@
 }
 
 impl Simulation {
-    /// The first host has the table, the others start.
+    /// Creates a simulation in which the first host has the table and all others start without it.
     fn new(hosts: usize, table_bytes: f64, seed: u64) -> Self {
         let states = (0..hosts).map(|host| match host {
             0 => HostState::Done { at_ms: 0 },
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Milliseconds until all hosts have the table.
+    /// Runs until all hosts have the table, and returns the milliseconds that took; `None` if
+    /// `limit_ms` passes first.
     fn run_until_filled(&mut self, limit_ms: u64) -> Option<u64> {
         while self.now_ms < limit_ms {
             if self
@@ -161,8 +162,8 @@
     }
 }
 
-/// Guards against hosts that never serve again after all of them were killed, as each gets
-/// a part of one thin link.
+/// Guards against hosts that never serve again after all were killed, because all copy the table
+/// from one host and each gets only a small share of that host's link.
 #[test]
 fn a_hundred_hosts_that_start_together_get_the_table_in_time() {
     for seed in 0..8 {
@@ -174,7 +175,7 @@
     }
 }
 
-/// Guards against slots that stay taken where a receiver was lost on the way.
+/// Guards against transfer slots that stay occupied after a recipient was lost during a transfer.
 #[test]
 fn a_lost_receiver_holds_a_slot_for_a_few_seconds_only() {
     let mut slots = TableTransferSlots::default();
@@ -182,5 +183,5 @@
     while slots.begin(start, Some(address(1))).is_some() {}
     assert_eq!(slots.begin(start + Duration::from_secs(1), None), None);
     assert!(slots.begin(start + Duration::from_secs(4), None).is_some());
-    assert!(slots.recipients().is_empty(), "nobody got it whole");
+    assert!(slots.recipients().is_empty(), "no transfer was completed");
 }
--- a/crates/policy/tests/working_set.rs
+++ b/crates/policy/tests/working_set.rs
@@ -1,4 +1,4 @@
-//! Which upstreams the hosts of an installation know, by its size.
+//! Tests of which upstreams the hosts know, for installations of different sizes.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -10,12 +10,13 @@
 
 const DOMAINS: [&str; 5] = ["hall-a", "hall-b", "hall-c", "hall-d", "hall-e"];
 
-/// Upstreams that register between two divisions.
+/// Number of upstreams that register between two divisions of the working set.
 const NEW_UPSTREAMS_PER_DIVISION: usize = 1_600;
 
 type Upstreams = Vec<(UpstreamId, &'static str, FailureDomainId)>;
 
-/// So many engines and replicas of a plain service, spread over the failure domains.
+/// Creates `engines` engines and `replicas` replicas of a service without a model, spread over the
+/// failure domains.
 fn upstreams(engines: usize, replicas: usize) -> Upstreams {
     let services = [("engines", engines), ("shop", replicas)];
     let all = services.into_iter().flat_map(|(service, count)| {
@@ -40,12 +41,12 @@
     WorkingSet::divide(&own.parse().unwrap(), &census(upstreams))
 }
 
-/// What the hosts of a failure domain know.
+/// Upstreams that the hosts of a failure domain know.
 fn known<'a>(own: &str, upstreams: &'a Upstreams) -> BTreeSet<&'a UpstreamId> {
     ids_up_to_level(own, upstreams, WorkingSet::KNOWN_LEVEL)
 }
 
-/// What they know together with those of all other failure domains.
+/// Upstreams that the hosts of all failure domains know, as computed by failure domain `own`.
 fn known_everywhere<'a>(own: &str, upstreams: &'a Upstreams) -> BTreeSet<&'a UpstreamId> {
     ids_up_to_level(own, upstreams, 0)
 }
@@ -79,8 +80,8 @@
     }
 }
 
-/// Guards against a host that keeps, receives and looks through more the larger the
-/// installation is.
+/// Guards against hosts that store, receive and scan a number of upstreams that grows with the size
+/// of the installation.
 #[test]
 fn knows_no_more_upstreams_in_an_installation_of_twice_the_size() {
     let mut table = String::new();
@@ -113,7 +114,8 @@
     );
 }
 
-/// Guards against shared parts of prompts that each host has read by an engine of its own.
+/// Guards against a shared prompt prefix that each host sends to a different engine, so that each
+/// of these engines computes the prefix.
 #[test]
 fn hosts_of_a_domain_know_the_same_upstreams_whatever_order_they_read_them_in() {
     let upstreams = upstreams(9_525, 475);
@@ -126,8 +128,8 @@
     assert_ne!(division, divide("hall-c", &upstreams).division_hash());
 }
 
-/// Guards against a shared part of prompts that each failure domain has read by an engine of its
-/// own: the same engines are known to all.
+/// Guards against a shared prompt prefix that each failure domain sends to a different engine. All
+/// domains know some engines in common, so one engine can compute the prefix for all.
 #[test]
 fn hosts_of_all_domains_have_upstreams_in_common() {
     let upstreams = upstreams(9_525, 475);
@@ -146,8 +148,8 @@
     );
 }
 
-/// Guards against a host that knows many more upstreams than it needs while they register, and
-/// against hosts that learn all upstreams anew each time that a few come or go.
+/// Guards against a host that knows many more upstreams than it needs while upstreams register, and
+/// against hosts that fetch all upstreams again whenever a few register or leave.
 #[test]
 fn a_division_follows_upstreams_that_become_many_and_stays_while_few_come_and_go() {
     let domain: FailureDomainId = "hall-a".parse().unwrap();
@@ -159,7 +161,10 @@
             continue;
         }
         let now = WorkingSet::divide(&domain, &census);
-        assert!(now.is_within(&working_set), "more rows would be needed");
+        assert!(
+            now.is_within(&working_set),
+            "a new division needs no additional rows"
+        );
         working_set = now;
         let levels = census.levels(&working_set);
         let known = levels
