--- a/crates/policy/tests/properties/main.rs
+++ b/crates/policy/tests/properties/main.rs
@@ -39,11 +39,11 @@
 /// given up for a less urgent one; every one is answered once, truthfully; every
 /// claim is settled; no slot is lost.
 #[test]
-fn promises_hold_under_random_events() {
-    fn holds(steps: Vec<Step>) -> bool {
+fn invariants_hold_under_random_events() {
+    fn satisfies_invariants(steps: Vec<Step>) -> bool {
         let mut model = Model::new();
         for step in &steps {
-            model.step(step);
+            model.apply_step(step);
         }
         model.settle();
         true
@@ -51,5 +51,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(120, SEED))
         .tests(300)
-        .quickcheck(holds as fn(Vec<Step>) -> bool);
+        .quickcheck(satisfies_invariants as fn(Vec<Step>) -> bool);
 }
--- a/crates/policy/tests/properties/model.rs
+++ b/crates/policy/tests/properties/model.rs
@@ -2,15 +2,15 @@
 
 /// What the model knows of a request.
 #[derive(Clone, Debug)]
-struct Known {
-    answered: bool,
+struct RequestState {
+    is_answered: bool,
     attempt: Option<(AttemptId, UpstreamId)>,
-    claiming: bool,
-    claimed: bool,
-    keyed: bool,
+    is_claim_pending: bool,
+    has_claim: bool,
+    has_key: bool,
     may_have_run: bool,
-    once: bool,
-    settled: bool,
+    at_most_once: bool,
+    is_settled: bool,
     tier: u8,
 }
 
@@ -19,7 +19,7 @@
     controller: Controller,
     leaving: Vec<UpstreamId>,
     now: Time,
-    requests: BTreeMap<RequestId, Known>,
+    requests: BTreeMap<RequestId, RequestState>,
 }
 
 impl Model {
@@ -38,39 +38,39 @@
             now: Time::default(),
             requests: BTreeMap::new(),
         };
-        let numbered = VersionedDocument {
+        let versioned = VersionedDocument {
             document: Document::from_value(document()).unwrap(),
             version: ConfigVersion::new(1),
         };
-        model.handle(Event::ConfigurationRead(Arc::new(numbered)));
+        model.handle(Event::ConfigurationRead(Arc::new(versioned)));
         model
     }
 
-    pub fn step(&mut self, step: &Step) {
+    pub fn apply_step(&mut self, step: &Step) {
         match *step {
             Step::Advance(ms) => {
                 self.now = self.now.plus_ms(u64::from(ms) * 20);
                 self.handle(Event::Ticked);
             }
-            Step::Arrive { class, keyed } => self.arrive(class, keyed),
+            Step::Arrive { class, has_key } => self.arrive(class, has_key),
             Step::CallerGone(pick) => {
-                let open = |known: &Known| !known.answered;
-                if let Some(request) = self.pick(pick, open) {
-                    self.known(request).answered = true;
-                    self.known(request).attempt = None;
+                let is_open = |request_state: &RequestState| !request_state.is_answered;
+                if let Some(request) = self.pick(pick, is_open) {
+                    self.request_state(request).is_answered = true;
+                    self.request_state(request).attempt = None;
                     self.handle(Event::CallerGone { request });
                 }
             }
             Step::Claim { answer, pick } => self.answer_claim(answer, pick),
             Step::Complete(pick) => {
                 if let Some((request, attempt)) = self.pick_running(pick) {
-                    self.known(request).answered = true;
+                    self.request_state(request).is_answered = true;
                     let end = AttemptEnd::Completed {
                         response: None,
                         longest_pause: Duration::ZERO,
                         tokens: Tokens::new(5),
                     };
-                    self.end(request, attempt, end);
+                    self.end_attempt(request, attempt, end);
                 }
             }
             Step::Fail {
@@ -95,26 +95,26 @@
         }
     }
 
-    fn arrive(&mut self, class: u8, keyed: bool) {
+    fn arrive(&mut self, class: u8, has_key: bool) {
         let id = RequestId::new(self.requests.len() as u64);
         let class = CLASSES[usize::from(class) % CLASSES.len()];
-        let once = class == "order";
-        let keyed = once && keyed;
+        let at_most_once = class == "order";
+        let has_key = at_most_once && has_key;
         self.requests.insert(
             id,
-            Known {
-                answered: false,
+            RequestState {
+                is_answered: false,
                 attempt: None,
-                claiming: false,
-                claimed: false,
-                keyed,
+                is_claim_pending: false,
+                has_claim: false,
+                has_key,
                 may_have_run: false,
-                once,
-                settled: false,
+                at_most_once,
+                is_settled: false,
                 tier: if class == "summary" { 4 } else { 0 },
             },
         );
-        let repeatability = match keyed {
+        let repeatability = match has_key {
             true => Repeatability::AtMostOncePerKey {
                 key: format!("k{id}").parse().unwrap(),
             },
@@ -135,7 +135,7 @@
     }
 
     fn answer_claim(&mut self, answer: u8, pick: u8) {
-        let Some(request) = self.pick(pick, |known| known.claiming) else {
+        let Some(request) = self.pick(pick, |request_state| request_state.is_claim_pending) else {
             return;
         };
         let answer = match answer % 6 {
@@ -144,9 +144,9 @@
             2 => ClaimResult::Unknown,
             _ => ClaimResult::Granted,
         };
-        let known = self.known(request);
-        known.claiming = false;
-        known.claimed = answer == ClaimResult::Granted;
+        let request_state = self.request_state(request);
+        request_state.is_claim_pending = false;
+        request_state.has_claim = answer == ClaimResult::Granted;
         self.handle(Event::ClaimAnswered { answer, request });
     }
 
@@ -164,18 +164,18 @@
             true => Verdict::MayHaveRun,
             false => Verdict::NotRun,
         };
-        self.known(request).may_have_run |= verdict != Verdict::NotRun;
+        self.request_state(request).may_have_run |= verdict != Verdict::NotRun;
         let end = AttemptEnd::Failed {
             cause: causes[usize::from(cause) % causes.len()],
             delivered,
             tokens: Tokens::default(),
             verdict,
         };
-        self.end(request, attempt, end);
+        self.end_attempt(request, attempt, end);
     }
 
-    fn end(&mut self, request: RequestId, attempt: AttemptId, end: AttemptEnd) {
-        self.known(request).attempt = None;
+    fn end_attempt(&mut self, request: RequestId, attempt: AttemptId, end: AttemptEnd) {
+        self.request_state(request).attempt = None;
         self.handle(Event::AttemptEnded {
             attempt,
             end,
@@ -184,14 +184,14 @@
     }
 
     fn handle(&mut self, event: Event) {
-        let newcomer = match &event {
+        let arriving = match &event {
             Event::Arrived(arrival) => Some(arrival.request),
             _ => None,
         };
         let mut actions = Vec::new();
         self.controller.handle(self.now, event, &mut actions);
         for action in actions {
-            self.check(action, newcomer);
+            self.check(action, arriving);
         }
         for number in 0..ENGINES {
             let in_flight = self.controller.in_flight(&engine(number as u8)).unwrap();
@@ -199,55 +199,63 @@
         }
     }
 
-    fn check(&mut self, action: Action, newcomer: Option<RequestId>) {
+    fn check(&mut self, action: Action, arriving: Option<RequestId>) {
         match action {
             Action::Send { order, request } => {
                 // A resumed stream is not new work: it has never left.
-                let new_work = order.resume_from.is_none();
+                let is_new_work = order.resume_from.is_none();
                 assert!(
-                    !new_work || !self.leaving.contains(&order.upstream),
+                    !is_new_work || !self.leaving.contains(&order.upstream),
                     "sent to a leaving one"
                 );
-                let known = self.known(request);
-                assert!(!known.answered, "sent after its final answer");
-                assert!(known.attempt.is_none(), "sent twice at once");
-                assert!(!known.keyed || known.claimed, "sent without its claim");
-                assert!(!known.settled, "sent after its settlement");
-                let again = known.once && known.may_have_run && order.resume_from.is_none();
-                assert!(!again, "may run twice");
-                known.attempt = Some((order.attempt, order.upstream));
+                let request_state = self.request_state(request);
+                assert!(!request_state.is_answered, "sent after its final answer");
+                assert!(request_state.attempt.is_none(), "sent twice at once");
+                assert!(
+                    !request_state.has_key || request_state.has_claim,
+                    "sent without its claim"
+                );
+                assert!(!request_state.is_settled, "sent after its settlement");
+                let may_run_twice = request_state.at_most_once
+                    && request_state.may_have_run
+                    && order.resume_from.is_none();
+                assert!(!may_run_twice, "may run twice");
+                request_state.attempt = Some((order.attempt, order.upstream));
             }
             Action::Claim(claim) => {
-                let known = self.known(claim.request);
-                assert!(known.keyed && !known.claimed);
-                known.claiming = true;
+                let request_state = self.request_state(claim.request);
+                assert!(request_state.has_key && !request_state.has_claim);
+                request_state.is_claim_pending = true;
             }
             Action::Refuse { refusal, request } => {
-                let tier = self.known(request).tier;
-                if let Some(newcomer) = newcomer.filter(|newcomer| *newcomer != request) {
-                    let newcomer = self.known(newcomer).tier;
-                    assert!(newcomer < tier, "tier {tier} given up for tier {newcomer}");
+                let tier = self.request_state(request).tier;
+                if let Some(arriving) = arriving.filter(|arriving| *arriving != request) {
+                    let arriving = self.request_state(arriving).tier;
+                    assert!(arriving < tier, "tier {tier} given up for tier {arriving}");
                 }
-                let known = self.known(request);
-                assert!(!known.answered, "answered twice");
-                if known.may_have_run {
+                let request_state = self.request_state(request);
+                assert!(!request_state.is_answered, "answered twice");
+                if request_state.may_have_run {
                     assert_ne!(refusal.verdict, Verdict::NotRun, "a false verdict");
                 }
-                known.answered = true;
+                request_state.is_answered = true;
             }
             Action::FailStream { refusal, request } => {
                 assert_ne!(refusal.verdict, Verdict::NotRun);
-                assert!(!self.known(request).answered, "answered twice");
-                self.known(request).answered = true;
+                assert!(!self.request_state(request).is_answered, "answered twice");
+                self.request_state(request).is_answered = true;
             }
             Action::Settle(settlement) => {
                 let id = settlement.key.to_string().trim_start_matches('k').parse();
-                let known = self.known(RequestId::new(id.unwrap()));
-                assert!(known.claimed && !known.settled, "settled without a claim");
-                if known.may_have_run {
+                let request_state = self.request_state(RequestId::new(id.unwrap()));
+                assert!(
+                    request_state.has_claim && !request_state.is_settled,
+                    "settled without a claim"
+                );
+                if request_state.may_have_run {
                     assert_ne!(settlement.verdict, Verdict::NotRun, "a key set free");
                 }
-                known.settled = true;
+                request_state.is_settled = true;
             }
             Action::Abandon { .. }
             | Action::Cancel { .. }
@@ -280,23 +288,23 @@
         }
     }
 
-    fn known(&mut self, request: RequestId) -> &mut Known {
+    fn request_state(&mut self, request: RequestId) -> &mut RequestState {
         self.requests.get_mut(&request).unwrap()
     }
 
-    fn pick(&self, pick: u8, fits: impl Fn(&Known) -> bool) -> Option<RequestId> {
-        let fitting: Vec<RequestId> = self
+    fn pick(&self, pick: u8, is_candidate: impl Fn(&RequestState) -> bool) -> Option<RequestId> {
+        let candidates: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|(_, known)| fits(known))
+            .filter(|(_, request_state)| is_candidate(request_state))
             .map(|(id, _)| *id)
             .collect();
-        let place = usize::from(pick).checked_rem(fitting.len())?;
-        Some(fitting[place])
+        let index = usize::from(pick).checked_rem(candidates.len())?;
+        Some(candidates[index])
     }
 
     fn pick_running(&self, pick: u8) -> Option<(RequestId, AttemptId)> {
-        let request = self.pick(pick, |known| known.attempt.is_some())?;
+        let request = self.pick(pick, |request_state| request_state.attempt.is_some())?;
         let (attempt, _) = self.requests[&request].attempt.as_ref()?;
         Some((request, *attempt))
     }
@@ -305,9 +313,9 @@
     pub fn settle(mut self) {
         self.leaving.clear();
         for _ in 0..400 {
-            self.step(&Step::Advance(255));
+            self.apply_step(&Step::Advance(255));
             for upstream in 0..ENGINES as u8 {
-                self.step(&Step::Probe {
+                self.apply_step(&Step::Probe {
                     healthy: true,
                     upstream,
                 });
@@ -315,15 +323,19 @@
             self.handle(Event::UpstreamsListed {
                 leaving: Default::default(),
             });
-            self.step(&Step::Claim { answer: 5, pick: 0 });
-            self.step(&Step::Complete(0));
+            self.apply_step(&Step::Claim { answer: 5, pick: 0 });
+            self.apply_step(&Step::Complete(0));
         }
         assert!(self.controller.is_idle(), "requests are left over");
-        assert!(self.requests.values().all(|known| known.answered));
+        assert!(
+            self.requests
+                .values()
+                .all(|request_state| request_state.is_answered)
+        );
         let unsettled = self
             .requests
             .values()
-            .find(|known| known.claimed && !known.settled);
+            .find(|request_state| request_state.has_claim && !request_state.is_settled);
         assert!(
             unsettled.is_none(),
             "a claim was never settled: {unsettled:?}"
--- a/crates/policy/tests/properties/step.rs
+++ b/crates/policy/tests/properties/step.rs
@@ -6,7 +6,7 @@
     Advance(u8),
     Arrive {
         class: u8,
-        keyed: bool,
+        has_key: bool,
     },
     CallerGone(u8),
     Claim {
@@ -37,7 +37,7 @@
             0 => Self::Advance(pick),
             1..=4 => Self::Arrive {
                 class: pick,
-                keyed: bool::arbitrary(g),
+                has_key: bool::arbitrary(g),
             },
             5 => Self::CallerGone(pick),
             6 => Self::Claim {
--- a/crates/policy/tests/script/mod.rs
+++ b/crates/policy/tests/script/mod.rs
@@ -28,12 +28,12 @@
 use {document::document, render::render, scripted_host::ScriptedHost};
 
 /// The host of a script that names none.
-const ONLY_HOST: &str = "host-0";
+const DEFAULT_HOST: &str = "host-0";
 
 /// Controllers under a script.
 pub struct Script {
     hosts: BTreeMap<String, ScriptedHost>,
-    started: u64,
+    start_count: u64,
     version: ConfigVersion,
 }
 
@@ -41,7 +41,7 @@
     pub fn new() -> Self {
         Self {
             hosts: BTreeMap::new(),
-            started: 0,
+            start_count: 0,
             version: ConfigVersion::default(),
         }
     }
@@ -56,7 +56,7 @@
             "deliver" => self.deliver(&args),
             "list" => self.list(&args),
             "lose" => self.lose(&args),
-            "shares" => self.each(|host| host.shares()),
+            "shares" => self.run_on_each_host(|host| host.shares()),
             "start" => {
                 let (host, domain) = (args.get::<String>("host"), args.get::<String>("domain"));
                 self.start(&host, &domain, !args.has("unlisted"));
@@ -72,20 +72,20 @@
         match case.directive.as_str() {
             "arrive" => arrive(host, &args),
             "claim" => {
-                let answer = claim_answer(&args);
+                let answer = claim_result(&args);
                 let request = args.get("id");
                 host.handle(Event::ClaimAnswered { answer, request })
             }
             "complete" => {
                 let tokens = args.get_or("tokens", Tokens::new(1));
-                let answer = args.text("body").map(stored);
+                let answer = args.text("body").map(stored_response);
                 let longest_pause = args.pause();
                 let completed = AttemptEnd::Completed {
                     response: answer,
                     longest_pause,
                     tokens,
                 };
-                end(host, &args, completed)
+                end_attempts(host, &args, completed)
             }
             "drain" => host.handle(Event::DrainStarted),
             "fail" => {
@@ -95,7 +95,7 @@
                     tokens: args.get_or("tokens", Tokens::default()),
                     verdict: args.get("verdict"),
                 };
-                end(host, &args, failed)
+                end_attempts(host, &args, failed)
             }
             "gone" => {
                 let request = args.get("id");
@@ -138,29 +138,29 @@
         }
     }
 
-    fn start(&mut self, name: &str, domain: &str, reads_list: bool) {
-        self.started += 1;
-        let host = ScriptedHost::new(name, domain, self.started, reads_list);
+    fn start(&mut self, name: &str, domain: &str, has_upstream_list: bool) {
+        self.start_count += 1;
+        let host = ScriptedHost::new(name, domain, self.start_count, has_upstream_list);
         self.hosts.insert(name.to_string(), host);
     }
 
     fn host(&mut self, args: &Args<'_>) -> &mut ScriptedHost {
         if self.hosts.is_empty() {
-            self.start(ONLY_HOST, "a", true);
+            self.start(DEFAULT_HOST, "a", true);
         }
-        let name = args.text("host").unwrap_or(ONLY_HOST.to_string());
+        let name = args.text("host").unwrap_or(DEFAULT_HOST.to_string());
         self.hosts
             .get_mut(&name)
             .unwrap_or_else(|| panic!("no host {name}"))
     }
 
     /// Runs something on every host; with several each line names its host.
-    fn each(&mut self, mut run: impl FnMut(&mut ScriptedHost) -> String) -> String {
-        let several = self.hosts.len() > 1;
+    fn run_on_each_host(&mut self, mut run: impl FnMut(&mut ScriptedHost) -> String) -> String {
+        let has_several_hosts = self.hosts.len() > 1;
         let mut output = String::new();
         for (name, host) in &mut self.hosts {
             for line in run(host).lines() {
-                let _ = match several {
+                let _ = match has_several_hosts {
                     true => writeln!(output, "{name}: {line}"),
                     false => writeln!(output, "{line}"),
                 };
@@ -175,13 +175,13 @@
         let ms: u64 = args.get("ms");
         let frozen = args.list("frozen");
         if !args.has("deliver") {
-            return self.each(|host| match is_frozen(host, &frozen) {
+            return self.run_on_each_host(|host| match is_frozen(host, &frozen) {
                 true => String::new(),
                 false => host.advance(ms),
             });
         }
         for _ in 0..ms / 10 {
-            self.each(|host| match is_frozen(host, &frozen) {
+            self.run_on_each_host(|host| match is_frozen(host, &frozen) {
                 true => String::new(),
                 false => host.advance(10),
             });
@@ -198,7 +198,7 @@
     fn deliver(&mut self, args: &Args<'_>) -> String {
         let from: String = args.get("from");
         if args.has("twice") {
-            self.ask(&from, &[]);
+            self.deliver_heartbeat(&from, &[]);
         }
         self.exchange(&from, &[], args.has("answer-lost"))
     }
@@ -210,7 +210,7 @@
     }
 
     /// Hands the pending heartbeat of a host over; gives the answer.
-    fn ask(&mut self, from: &str, frozen: &[String]) -> Option<HeartbeatAnswer> {
+    fn deliver_heartbeat(&mut self, from: &str, frozen: &[String]) -> Option<HeartbeatAnswer> {
         let pending = self.hosts[from].pending.as_ref()?;
         let (to, heartbeat) = (pending.to.clone(), pending.heartbeat.clone());
         let host = self.hosts.get_mut(&to).filter(|_| !frozen.contains(&to))?;
@@ -218,15 +218,17 @@
         host.answer.take()
     }
 
-    fn exchange(&mut self, from: &str, frozen: &[String], lose_answer: bool) -> String {
-        let answer = self.ask(from, frozen).filter(|_| !lose_answer);
+    fn exchange(&mut self, from: &str, frozen: &[String], loses_answer: bool) -> String {
+        let answer = self
+            .deliver_heartbeat(from, frozen)
+            .filter(|_| !loses_answer);
         let host = self.hosts.get_mut(from).unwrap();
         let Some(pending) = host.pending.take() else {
             return String::new();
         };
         host.handle(Event::HeartbeatAnswered {
             answer,
-            sent: pending.asked,
+            sent: pending.sent_at,
             host: pending.to.parse().unwrap(),
         })
     }
@@ -246,9 +248,9 @@
             })
             .collect();
         let to = args.list("to");
-        self.each(|host| {
-            let reads = to.is_empty() || to.contains(&name_of(host));
-            match reads {
+        self.run_on_each_host(|host| {
+            let reads_list = to.is_empty() || to.contains(&name_of(host));
+            match reads_list {
                 true => host.handle(Event::HostsListed {
                     hosts: hosts.clone(),
                 }),
@@ -259,7 +261,7 @@
 
     fn configure(&mut self, case: &TestCase) -> String {
         if self.hosts.is_empty() {
-            self.start(ONLY_HOST, "a", true);
+            self.start(DEFAULT_HOST, "a", true);
         }
         let edits: Value = if case.input.trim().is_empty() {
             json!({})
@@ -270,10 +272,10 @@
         let version = args.get_or("version", self.version.next());
         self.version = self.version.max(version);
         let document = Document::from_value(document(&args, edits)).unwrap();
-        let numbered = Arc::new(VersionedDocument { document, version });
+        let versioned = Arc::new(VersionedDocument { document, version });
         let to = args.list("to");
-        self.each(|host| match to.is_empty() || to.contains(&name_of(host)) {
-            true => host.handle(Event::ConfigurationRead(Arc::clone(&numbered))),
+        self.run_on_each_host(|host| match to.is_empty() || to.contains(&name_of(host)) {
+            true => host.handle(Event::ConfigurationRead(Arc::clone(&versioned))),
             false => String::new(),
         })
     }
@@ -287,7 +289,7 @@
     frozen.contains(&name_of(host))
 }
 
-fn stored(body: String) -> StoredResponse {
+fn stored_response(body: String) -> StoredResponse {
     StoredResponse {
         body,
         content_type: "text/plain".to_string(),
@@ -326,7 +328,7 @@
     output
 }
 
-fn end(host: &mut ScriptedHost, args: &Args<'_>, end: AttemptEnd) -> String {
+fn end_attempts(host: &mut ScriptedHost, args: &Args<'_>, end: AttemptEnd) -> String {
     let mut output = String::new();
     for id in args.list("id") {
         let request = id.parse().unwrap();
@@ -343,13 +345,13 @@
     output
 }
 
-fn claim_answer(args: &Args<'_>) -> ClaimResult {
+fn claim_result(args: &Args<'_>) -> ClaimResult {
     match args.text("answer").unwrap().as_str() {
         "in-progress" => ClaimResult::InProgress,
         "may-have-run" => ClaimResult::MayHaveRun,
         "not-tried" => ClaimResult::NotWritten,
         "ours" => ClaimResult::Granted,
-        "ran" => ClaimResult::Ran(args.text("body").map(stored)),
+        "ran" => ClaimResult::Ran(args.text("body").map(stored_response)),
         "reused" => ClaimResult::KeyReused,
         "unknown" => ClaimResult::Unknown,
         other => panic!("no claim answer {other}"),
--- a/crates/policy/tests/script/render.rs
+++ b/crates/policy/tests/script/render.rs
@@ -5,14 +5,16 @@
     match action {
         Action::Abandon { request, .. } => format!("abandon the attempt of {request}"),
         Action::AnswerHeartbeat { answer, call } => {
-            format!("answer {call}: {}", granted(answer.grants.as_deref()))
+            format!("answer {call}: {}", render_grants(answer.grants.as_deref()))
         }
         Action::AnswerTransit {
             call,
             upstream_address: to,
         } => format!("answer transit {call}: {to:?}"),
         Action::RequestTokens { ask, .. } => format!("ask for tokens of {}", ask.limit.upstream),
-        Action::FailStream { refusal, request } => format!("break {request}: {}", refused(refusal)),
+        Action::FailStream { refusal, request } => {
+            format!("break {request}: {}", render_refusal(refusal))
+        }
         Action::Cancel { request, .. } => format!("cancel {request}"),
         Action::CheckPath { upstream, .. } => format!("look for a path to {upstream}"),
         Action::CheckListening { upstream, .. } => format!("look whether {upstream} listens"),
@@ -39,20 +41,22 @@
         Action::NoteSpeed(noted) => format!("{} works at {:.2}", noted.upstream, noted.factor),
         Action::Probe { upstream, .. } => format!("probe {upstream}"),
         Action::ReadConfiguration => "read the configuration".to_string(),
-        Action::Record(outcome) => record(outcome),
-        Action::Refuse { refusal, request } => format!("refuse {request}: {}", refused(refusal)),
+        Action::Record(outcome) => render_outcome(outcome),
+        Action::Refuse { refusal, request } => {
+            format!("refuse {request}: {}", render_refusal(refusal))
+        }
         Action::Replay {
             response: answer,
             request,
         } => format!("replay {request}: {}", answer.body),
         Action::Send { order, request } => {
-            let how = if order.resume_from.is_some() {
+            let verb = if order.resume_from.is_some() {
                 "resume"
             } else {
                 "send"
             };
             format!(
-                "{how} {request} to {}, priority {}",
+                "{verb} {request} to {}, priority {}",
                 order.upstream, order.priority
             )
         }
@@ -78,16 +82,19 @@
             format!("tell {} hosts of version {}", to.len(), note.version)
         }
         Action::Settle(settlement) => {
-            let kept = settlement
+            let response_body = settlement
                 .response
                 .as_ref()
                 .map_or("no answer", |answer| &answer.body);
-            format!("settle {}: {}, {kept}", settlement.key, settlement.verdict)
+            format!(
+                "settle {}: {}, {response_body}",
+                settlement.key, settlement.verdict
+            )
         }
     }
 }
 
-fn granted(grants: Option<&[Grant]>) -> String {
+fn render_grants(grants: Option<&[Grant]>) -> String {
     let Some(grants) = grants else {
         return "no grants".to_string();
     };
@@ -98,27 +105,31 @@
 }
 
 /// How soon to return is random; a script shows only whether it was said.
-fn refused(refusal: &Refusal) -> String {
-    let retry = if refusal.retry_after.is_some() {
+fn render_refusal(refusal: &Refusal) -> String {
+    let retry_suffix = if refusal.retry_after.is_some() {
         ", retry"
     } else {
         ""
     };
-    format!("{}, {}{retry}", refusal.reason.code(), refusal.verdict)
+    format!(
+        "{}, {}{retry_suffix}",
+        refusal.reason.code(),
+        refusal.verdict
+    )
 }
 
-fn record(outcome: &Outcome) -> String {
-    let met = if outcome.met_target {
+fn render_outcome(outcome: &Outcome) -> String {
+    let target_suffix = if outcome.met_target {
         ", in target"
     } else {
         ""
     };
-    let wasted = match outcome.wasted {
+    let wasted_suffix = match outcome.wasted {
         Some((cause, tokens)) => format!(", wasted {tokens} {cause}"),
         None => String::new(),
     };
     format!(
-        "  ended {}, {}{met}{wasted}",
+        "  ended {}, {}{target_suffix}{wasted_suffix}",
         outcome.end.as_str(),
         outcome.verdict
     )
--- a/crates/policy/tests/script/scripted_host.rs
+++ b/crates/policy/tests/script/scripted_host.rs
@@ -4,8 +4,8 @@
 const TICK_MS: u64 = 10;
 
 /// A heartbeat that has been sent and not yet delivered.
-pub struct Pending {
-    pub asked: Time,
+pub struct PendingHeartbeat {
+    pub sent_at: Time,
     pub heartbeat: Heartbeat,
     pub to: String,
 }
@@ -17,12 +17,12 @@
     pub now: Time,
     /// The answer to the heartbeat that was just delivered.
     pub answer: Option<HeartbeatAnswer>,
-    pub pending: Option<Pending>,
+    pub pending: Option<PendingHeartbeat>,
 }
 
 impl ScriptedHost {
     /// With `reads_list` it has read the platform's list, empty, at its start.
-    pub fn new(name: &str, domain: &str, incarnation: u64, reads_list: bool) -> Self {
+    pub fn new(name: &str, domain: &str, incarnation: u64, has_upstream_list: bool) -> Self {
         let mut host = Self {
             answer: None,
             attempts: BTreeMap::new(),
@@ -38,7 +38,7 @@
             now: Time::default(),
             pending: None,
         };
-        if reads_list {
+        if has_upstream_list {
             let leaving = Default::default();
             host.handle(Event::UpstreamsListed { leaving });
         }
@@ -71,8 +71,8 @@
                 Action::SendHeartbeat {
                     heartbeat, host, ..
                 } => {
-                    self.pending = Some(Pending {
-                        asked: self.now,
+                    self.pending = Some(PendingHeartbeat {
+                        sent_at: self.now,
                         heartbeat: heartbeat.clone(),
                         to: host.to_string(),
                     });
--- a/crates/policy/tests/scripts.rs
+++ b/crates/policy/tests/scripts.rs
@@ -8,7 +8,7 @@
 use script::Script;
 
 #[test]
-fn scripts_go_as_written() {
+fn scripts_produce_the_expected_output() {
     datadriven::walk("tests/scripts", |file| {
         let mut script = Script::new();
         file.run(|case| script.run(case));
