--- a/crates/policy/tests/properties/document.rs
+++ b/crates/policy/tests/properties/document.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Three engines and three classes.
+/// Configuration with [`ENGINES`] engines and the classes in [`CLASSES`].
 pub fn document() -> Value {
     let class = |tier: u8, idempotent: bool| {
         json!({
--- a/crates/policy/tests/properties/main.rs
+++ b/crates/policy/tests/properties/main.rs
@@ -1,5 +1,5 @@
-//! Properties of the controller under random events: a model of callers and
-//! upstreams drives it and checks what it orders.
+//! Property tests of the controller. A model of callers and upstreams generates random events and
+//! checks the resulting actions.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -25,7 +25,7 @@
 const SLOTS: u32 = 2;
 const CLASSES: [&str; 3] = ["alert", "order", "summary"];
 
-/// Fixed, so that the verdict is the same on each run.
+/// The seed is fixed, so that each run has the same result.
 const SEED: u64 = 20_261_202;
 
 fn engine(number: u8) -> UpstreamId {
@@ -34,10 +34,14 @@
         .unwrap()
 }
 
-/// No request is sent twice at once, after its final answer, without its claim,
-/// to a leaving engine, or again when it may have run and must not; none is
-/// given up for a less urgent one; every one is answered once, truthfully; every
-/// claim is settled; no slot is lost.
+/// Checks these invariants:
+///
+/// - No request is sent while another attempt of it runs, after its final response, without its
+///   claim, or, as new work, to a leaving engine. A request that must run at most once is not sent
+///   again after it may have run.
+/// - No request is refused in favour of a less urgent one.
+/// - Every request is answered once, and its verdict is correct.
+/// - Every claim is settled, and no slot is lost.
 #[test]
 fn invariants_hold_under_random_events() {
     fn satisfies_invariants(steps: Vec<Step>) -> bool {
--- a/crates/policy/tests/properties/model.rs
+++ b/crates/policy/tests/properties/model.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What the model knows of a request.
+/// State of a request in the model.
 #[derive(Clone, Debug)]
 struct RequestState {
     is_answered: bool,
@@ -14,7 +14,7 @@
     tier: u8,
 }
 
-/// Callers and upstreams, and what was ordered for them.
+/// Model of the callers and upstreams that checks the actions of a controller.
 pub struct Model {
     controller: Controller,
     leaving: Vec<UpstreamId>,
@@ -202,24 +202,30 @@
     fn check(&mut self, action: Action, arriving: Option<RequestId>) {
         match action {
             Action::Send { order, request } => {
-                // A resumed stream is not new work: it has never left.
+                // A resumed stream is not new work, so a leaving engine may receive it.
                 let is_new_work = order.resume_from.is_none();
                 assert!(
                     !is_new_work || !self.leaving.contains(&order.upstream),
-                    "sent to a leaving one"
+                    "new work sent to a leaving engine"
                 );
                 let request_state = self.request_state(request);
-                assert!(!request_state.is_answered, "sent after its final answer");
-                assert!(request_state.attempt.is_none(), "sent twice at once");
+                assert!(!request_state.is_answered, "sent after the final response");
+                assert!(
+                    request_state.attempt.is_none(),
+                    "sent while another attempt runs"
+                );
                 assert!(
                     !request_state.has_key || request_state.has_claim,
-                    "sent without its claim"
+                    "sent without a claim"
+                );
+                assert!(
+                    !request_state.is_settled,
+                    "sent after the claim was settled"
                 );
-                assert!(!request_state.is_settled, "sent after its settlement");
                 let may_run_twice = request_state.at_most_once
                     && request_state.may_have_run
                     && order.resume_from.is_none();
-                assert!(!may_run_twice, "may run twice");
+                assert!(!may_run_twice, "an at-most-once request may run twice");
                 request_state.attempt = Some((order.attempt, order.upstream));
             }
             Action::Claim(claim) => {
@@ -231,12 +237,19 @@
                 let tier = self.request_state(request).tier;
                 if let Some(arriving) = arriving.filter(|arriving| *arriving != request) {
                     let arriving = self.request_state(arriving).tier;
-                    assert!(arriving < tier, "tier {tier} given up for tier {arriving}");
+                    assert!(
+                        arriving < tier,
+                        "tier {tier} refused in favour of tier {arriving}"
+                    );
                 }
                 let request_state = self.request_state(request);
                 assert!(!request_state.is_answered, "answered twice");
                 if request_state.may_have_run {
-                    assert_ne!(refusal.verdict, Verdict::NotRun, "a false verdict");
+                    assert_ne!(
+                        refusal.verdict,
+                        Verdict::NotRun,
+                        "refused as not run after it may have run"
+                    );
                 }
                 request_state.is_answered = true;
             }
@@ -250,10 +263,14 @@
                 let request_state = self.request_state(RequestId::new(id.unwrap()));
                 assert!(
                     request_state.has_claim && !request_state.is_settled,
-                    "settled without a claim"
+                    "settled without an open claim"
                 );
                 if request_state.may_have_run {
-                    assert_ne!(settlement.verdict, Verdict::NotRun, "a key set free");
+                    assert_ne!(
+                        settlement.verdict,
+                        Verdict::NotRun,
+                        "key released although the request may have run"
+                    );
                 }
                 request_state.is_settled = true;
             }
@@ -309,7 +326,7 @@
         Some((request, *attempt))
     }
 
-    /// Lets everything end, and checks that nothing is left over.
+    /// Completes all requests, and checks that no request, claim or slot is left over.
     pub fn settle(mut self) {
         self.leaving.clear();
         for _ in 0..400 {
@@ -326,7 +343,10 @@
             self.apply_step(&Step::Claim { answer: 5, pick: 0 });
             self.apply_step(&Step::Complete(0));
         }
-        assert!(self.controller.is_idle(), "requests are left over");
+        assert!(
+            self.controller.is_idle(),
+            "requests remain after all were completed"
+        );
         assert!(
             self.requests
                 .values()
--- a/crates/policy/tests/properties/step.rs
+++ b/crates/policy/tests/properties/step.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// One random step.
+/// Random step of the model.
 #[derive(Clone, Debug)]
 pub enum Step {
     Advance(u8),
--- a/crates/policy/tests/script/document.rs
+++ b/crates/policy/tests/script/document.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// The configuration of a script: `engines=N slots=M` engines that resume, and
-/// a service `orders` with one replica; `edits` is merged into it.
+/// Configuration of a script: `engines=N` engines that resume streams, with `slots=M` slots each,
+/// and a service `orders` with one replica. `edits` is merged into the configuration.
 pub fn document(args: &Args<'_>, edits: Value) -> Value {
     let engines: u32 = args.get_or("engines", 1);
     let slots: u32 = args.get_or("slots", 1);
@@ -40,7 +40,7 @@
     document
 }
 
-/// With `domains=(a,b)` the engines stand in these domains in turn.
+/// Failure domain of an engine. `domains=(a,b)` assigns the engines to these domains in rotation.
 fn domain(args: &Args<'_>, number: u32) -> String {
     let domains = args.list("domains");
     match domains.len() {
@@ -76,7 +76,7 @@
     })
 }
 
-/// Merges `edits` into `value`, object by object; `null` removes.
+/// Merges `edits` into `value` recursively. A `null` removes the field.
 fn merge(value: &mut Value, edits: Value) {
     match (value, edits) {
         (Value::Object(fields), Value::Object(edits)) => {
--- a/crates/policy/tests/script/mod.rs
+++ b/crates/policy/tests/script/mod.rs
@@ -1,10 +1,9 @@
-//! The test language of the controllers: a script says what happens and when,
-//! which message arrives, is lost or doubled, whose clock stands still, and what
-//! is expected of it.
+//! Script language for tests of controllers. A script lists events, such as messages that arrive,
+//! are lost or are duplicated and clocks that stop, together with the expected output.
 //!
-//! Time stands still unless the script says `advance ms=N`. Each directive
-//! prints the actions that follow from it, one a line. Run with `REWRITE=1` to
-//! write the present behaviour into the scripts, and read the difference.
+//! Time passes only with the directive `advance ms=N`. Each directive prints the resulting actions,
+//! one per line. Run the tests with `REWRITE=1` to write the current output into the scripts, and
+//! review the difference.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -27,10 +26,10 @@
 
 use {document::document, render::render, scripted_host::ScriptedHost};
 
-/// The host of a script that names none.
+/// Host of a script that names no host.
 const DEFAULT_HOST: &str = "host-0";
 
-/// Controllers under a script.
+/// Controllers that a script drives.
 pub struct Script {
     hosts: BTreeMap<String, ScriptedHost>,
     start_count: u64,
@@ -46,8 +45,7 @@
         }
     }
 
-    /// Carries one directive out, on the host that it names, and prints what
-    /// followed.
+    /// Runs one directive on the host that it names, and returns the resulting output.
     pub fn run(&mut self, case: &TestCase) -> String {
         let args = Args(case);
         match case.directive.as_str() {
@@ -134,7 +132,7 @@
                 })
             }
             "status" => host.status(),
-            other => panic!("no directive {other}"),
+            other => panic!("unknown directive {other}"),
         }
     }
 
@@ -151,10 +149,11 @@
         let name = args.text("host").unwrap_or(DEFAULT_HOST.to_string());
         self.hosts
             .get_mut(&name)
-            .unwrap_or_else(|| panic!("no host {name}"))
+            .unwrap_or_else(|| panic!("unknown host {name}"))
     }
 
-    /// Runs something on every host; with several each line names its host.
+    /// Calls `run` for every host. If there are several hosts, each output line starts with the
+    /// name of its host.
     fn run_on_each_host(&mut self, mut run: impl FnMut(&mut ScriptedHost) -> String) -> String {
         let has_several_hosts = self.hosts.len() > 1;
         let mut output = String::new();
@@ -169,8 +168,8 @@
         output
     }
 
-    /// Time passes on all hosts, but on those whose clock stands still
-    /// (`frozen=`); with `deliver`, heartbeats are delivered as they are sent.
+    /// Advances the time on all hosts except those in `frozen=`, whose clocks have stopped. With
+    /// `deliver`, heartbeats are delivered after each step of 10 ms.
     fn advance(&mut self, args: &Args<'_>) -> String {
         let ms: u64 = args.get("ms");
         let frozen = args.list("frozen");
@@ -193,8 +192,8 @@
         String::new()
     }
 
-    /// Delivers the heartbeat of a host, and its answer; `twice` doubles it,
-    /// `answer-lost` loses the answer.
+    /// Delivers the pending heartbeat of a host, and the response. `twice` duplicates the
+    /// heartbeat, `answer-lost` drops the response.
     fn deliver(&mut self, args: &Args<'_>) -> String {
         let from: String = args.get("from");
         if args.has("twice") {
@@ -209,7 +208,7 @@
         self.exchange(&from, &frozen, true)
     }
 
-    /// Hands the pending heartbeat of a host over; gives the answer.
+    /// Delivers the pending heartbeat of a host, and returns the response.
     fn deliver_heartbeat(&mut self, from: &str, frozen: &[String]) -> Option<HeartbeatAnswer> {
         let pending = self.hosts[from].pending.as_ref()?;
         let (to, heartbeat) = (pending.to.clone(), pending.heartbeat.clone());
@@ -233,7 +232,7 @@
         })
     }
 
-    /// The platform's list, read by all hosts or by those in `to`.
+    /// Provides the platform's list of hosts to the hosts in `to`, or to all hosts without `to`.
     fn list(&mut self, args: &Args<'_>) -> String {
         let leaving = args.list("leaving");
         let hosts: Vec<PeerHost> = args
@@ -354,7 +353,7 @@
         "ran" => ClaimResult::Ran(args.text("body").map(stored_response)),
         "reused" => ClaimResult::KeyReused,
         "unknown" => ClaimResult::Unknown,
-        other => panic!("no claim answer {other}"),
+        other => panic!("unknown claim answer {other}"),
     }
 }
 
@@ -362,7 +361,7 @@
     serde_json::from_value(args.text("cause").unwrap().into()).unwrap()
 }
 
-/// The arguments of a directive.
+/// Arguments of a directive.
 pub struct Args<'a>(&'a TestCase);
 
 impl Args<'_> {
@@ -379,12 +378,14 @@
     }
 
     pub fn get<T: FromStr>(&self, name: &str) -> T {
-        let text = self.text(name).unwrap_or_else(|| panic!("no {name}"));
+        let text = self
+            .text(name)
+            .unwrap_or_else(|| panic!("missing argument {name}"));
         text.parse()
-            .unwrap_or_else(|_| panic!("bad {name}: {text}"))
+            .unwrap_or_else(|_| panic!("invalid value of {name}: {text}"))
     }
 
-    /// Longest pause of a stream.
+    /// Longest pause between two parts of a stream.
     pub fn pause(&self) -> Duration {
         Duration::from_millis(self.get_or("pause_ms", 0))
     }
--- a/crates/policy/tests/script/render.rs
+++ b/crates/policy/tests/script/render.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// An action as one line of a script.
+/// Renders an action as one line of script output.
 pub fn render(action: &Action) -> String {
     match action {
         Action::Abandon { request, .. } => format!("abandon the attempt of {request}"),
@@ -104,7 +104,7 @@
     grants.collect::<Vec<_>>().join(", ")
 }
 
-/// How soon to return is random; a script shows only whether it was said.
+/// Renders a refusal. The retry delay is random, so the output shows only whether there is one.
 fn render_refusal(refusal: &Refusal) -> String {
     let retry_suffix = if refusal.retry_after.is_some() {
         ", retry"
--- a/crates/policy/tests/script/scripted_host.rs
+++ b/crates/policy/tests/script/scripted_host.rs
@@ -1,27 +1,28 @@
 use super::*;
 
-/// Length of one tick while time advances.
+/// Interval between ticks while time advances.
 const TICK_MS: u64 = 10;
 
-/// A heartbeat that has been sent and not yet delivered.
+/// Heartbeat that was sent but not yet delivered.
 pub struct PendingHeartbeat {
     pub sent_at: Time,
     pub heartbeat: Heartbeat,
     pub to: String,
 }
 
-/// One controller of a script, with a clock of its own.
+/// Controller of one host in a script, with its own clock.
 pub struct ScriptedHost {
     pub attempts: BTreeMap<RequestId, AttemptId>,
     pub controller: Controller,
     pub now: Time,
-    /// The answer to the heartbeat that was just delivered.
+    /// Response to the heartbeat that was delivered last.
     pub answer: Option<HeartbeatAnswer>,
     pub pending: Option<PendingHeartbeat>,
 }
 
 impl ScriptedHost {
-    /// With `reads_list` it has read the platform's list, empty, at its start.
+    /// Creates a host. With `has_upstream_list`, the host has already read the platform's list of
+    /// upstreams, which marks none as leaving.
     pub fn new(name: &str, domain: &str, incarnation: u64, has_upstream_list: bool) -> Self {
         let mut host = Self {
             answer: None,
@@ -45,7 +46,7 @@
         host
     }
 
-    /// Lets time pass in ticks; what is done is shown with its moment.
+    /// Advances the time in ticks. Each output line starts with the time of its action.
     pub fn advance(&mut self, ms: u64) -> String {
         let mut output = String::new();
         let end = self.now.plus_ms(ms);
@@ -98,7 +99,7 @@
         )
     }
 
-    /// The coordinator, and this host's share of each engine.
+    /// Renders the coordinator and this host's share of each engine's slots.
     pub fn shares(&self) -> String {
         let shares: Vec<String> = (0..9)
             .filter_map(|number| {
--- a/crates/policy/tests/scripts.rs
+++ b/crates/policy/tests/scripts.rs
@@ -1,5 +1,5 @@
-//! Scripted scenarios of the controller, each with its expected outcome beside
-//! it, in `tests/scripts`.
+//! Runs the scripted scenarios of the controller in `tests/scripts`. Each script contains its
+//! expected output.
 
 #![allow(missing_docs)]
 
