--- a/crates/policy/tests/transfers.rs
+++ b/crates/policy/tests/transfers.rs
@@ -114,7 +114,7 @@
                 let mut search = std::mem::take(search);
                 match search.next(&mut self.rng) {
                     Some(next) => {
-                        self.request_table(host, usize::from(next.port()) - 1_000, search)
+                        self.request_table(host, usize::from(next.port()) - 1_000, search);
                     }
                     None => {
                         let delay_ms = self
