--- a/crates/policy/tests/duties/usage.rs
+++ b/crates/policy/tests/duties/usage.rs
@@ -10,11 +10,11 @@
     window_length: Duration::from_secs(5),
 };
 
-/// Unix time at the steady clock's zero.
-const ZERO_UNIX_MS: u64 = 1_800_000_000_000;
+/// Unix time at the zero of the monotonic clock.
+const CLOCK_ORIGIN_UNIX_MS: u64 = 1_800_000_000_000;
 
-/// The window that begins then.
-const WINDOW: u64 = ZERO_UNIX_MS / 5_000;
+/// Window that begins at [`CLOCK_ORIGIN_UNIX_MS`].
+const WINDOW: u64 = CLOCK_ORIGIN_UNIX_MS / 5_000;
 
 fn note(host: u64, incarnation: u64, now: Time, counts: &[(u64, u32)]) -> UsageNote {
     let windows = counts.iter().map(|(window, count)| WindowCounts {
@@ -25,7 +25,7 @@
         host: format!("host-{host}").parse().unwrap(),
         incarnation: Incarnation::new(incarnation),
         protocol: peer::PROTOCOL,
-        unix_ms: ZERO_UNIX_MS + now.as_us() / 1_000,
+        unix_ms: CLOCK_ORIGIN_UNIX_MS + now.as_us() / 1_000,
         windows: windows.collect(),
         work: Vec::new(),
     }
@@ -54,13 +54,17 @@
     ledger.record(after, note(2, 7, after, &[(WINDOW, 5), (WINDOW + 1, 1)]));
     assert_eq!(ledger.next_report(after), report(WINDOW, 20));
     ledger.note_reported(WINDOW);
-    assert_eq!(ledger.next_report(after), None, "the next window goes on");
+    assert_eq!(
+        ledger.next_report(after),
+        None,
+        "the next window has not ended"
+    );
 }
 
-/// Guards against a report without a host whose last counts are still on their way, and
-/// against one that is never made as a host is cut off.
+/// Guards against a report that misses the last counts of a host because they are still in transit,
+/// and against a report that is never made because a host is unreachable.
 #[test]
-fn a_host_that_is_not_observed_is_waited_for_as_long_as_the_report_allows() {
+fn a_silent_host_delays_a_report_only_until_its_deadline() {
     let mut ledger = UsageLedger::new(RULES);
     let during = Time::from_ms(4_000);
     ledger.record(during, note(1, 1, during, &[(WINDOW, 10)]));
@@ -74,7 +78,7 @@
     assert_eq!(ledger.next_report(last), report(WINDOW, 22));
 }
 
-/// Guards against windows that begin where the time of day of a few hosts has jumped.
+/// Guards against windows that shift because the wall clocks of a few hosts have jumped.
 #[test]
 fn a_minority_of_jumped_clocks_does_not_move_the_windows() {
     let mut ledger = UsageLedger::new(RULES);
@@ -85,12 +89,12 @@
         note.unix_ms -= jump_ms;
         ledger.record(now, note);
     }
-    assert_eq!(ledger.unix_ms(now), Some(ZERO_UNIX_MS + 2_000));
+    assert_eq!(ledger.unix_ms(now), Some(CLOCK_ORIGIN_UNIX_MS + 2_000));
 }
 
-/// Guards against two different reports of one window.
+/// Guards against two different reports of the same window, the second by a new lease holder.
 #[test]
-fn a_later_holder_counts_no_window_again_that_stands_in_the_store() {
+fn a_new_lease_holder_reports_no_stored_window_again() {
     let mut ledger = UsageLedger::new(RULES);
     let now = Time::from_ms(6_600);
     ledger.note_reported(WINDOW);
@@ -101,9 +105,10 @@
     assert_eq!(ledger.next_report(later), report(WINDOW + 1, 9));
 }
 
-/// Guards against a new holder that reports a window from the first hosts that it observes.
+/// Guards against a new lease holder that reports a window from only the first hosts that it
+/// observes.
 #[test]
-fn a_new_holder_waits_until_all_hosts_had_time_to_tell() {
+fn a_new_lease_holder_waits_until_all_hosts_had_time_to_report() {
     let mut ledger = UsageLedger::new(RULES);
     ledger.note_reported(WINDOW - 1);
     let taken = Time::from_ms(8_000);
--- a/crates/policy/tests/script/mod.rs
+++ b/crates/policy/tests/script/mod.rs
@@ -1,10 +1,9 @@
-//! The test language of the controllers: a script says what happens and when,
-//! which message arrives, is lost or doubled, whose clock stands still, and what
-//! is expected of it.
+//! Script language for tests of controllers. A script lists events, such as messages that arrive,
+//! are lost or are duplicated and clocks that stop, together with the expected output.
 //!
-//! Time stands still unless the script says `advance ms=N`. Each directive
-//! prints the actions that follow from it, one a line. Run with `REWRITE=1` to
-//! write the present behaviour into the scripts, and read the difference.
+//! Time passes only with the directive `advance ms=N`. Each directive prints the resulting actions,
+//! one per line. Run the tests with `REWRITE=1` to write the current output into the scripts, and
+//! review the difference.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -27,13 +26,13 @@
 
 use {document::document, render::render, scripted_host::ScriptedHost};
 
-/// The host of a script that names none.
-const ONLY_HOST: &str = "host-0";
+/// Host of a script that names no host.
+const DEFAULT_HOST: &str = "host-0";
 
-/// Controllers under a script.
+/// Controllers that a script drives.
 pub struct Script {
     hosts: BTreeMap<String, ScriptedHost>,
-    started: u64,
+    start_count: u64,
     version: ConfigVersion,
 }
 
@@ -41,13 +40,12 @@
     pub fn new() -> Self {
         Self {
             hosts: BTreeMap::new(),
-            started: 0,
+            start_count: 0,
             version: ConfigVersion::default(),
         }
     }
 
-    /// Carries one directive out, on the host that it names, and prints what
-    /// followed.
+    /// Runs one directive on the host that it names, and returns the resulting output.
     pub fn run(&mut self, case: &TestCase) -> String {
         let args = Args(case);
         match case.directive.as_str() {
@@ -56,7 +54,7 @@
             "deliver" => self.deliver(&args),
             "list" => self.list(&args),
             "lose" => self.lose(&args),
-            "shares" => self.each(|host| host.shares()),
+            "shares" => self.run_on_each_host(|host| host.shares()),
             "start" => {
                 let (host, domain) = (args.get::<String>("host"), args.get::<String>("domain"));
                 self.start(&host, &domain, !args.has("unlisted"));
@@ -72,20 +70,20 @@
         match case.directive.as_str() {
             "arrive" => arrive(host, &args),
             "claim" => {
-                let answer = claim_answer(&args);
+                let answer = claim_result(&args);
                 let request = args.get("id");
                 host.handle(Event::ClaimAnswered { answer, request })
             }
             "complete" => {
                 let tokens = args.get_or("tokens", Tokens::new(1));
-                let answer = args.text("body").map(stored);
+                let answer = args.text("body").map(stored_response);
                 let longest_pause = args.pause();
                 let completed = AttemptEnd::Completed {
                     response: answer,
                     longest_pause,
                     tokens,
                 };
-                end(host, &args, completed)
+                end_attempts(host, &args, completed)
             }
             "drain" => host.handle(Event::DrainStarted),
             "fail" => {
@@ -95,7 +93,7 @@
                     tokens: args.get_or("tokens", Tokens::default()),
                     verdict: args.get("verdict"),
                 };
-                end(host, &args, failed)
+                end_attempts(host, &args, failed)
             }
             "gone" => {
                 let request = args.get("id");
@@ -134,33 +132,34 @@
                 })
             }
             "status" => host.status(),
-            other => panic!("no directive {other}"),
+            other => panic!("unknown directive {other}"),
         }
     }
 
-    fn start(&mut self, name: &str, domain: &str, reads_list: bool) {
-        self.started += 1;
-        let host = ScriptedHost::new(name, domain, self.started, reads_list);
+    fn start(&mut self, name: &str, domain: &str, has_upstream_list: bool) {
+        self.start_count += 1;
+        let host = ScriptedHost::new(name, domain, self.start_count, has_upstream_list);
         self.hosts.insert(name.to_string(), host);
     }
 
     fn host(&mut self, args: &Args<'_>) -> &mut ScriptedHost {
         if self.hosts.is_empty() {
-            self.start(ONLY_HOST, "a", true);
+            self.start(DEFAULT_HOST, "a", true);
         }
-        let name = args.text("host").unwrap_or(ONLY_HOST.to_string());
+        let name = args.text("host").unwrap_or(DEFAULT_HOST.to_string());
         self.hosts
             .get_mut(&name)
-            .unwrap_or_else(|| panic!("no host {name}"))
+            .unwrap_or_else(|| panic!("unknown host {name}"))
     }
 
-    /// Runs something on every host; with several each line names its host.
-    fn each(&mut self, mut run: impl FnMut(&mut ScriptedHost) -> String) -> String {
-        let several = self.hosts.len() > 1;
+    /// Calls `run` for every host. If there are several hosts, each output line starts with the
+    /// name of its host.
+    fn run_on_each_host(&mut self, mut run: impl FnMut(&mut ScriptedHost) -> String) -> String {
+        let has_several_hosts = self.hosts.len() > 1;
         let mut output = String::new();
         for (name, host) in &mut self.hosts {
             for line in run(host).lines() {
-                let _ = match several {
+                let _ = match has_several_hosts {
                     true => writeln!(output, "{name}: {line}"),
                     false => writeln!(output, "{line}"),
                 };
@@ -169,19 +168,19 @@
         output
     }
 
-    /// Time passes on all hosts, but on those whose clock stands still
-    /// (`frozen=`); with `deliver`, heartbeats are delivered as they are sent.
+    /// Advances the time on all hosts except those in `frozen=`, whose clocks have stopped. With
+    /// `deliver`, heartbeats are delivered after each step of 10 ms.
     fn advance(&mut self, args: &Args<'_>) -> String {
         let ms: u64 = args.get("ms");
         let frozen = args.list("frozen");
         if !args.has("deliver") {
-            return self.each(|host| match is_frozen(host, &frozen) {
+            return self.run_on_each_host(|host| match is_frozen(host, &frozen) {
                 true => String::new(),
                 false => host.advance(ms),
             });
         }
         for _ in 0..ms / 10 {
-            self.each(|host| match is_frozen(host, &frozen) {
+            self.run_on_each_host(|host| match is_frozen(host, &frozen) {
                 true => String::new(),
                 false => host.advance(10),
             });
@@ -193,12 +192,12 @@
         String::new()
     }
 
-    /// Delivers the heartbeat of a host, and its answer; `twice` doubles it,
-    /// `answer-lost` loses the answer.
+    /// Delivers the pending heartbeat of a host, and the response. `twice` duplicates the
+    /// heartbeat, `answer-lost` drops the response.
     fn deliver(&mut self, args: &Args<'_>) -> String {
         let from: String = args.get("from");
         if args.has("twice") {
-            self.ask(&from, &[]);
+            self.deliver_heartbeat(&from, &[]);
         }
         self.exchange(&from, &[], args.has("answer-lost"))
     }
@@ -209,8 +208,8 @@
         self.exchange(&from, &frozen, true)
     }
 
-    /// Hands the pending heartbeat of a host over; gives the answer.
-    fn ask(&mut self, from: &str, frozen: &[String]) -> Option<HeartbeatAnswer> {
+    /// Delivers the pending heartbeat of a host, and returns the response.
+    fn deliver_heartbeat(&mut self, from: &str, frozen: &[String]) -> Option<HeartbeatAnswer> {
         let pending = self.hosts[from].pending.as_ref()?;
         let (to, heartbeat) = (pending.to.clone(), pending.heartbeat.clone());
         let host = self.hosts.get_mut(&to).filter(|_| !frozen.contains(&to))?;
@@ -218,20 +217,22 @@
         host.answer.take()
     }
 
-    fn exchange(&mut self, from: &str, frozen: &[String], lose_answer: bool) -> String {
-        let answer = self.ask(from, frozen).filter(|_| !lose_answer);
+    fn exchange(&mut self, from: &str, frozen: &[String], loses_answer: bool) -> String {
+        let answer = self
+            .deliver_heartbeat(from, frozen)
+            .filter(|_| !loses_answer);
         let host = self.hosts.get_mut(from).unwrap();
         let Some(pending) = host.pending.take() else {
             return String::new();
         };
         host.handle(Event::HeartbeatAnswered {
             answer,
-            sent: pending.asked,
+            sent: pending.sent_at,
             host: pending.to.parse().unwrap(),
         })
     }
 
-    /// The platform's list, read by all hosts or by those in `to`.
+    /// Provides the platform's list of hosts to the hosts in `to`, or to all hosts without `to`.
     fn list(&mut self, args: &Args<'_>) -> String {
         let leaving = args.list("leaving");
         let hosts: Vec<PeerHost> = args
@@ -246,9 +247,9 @@
             })
             .collect();
         let to = args.list("to");
-        self.each(|host| {
-            let reads = to.is_empty() || to.contains(&name_of(host));
-            match reads {
+        self.run_on_each_host(|host| {
+            let reads_list = to.is_empty() || to.contains(&name_of(host));
+            match reads_list {
                 true => host.handle(Event::HostsListed {
                     hosts: hosts.clone(),
                 }),
@@ -259,7 +260,7 @@
 
     fn configure(&mut self, case: &TestCase) -> String {
         if self.hosts.is_empty() {
-            self.start(ONLY_HOST, "a", true);
+            self.start(DEFAULT_HOST, "a", true);
         }
         let edits: Value = if case.input.trim().is_empty() {
             json!({})
@@ -270,10 +271,10 @@
         let version = args.get_or("version", self.version.next());
         self.version = self.version.max(version);
         let document = Document::from_value(document(&args, edits)).unwrap();
-        let numbered = Arc::new(VersionedDocument { document, version });
+        let versioned = Arc::new(VersionedDocument { document, version });
         let to = args.list("to");
-        self.each(|host| match to.is_empty() || to.contains(&name_of(host)) {
-            true => host.handle(Event::ConfigurationRead(Arc::clone(&numbered))),
+        self.run_on_each_host(|host| match to.is_empty() || to.contains(&name_of(host)) {
+            true => host.handle(Event::ConfigurationRead(Arc::clone(&versioned))),
             false => String::new(),
         })
     }
@@ -287,7 +288,7 @@
     frozen.contains(&name_of(host))
 }
 
-fn stored(body: String) -> StoredResponse {
+fn stored_response(body: String) -> StoredResponse {
     StoredResponse {
         body,
         content_type: "text/plain".to_string(),
@@ -326,7 +327,7 @@
     output
 }
 
-fn end(host: &mut ScriptedHost, args: &Args<'_>, end: AttemptEnd) -> String {
+fn end_attempts(host: &mut ScriptedHost, args: &Args<'_>, end: AttemptEnd) -> String {
     let mut output = String::new();
     for id in args.list("id") {
         let request = id.parse().unwrap();
@@ -343,16 +344,16 @@
     output
 }
 
-fn claim_answer(args: &Args<'_>) -> ClaimResult {
+fn claim_result(args: &Args<'_>) -> ClaimResult {
     match args.text("answer").unwrap().as_str() {
         "in-progress" => ClaimResult::InProgress,
         "may-have-run" => ClaimResult::MayHaveRun,
         "not-tried" => ClaimResult::NotWritten,
         "ours" => ClaimResult::Granted,
-        "ran" => ClaimResult::Ran(args.text("body").map(stored)),
+        "ran" => ClaimResult::Ran(args.text("body").map(stored_response)),
         "reused" => ClaimResult::KeyReused,
         "unknown" => ClaimResult::Unknown,
-        other => panic!("no claim answer {other}"),
+        other => panic!("unknown claim answer {other}"),
     }
 }
 
@@ -360,7 +361,7 @@
     serde_json::from_value(args.text("cause").unwrap().into()).unwrap()
 }
 
-/// The arguments of a directive.
+/// Arguments of a directive.
 pub struct Args<'a>(&'a TestCase);
 
 impl Args<'_> {
@@ -377,12 +378,14 @@
     }
 
     pub fn get<T: FromStr>(&self, name: &str) -> T {
-        let text = self.text(name).unwrap_or_else(|| panic!("no {name}"));
+        let text = self
+            .text(name)
+            .unwrap_or_else(|| panic!("missing argument {name}"));
         text.parse()
-            .unwrap_or_else(|_| panic!("bad {name}: {text}"))
+            .unwrap_or_else(|_| panic!("invalid value of {name}: {text}"))
     }
 
-    /// Longest pause of a stream.
+    /// Longest pause between two parts of a stream.
     pub fn pause(&self) -> Duration {
         Duration::from_millis(self.get_or("pause_ms", 0))
     }
--- a/crates/policy/tests/script/scripted_host.rs
+++ b/crates/policy/tests/script/scripted_host.rs
@@ -1,28 +1,29 @@
 use super::*;
 
-/// Length of one tick while time advances.
+/// Interval between ticks while time advances.
 const TICK_MS: u64 = 10;
 
-/// A heartbeat that has been sent and not yet delivered.
-pub struct Pending {
-    pub asked: Time,
+/// Heartbeat that was sent but not yet delivered.
+pub struct PendingHeartbeat {
+    pub sent_at: Time,
     pub heartbeat: Heartbeat,
     pub to: String,
 }
 
-/// One controller of a script, with a clock of its own.
+/// Controller of one host in a script, with its own clock.
 pub struct ScriptedHost {
     pub attempts: BTreeMap<RequestId, AttemptId>,
     pub controller: Controller,
     pub now: Time,
-    /// The answer to the heartbeat that was just delivered.
+    /// Response to the heartbeat that was delivered last.
     pub answer: Option<HeartbeatAnswer>,
-    pub pending: Option<Pending>,
+    pub pending: Option<PendingHeartbeat>,
 }
 
 impl ScriptedHost {
-    /// With `reads_list` it has read the platform's list, empty, at its start.
-    pub fn new(name: &str, domain: &str, incarnation: u64, reads_list: bool) -> Self {
+    /// Creates a host. With `has_upstream_list`, the host has already read the platform's list of
+    /// upstreams, which marks none as leaving.
+    pub fn new(name: &str, domain: &str, incarnation: u64, has_upstream_list: bool) -> Self {
         let mut host = Self {
             answer: None,
             attempts: BTreeMap::new(),
@@ -38,14 +39,14 @@
             now: Time::default(),
             pending: None,
         };
-        if reads_list {
+        if has_upstream_list {
             let leaving = Default::default();
             host.handle(Event::UpstreamsListed { leaving });
         }
         host
     }
 
-    /// Lets time pass in ticks; what is done is shown with its moment.
+    /// Advances the time in ticks. Each output line starts with the time of its action.
     pub fn advance(&mut self, ms: u64) -> String {
         let mut output = String::new();
         let end = self.now.plus_ms(ms);
@@ -71,8 +72,8 @@
                 Action::SendHeartbeat {
                     heartbeat, host, ..
                 } => {
-                    self.pending = Some(Pending {
-                        asked: self.now,
+                    self.pending = Some(PendingHeartbeat {
+                        sent_at: self.now,
                         heartbeat: heartbeat.clone(),
                         to: host.to_string(),
                     });
@@ -98,7 +99,7 @@
         )
     }
 
-    /// The coordinator, and this host's share of each engine.
+    /// Renders the coordinator and this host's share of each engine's slots.
     pub fn shares(&self) -> String {
         let shares: Vec<String> = (0..9)
             .filter_map(|number| {
--- a/crates/policy/tests/scripts.rs
+++ b/crates/policy/tests/scripts.rs
@@ -1,5 +1,5 @@
-//! Scripted scenarios of the controller, each with its expected outcome beside
-//! it, in `tests/scripts`.
+//! Runs the scripted scenarios of the controller in `tests/scripts`. Each script contains its
+//! expected output.
 
 #![allow(missing_docs)]
 
@@ -8,7 +8,7 @@
 use script::Script;
 
 #[test]
-fn scripts_go_as_written() {
+fn scripts_produce_the_expected_output() {
     datadriven::walk("tests/scripts", |file| {
         let mut script = Script::new();
         file.run(|case| script.run(case));
