--- a/crates/router/benches/common/processor.rs
+++ b/crates/router/benches/common/processor.rs
@@ -6,7 +6,7 @@
 const TICKS_PER_S: f64 = 100.0;
 
 /// Processor time of this process's threads so far, by their names.
-pub fn processor_s_by_duty() -> BTreeMap<String, f64> {
+pub fn processor_s_by_thread_name() -> BTreeMap<String, f64> {
     let mut spent: BTreeMap<String, f64> = BTreeMap::new();
     for task in std::fs::read_dir("/proc/self/task").unwrap() {
         let folder = task.unwrap().path();
--- a/crates/router/benches/control/main.rs
+++ b/crates/router/benches/control/main.rs
@@ -35,7 +35,7 @@
 
 use {
     process::resident_bytes,
-    processor::processor_s_by_duty,
+    processor::processor_s_by_thread_name,
     relay::{Counter, relay},
     site::{ControlSite, Size},
 };
@@ -44,10 +44,10 @@
 const PATCHES: u64 = 12;
 
 /// Time for a site to settle before it is measured.
-const SETTLE: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Time over which it is measured.
-const MEASURED: Duration = Duration::from_secs(8);
+const MEASUREMENT_WINDOW: Duration = Duration::from_secs(8);
 
 fn main() {
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -124,7 +124,7 @@
     };
     let mut site = ControlSite::start_upstreams(size).await;
     site.start_hosts(size).await;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let mut delays_ms = Vec::new();
     for version in 1..=PATCHES {
         let delays = site.patch(version).await;
@@ -146,16 +146,16 @@
     let mut site = ControlSite::start_upstreams(size).await;
     let upstream_bytes = resident_bytes();
     site.start_hosts(size).await;
-    tokio::time::sleep(SETTLE).await;
-    let cpu_before = processor_s_by_duty();
+    tokio::time::sleep(SETTLE_TIME).await;
+    let cpu_before = processor_s_by_thread_name();
     let bytes_before = site.bytes();
     let reads_before = site.platform.reads();
-    tokio::time::sleep(MEASURED).await;
-    let cpu = processor_s_by_duty();
+    tokio::time::sleep(MEASUREMENT_WINDOW).await;
+    let cpu = processor_s_by_thread_name();
     let bytes = site.bytes();
     let reads = site.platform.reads() - reads_before;
     let host_bytes = resident_bytes().saturating_sub(upstream_bytes);
-    let seconds = MEASURED.as_secs_f64();
+    let seconds = MEASUREMENT_WINDOW.as_secs_f64();
     let hosts = size.hosts as f64;
     let percent = |duty: &str| {
         let spent = cpu.get(duty).unwrap_or(&0.0) - cpu_before.get(duty).unwrap_or(&0.0);
--- a/crates/router/benches/serving/load.rs
+++ b/crates/router/benches/serving/load.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Length of one search for the greatest rate.
-const PASSED_FOR: Duration = Duration::from_secs(3);
+const RATE_WINDOW: Duration = Duration::from_secs(3);
 
 /// Times of one stream.
 #[derive(Clone, Copy, Debug)]
@@ -68,14 +68,14 @@
 }
 
 /// Keeps so many streams open for a while and counts what came.
-pub async fn passed(to: &[SocketAddr], at_once: usize, tokens: u32) -> Rates {
+pub async fn measure_rates(to: &[SocketAddr], at_once: usize, tokens: u32) -> Rates {
     let start = Instant::now();
     let streams = (0..at_once).map(|number| {
         let to = to[number % to.len()];
         tokio::spawn(async move {
             let mut sender = connect(to).await;
             let (mut requests, mut events) = (0_u64, 0_u64);
-            while start.elapsed() < PASSED_FOR {
+            while start.elapsed() < RATE_WINDOW {
                 sender.ready().await.unwrap();
                 let response = sender.send_request(request(to, tokens)).await.unwrap();
                 assert_eq!(response.status(), 200);
--- a/crates/router/benches/serving/logging.rs
+++ b/crates/router/benches/serving/logging.rs
@@ -46,7 +46,7 @@
 }
 
 fn processor_s() -> f64 {
-    let by_duty = processor_s_by_duty();
+    let by_duty = processor_s_by_thread_name();
     let serves = |name: &str| THREADS.iter().any(|thread| name.starts_with(thread));
     let spent = by_duty.iter().filter(|(name, _)| serves(name));
     spent.map(|(_, spent_s)| spent_s).sum()
--- a/crates/router/benches/serving/main.rs
+++ b/crates/router/benches/serving/main.rs
@@ -34,16 +34,16 @@
 mod setup;
 
 use {
-    load::{Timing, passed, percentile, timed},
-    processor::processor_s_by_duty,
+    load::{Timing, measure_rates, percentile, timed},
+    processor::processor_s_by_thread_name,
     setup::{start_engines, start_host},
 };
 
 /// Streams timed in each way.
-const TIMED: usize = 400;
+const TIMED_STREAMS: usize = 400;
 
 /// Streams at once while the greatest rate is sought.
-const AT_ONCE: [usize; 3] = [64, 256, 1_024];
+const CONCURRENT_STREAMS: [usize; 3] = [64, 256, 1_024];
 
 fn main() {
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -71,7 +71,7 @@
     let host = start_host(&engines, &options, 1, discard_logger()).await;
     let mut direct = Vec::new();
     let mut through = Vec::new();
-    for number in 0..TIMED {
+    for number in 0..TIMED_STREAMS {
         let engine = engines[number % engines.len()].address();
         direct.push(timed(engine, 20).await);
         through.push(timed(host.caller_address(), 20).await);
@@ -110,10 +110,10 @@
     };
     let engines = start_engines(4, &options).await;
     let host = start_host(&engines, &options, caller_threads, discard_logger()).await;
-    for at_once in AT_ONCE {
+    for at_once in CONCURRENT_STREAMS {
         let direct: Vec<SocketAddr> = engines.iter().map(EngineStandin::address).collect();
-        let direct = passed(&direct, at_once, 240).await;
-        let through = passed(&[host.caller_address()], at_once, 240).await;
+        let direct = measure_rates(&direct, at_once, 240).await;
+        let through = measure_rates(&[host.caller_address()], at_once, 240).await;
         println!(
             "{caller_threads} caller threads, {at_once} at once, 240 tokens each: through a host \
              {:.0} requests/s, {:.0} tokens/s; engines directly {:.0} and {:.0}, ratio {:.2}",
--- a/crates/router/tests/draining.rs
+++ b/crates/router/tests/draining.rs
@@ -83,7 +83,7 @@
     let request = site.ask("question").tagged("late").request();
     let host = site.host.take().unwrap();
     let stop = tokio::task::spawn_blocking(move || host.drain().stop().unwrap());
-    let deadline = tokio::time::Instant::now() + site::LONG;
+    let deadline = tokio::time::Instant::now() + site::WAIT_TIMEOUT;
     while site::exchange(operator, ready()).await.status() == 200 {
         assert!(
             tokio::time::Instant::now() < deadline,
--- a/crates/router/tests/leaving.rs
+++ b/crates/router/tests/leaving.rs
@@ -8,7 +8,7 @@
 
 /// Waits until the host knows that an engine is leaving, and checks that it
 /// gets nothing from then on.
-async fn gets_nothing_new(site: &Site, engine: &str) {
+async fn assert_gets_no_new_requests(site: &Site, engine: &str) {
     let id: types::UpstreamId = engine.parse().unwrap();
     site.until("known to be leaving", |site| {
         let status = site.host().status();
@@ -18,13 +18,13 @@
     .await;
     for round in 0..10 {
         assert!(
-            !used_in_round(site, engine, round).await,
+            !received_request_in_round(site, engine, round).await,
             "{engine} got work"
         );
     }
 }
 
-async fn used_in_round(site: &Site, engine: &str, round: u32) -> bool {
+async fn received_request_in_round(site: &Site, engine: &str, round: u32) -> bool {
     for number in 0..6 {
         let tag = format!("r{round}n{number}");
         site.ask("question")
@@ -45,7 +45,7 @@
     let site = Site::with_engines(2).start().await;
     let id = "engine-0".parse().unwrap();
     site.platform.list_upstream(id, ListedState::Leaving);
-    gets_nothing_new(&site, "engine-0").await;
+    assert_gets_no_new_requests(&site, "engine-0").await;
 }
 
 /// Symptom: a leaving engine gets work from hosts that start after it was asked
@@ -60,14 +60,14 @@
     let id = "engine-0".parse().unwrap();
     site.platform.list_upstream(id, ListedState::Leaving);
     site.start_host().await;
-    gets_nothing_new(&site, "engine-0").await;
+    assert_gets_no_new_requests(&site, "engine-0").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn announced_by_its_own_load_report() {
     let site = Site::with_engines(2).start().await;
     site.break_engine(0, |faults| faults.leaving = true);
-    gets_nothing_new(&site, "engine-0").await;
+    assert_gets_no_new_requests(&site, "engine-0").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -82,7 +82,7 @@
         operations: serde_json::from_value(operations).unwrap(),
     };
     site.store().submit(&patch).await.unwrap();
-    gets_nothing_new(&site, "engine-0").await;
+    assert_gets_no_new_requests(&site, "engine-0").await;
     // What runs there is not cut off.
     long.await.unwrap().assert_whole("long", 3_000);
 }
--- a/crates/router/tests/processes.rs
+++ b/crates/router/tests/processes.rs
@@ -56,7 +56,7 @@
     }
 
     async fn ready(&self) {
-        let deadline = tokio::time::Instant::now() + site::LONG;
+        let deadline = tokio::time::Instant::now() + site::WAIT_TIMEOUT;
         loop {
             if self.is_ready().await {
                 return;
--- a/crates/router/tests/site/mod.rs
+++ b/crates/router/tests/site/mod.rs
@@ -35,7 +35,7 @@
 pub const OPERATOR_TOKEN: &str = "operator-token-of-tests";
 
 /// Bounds each wait of a test; passing never depends on its length.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running site: a host with its upstreams and platform.
 pub struct Site {
@@ -109,7 +109,7 @@
 
     /// Waits until something holds; panics if it never does.
     pub async fn until(&self, what: &str, holds: impl Fn(&Self) -> bool) {
-        let deadline = tokio::time::Instant::now() + LONG;
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         while !holds(self) {
             assert!(tokio::time::Instant::now() < deadline, "never: {what}");
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -136,7 +136,7 @@
         settings.host = format!("host-{number}").parse().unwrap();
         let host = tokio::task::spawn_blocking(move || {
             let host = Host::start(settings, router::discard_logger()).unwrap();
-            assert!(host.wait_ready(LONG));
+            assert!(host.wait_ready(WAIT_TIMEOUT));
             host
         });
         host.await.unwrap()
