--- a/crates/router/benches/control/main.rs
+++ b/crates/router/benches/control/main.rs
@@ -43,10 +43,10 @@
 /// Patches submitted for each size.
 const PATCHES: u64 = 12;
 
-/// Time for a site to settle before it is measured.
+/// Time for a site to settle before the measurement.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Time over which it is measured.
+/// Length of the measurement.
 const MEASUREMENT_WINDOW: Duration = Duration::from_secs(8);
 
 fn main() {
@@ -115,7 +115,7 @@
     }
 }
 
-/// Submits patches one after the other and waits for each on all hosts.
+/// Submits patches one by one and waits until each is in force on all hosts.
 async fn configuration_delay(hosts: usize) {
     let size = Size {
         engines: 4,
--- a/crates/router/benches/control/process.rs
+++ b/crates/router/benches/control/process.rs
@@ -1,4 +1,4 @@
-/// Memory of this process that is in use.
+/// Returns the resident memory of this process.
 pub fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let line = status
--- a/crates/router/benches/control/relay.rs
+++ b/crates/router/benches/control/relay.rs
@@ -1,10 +1,9 @@
 use super::*;
 
-/// Counts bytes.
+/// Shared byte counter.
 pub type Counter = Arc<AtomicU64>;
 
-/// Listens in the place of a server and passes bytes on, counting them in both
-/// directions.
+/// Starts a proxy that forwards connections to a server and counts the bytes in both directions.
 pub async fn relay(to: SocketAddr, counter: Counter) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/router/benches/control/site.rs
+++ b/crates/router/benches/control/site.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Size of a site: one failure domain.
+/// Size of a site, which is one failure domain.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub engines: usize,
@@ -8,7 +8,7 @@
     pub teams: usize,
 }
 
-/// A site without requests, with all its traffic counted.
+/// A site that gets no requests and counts the bytes of all its control traffic.
 pub struct ControlSite {
     pub platform: PlatformStandin,
     counters: [Counter; 3],
@@ -117,8 +117,8 @@
         .unwrap()
     }
 
-    /// Submits a patch against a version; gives the time from its acceptance
-    /// until it is in force, for each host.
+    /// Submits a patch based on a version. Returns, for each host, the time from the acceptance of
+    /// the patch until it is in force.
     pub async fn patch(&self, base: u64) -> Vec<Duration> {
         let client = PlatformClient::new(self.platform.address(), Duration::from_secs(1));
         let store = ConfigStore::new(Arc::new(client));
--- a/crates/router/benches/serving/load.rs
+++ b/crates/router/benches/serving/load.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// Length of one search for the greatest rate.
+/// Duration of one measurement of the maximum rate.
 const RATE_WINDOW: Duration = Duration::from_secs(3);
 
-/// Times of one stream.
+/// Timings of one stream.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     pub between: Duration,
     pub first_token: Duration,
 }
 
-/// What went through a second.
+/// Measured throughput per second.
 pub struct Rates {
     pub requests_per_s: f64,
     pub tokens_per_s: f64,
@@ -39,7 +39,7 @@
     sender
 }
 
-/// Times one stream over a connection of its own, from the request on.
+/// Measures one stream over a new connection, starting when the request is sent.
 pub async fn timed(to: SocketAddr, tokens: u32) -> Timing {
     let mut sender = connect(to).await;
     let start = Instant::now();
@@ -67,7 +67,7 @@
     parts[((parts.len() - 1) as f64 * share).round() as usize]
 }
 
-/// Keeps so many streams open for a while and counts what came.
+/// Keeps `at_once` streams open for `RATE_WINDOW` and counts what is received.
 pub async fn measure_rates(to: &[SocketAddr], at_once: usize, tokens: u32) -> Rates {
     let start = Instant::now();
     let streams = (0..at_once).map(|number| {
@@ -102,8 +102,8 @@
     }
 }
 
-/// Events in a piece of a stream, each of which has one line that starts with
-/// `data`; pieces end with an event.
+/// Counts the events in a chunk of a stream. Each event has one line that starts with `data`,
+/// and chunks end at event boundaries.
 fn events_in(frame: &[u8]) -> u64 {
     frame
         .windows(6)
--- a/crates/router/benches/serving/logging.rs
+++ b/crates/router/benches/serving/logging.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-/// Requests of one measurement.
+/// Requests in one measurement.
 const REQUESTS: usize = 2_000;
 
-/// Measurements of each way, in turns.
+/// Measurements with and without logs, alternating.
 const ROUNDS: usize = 5;
 
 /// Threads that serve requests; the last one writes the log.
 const THREADS: [&str; 3] = ["callers", "controller", "slog-async"];
 
-/// Processor time of a request with logs and without, in turns.
+/// Measures the CPU time per request with and without logs, alternating between the two.
 pub async fn logging() {
     let options = EngineOptions {
         load_slope: 0.0,
--- a/crates/router/benches/serving/main.rs
+++ b/crates/router/benches/serving/main.rs
@@ -39,10 +39,10 @@
     setup::{start_engines, start_host},
 };
 
-/// Streams timed in each way.
+/// Number of streams timed directly and through the host.
 const TIMED_STREAMS: usize = 400;
 
-/// Streams at once while the greatest rate is sought.
+/// Numbers of concurrent streams for which the maximum rate is measured.
 const CONCURRENT_STREAMS: [usize; 3] = [64, 256, 1_024];
 
 fn main() {
@@ -59,7 +59,7 @@
     }
 }
 
-/// Streams of 20 tokens, 5 ms apart, directly and through a host in turns.
+/// Measures streams of 20 tokens, 5 ms apart, alternating between the engine and the host.
 async fn added_time() {
     let options = EngineOptions {
         load_slope: 0.0,
@@ -98,8 +98,7 @@
     stop(host).await;
 }
 
-/// Many short streams at once, from engines that give tokens as fast as they
-/// can.
+/// Measures many concurrent short streams from engines that emit tokens as fast as they can.
 async fn greatest_rate(caller_threads: usize) {
     let options = EngineOptions {
         load_slope: 0.0,
--- a/crates/router/benches/serving/setup.rs
+++ b/crates/router/benches/serving/setup.rs
@@ -38,7 +38,7 @@
         host
     });
     let host = started.await.unwrap();
-    // The host goes on with the configuration that it has.
+    // The host continues with the configuration that it has already read.
     platform.stop().await;
     host
 }
--- a/crates/router/tests/at_most_once.rs
+++ b/crates/router/tests/at_most_once.rs
@@ -1,5 +1,5 @@
-//! Requests that run once at most: idempotency keys in the platform's table,
-//! judged by the service's own count of runs.
+//! At-most-once requests: idempotency keys are stored in the platform's table, and the run log
+//! of the stand-in service shows how often each request ran.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -22,7 +22,7 @@
         .with_key("key-1")
 }
 
-/// Waits until the first answer has been written into the table.
+/// Repeats the request until the table no longer reports the first one as in progress.
 async fn replayed(site: &Site, tag: &str) -> site::Answer {
     loop {
         let answer = order(site, tag).send().await;
@@ -70,10 +70,9 @@
     assert_eq!(site.log.count("o"), 2);
 }
 
-/// Symptom: one key runs several times when its requests come at once.
-/// Sequence: several claims of one key are written in one call to the table.
-/// Cause: a table may judge all the conditions of a call before it carries the
-/// first write out, and then grants them all.
+/// Guards against running concurrent requests with the same key more than once. Several claims
+/// of one key can be written in one call to the table. A table may check the conditions of all
+/// writes before it carries out the first one, and then grants every claim.
 #[tokio::test(flavor = "multi_thread")]
 async fn many_at_once_with_one_key_run_once() {
     let site = site().await;
@@ -86,10 +85,9 @@
     assert_eq!(site.log.count("o"), 1);
 }
 
-/// Symptom: a confirmation is sent twice after a host was replaced.
-/// Sequence: a host runs a keyed request and stops; the caller's retry comes to
-/// the new host.
-/// Cause: the first host kept the key in its memory only.
+/// Guards against a second run, such as a confirmation sent twice, after a host is replaced.
+/// The caller's retry reaches the new host, which does not know the key if the first host kept
+/// the key only in memory.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_outlives_its_host() {
     let mut site = site().await;
@@ -102,10 +100,9 @@
     assert_eq!(site.log.count("o"), 1);
 }
 
-/// Symptom: the caller's retry runs the request a second time, or never gets
-/// its answer.
-/// Sequence: a caller sends a keyed request, vanishes, and asks again.
-/// Cause: the host cut the run short with the caller's connection.
+/// Guards against a retry that runs the request again or never gets the answer. The caller
+/// disconnects during a keyed request and retries it. Both failures occur if the host cancels
+/// the first run when the caller disconnects.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_keyed_run_goes_on_without_its_caller() {
     let site = site().await;
@@ -118,9 +115,9 @@
     assert_eq!(site.log.count("o"), 1);
 }
 
-/// Symptom: a key is refused for ever, or a request runs twice.
-/// Sequence: the table writes the claim and its answer is lost.
-/// Cause: a lost answer is taken for a failed write, or for another's claim.
+/// Guards against a key that is refused forever, and against a request that runs twice. The
+/// table writes the claim but its response is lost. The host must not treat the lost response
+/// as a failed write or the stored claim as another request's claim.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_whose_answer_is_lost_is_read_back() {
     let site = site().await;
@@ -134,7 +131,8 @@
     assert_eq!(site.log.count("o"), 1);
 }
 
-/// Symptom: as above, but the write itself never arrived.
+/// Guards against a key that is refused forever, and against a request that runs twice, when
+/// the claim's write never reaches the table.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_that_is_lost_on_its_way_sends_nothing() {
     let site = site().await;
@@ -152,10 +150,9 @@
     assert_eq!(site.log.count("o"), 1);
 }
 
-/// Symptom: keyed requests are refused during each short outage, or hold slots
-/// that others wait for.
-/// Sequence: the store is down for a moment while a keyed request has a slot.
-/// Cause: the claim failed, and the request was given up with it.
+/// Guards against refusing keyed requests during a short outage of the store, and against
+/// keyed requests that hold slots which other requests wait for. The store is down while a
+/// keyed request has a slot; a failed claim must not end the request.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_keyed_request_waits_out_a_short_outage() {
     let site = site().await;
@@ -163,7 +160,7 @@
     let ask = order(&site, "o").spawn();
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(site.log.count("o"), 0);
-    // Meanwhile what needs no claim goes on.
+    // A request without a key needs no claim and is served during the outage.
     let unkeyed = site
         .ask("order")
         .at_service("orders")
@@ -199,11 +196,9 @@
     assert_eq!(site.log.count("o"), 0);
 }
 
-/// Symptom: after a cut connection the caller asks again with its key, and the
-/// order runs twice.
-/// Sequence: the service runs the call and cuts the connection; the caller
-/// repeats it.
-/// Cause: the key was released although its outcome is unknown.
+/// Guards against running an order twice after a cut connection. The service runs the call and
+/// cuts the connection, and the caller retries with the same key. A second run occurs if the
+/// host releases the key although the outcome of the first run is unknown.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_with_an_unknown_outcome_is_never_run_again() {
     let site = site().await;
@@ -216,7 +211,7 @@
     assert_eq!(site.log.count("o"), 1);
 }
 
-/// A key whose attempt provably did not run is free again.
+/// A key whose attempt certainly did not run is released and can be used again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_that_did_not_run_is_released() {
     let mut site = site().await;
--- a/crates/router/tests/callers.rs
+++ b/crates/router/tests/callers.rs
@@ -1,4 +1,4 @@
-//! What a caller may send, and the clear answer to what it may not.
+//! Validation of requests, and the error responses to invalid ones.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -86,9 +86,8 @@
     assert_eq!(answer.refusal(), (413, "body_too_large", "not-run"));
 }
 
-/// Symptom: connections that send a byte now and then fill the host up.
-/// Sequence: a caller sends a head, part of a body, and then nothing.
-/// Cause: without a limit the host waits for the rest for ever.
+/// Guards against slow connections that use up the host. A caller sends the request head and
+/// part of the body, then nothing. Without a timeout the host waits for the rest forever.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_body_is_given_up() {
     let quick = |settings: &mut Settings| settings.limits.body_timeout_ms = 50;
@@ -103,9 +102,8 @@
     assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
 }
 
-/// Symptom: engines go on computing answers that nobody reads.
-/// Sequence: a caller asks for a long answer and closes its connection.
-/// Cause: without cancellation the engine computes to the end.
+/// Guards against engines that compute answers nobody reads. A caller requests a long answer
+/// and closes its connection. Without cancellation the engine computes the whole answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_vanished_caller_frees_its_engine() {
     let site = Site::with_engines(1).start().await;
--- a/crates/router/tests/configuration.rs
+++ b/crates/router/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The shared configuration: numbered patches, races, lost answers, outages.
+//! The shared configuration: numbered patches, concurrent patches, lost responses and outages.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -72,10 +72,9 @@
     }
 }
 
-/// Symptom: an operator learns that a patch failed, submits it again, and it
-/// is made twice; or learns that it is stale though it is in force.
-/// Sequence: the table accepts the patch and the answer is lost.
-/// Cause: the lost answer is taken for a refusal.
+/// Guards against applying a patch twice, and against reporting an applied patch as stale. The
+/// table accepts the patch but its response is lost. Both failures occur if the lost response is
+/// taken for a refusal and the operator submits the patch again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_answer_is_looked_up() {
     let site = Site::with_engines(1).start().await;
@@ -85,7 +84,7 @@
     });
     let version = site.store().submit(&patch("p", 1, 0.25)).await;
     assert_eq!(version, Ok(ConfigVersion::new(2)));
-    // Submitted once more, it is found and not made twice.
+    // A resubmitted patch is recognized and not applied twice.
     let again = site.store().submit(&patch("p", 1, 0.25)).await;
     assert_eq!(again, Ok(ConfigVersion::new(2)));
     assert_eq!(
@@ -94,9 +93,8 @@
     );
 }
 
-/// A write that was lost on its way cannot be distinguished from one that is still on
-/// its way: the operator learns that the outcome is unknown, and may submit
-/// the same patch again.
+/// A lost write cannot be distinguished from a write that is still in transit. The operator is
+/// told that the outcome is unknown and may submit the same patch again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_write_is_reported_as_unknown() {
     let site = Site::with_engines(1).start().await;
@@ -152,7 +150,7 @@
     assert_eq!(old.document.trial.max_slot_share, 0.1 + 74.0 / 1_000.0);
 }
 
-/// A host serves with the last version it has while the platform is away.
+/// A host serves with its latest known configuration while the platform is down.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_host_goes_on_while_the_platform_is_down() {
     let site = Site::with_engines(1).start().await;
--- a/crates/router/tests/draining.rs
+++ b/crates/router/tests/draining.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off nothing.
+//! A planned stop of a host does not cut off any request.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -34,9 +34,9 @@
     }
 }
 
-/// Symptom: a key stays in progress for ever after a planned stop.
-/// Sequence: a host stops right after it answered, while the store is down.
-/// Cause: the settlement waits in memory and goes with the host.
+/// Guards against a key that stays in progress forever after a planned stop. The host stops
+/// right after it answered, while the store is down. The final state of the key is still in the
+/// host's memory and is lost if the host ends before writing it.
 #[tokio::test(flavor = "multi_thread")]
 async fn claims_are_settled_before_the_host_ends() {
     let mut site = Site::with_engines(0).and_service("orders").start().await;
--- a/crates/router/tests/hosts.rs
+++ b/crates/router/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! Several hosts of one failure domain act together.
+//! Several hosts of one failure domain coordinate with each other.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -34,10 +34,9 @@
     .await;
 }
 
-/// Symptom: an order is confirmed twice.
-/// Sequence: the balancer sends the caller's retry to another host while the
-/// first one still runs the request.
-/// Cause: each host knows only its own requests.
+/// Guards against confirming an order twice. The balancer sends the caller's retry to another
+/// host while the first one still runs the request. The failure occurs if each host knows only
+/// its own requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_key_at_three_hosts_runs_once() {
     let site = Site::with_engines(0)
@@ -77,12 +76,11 @@
     .await;
 }
 
-/// Requests that each host has when it is replaced.
+/// Requests in progress on each host when it is replaced.
 const REQUESTS: usize = 20;
 
-/// Symptom: requests are cut or lost while hosts are replaced.
-/// Sequence: under load each host in turn drains, stops, and another starts.
-/// Cause: a host that ends before its requests do.
+/// Guards against requests that are cut or lost while hosts are replaced. Under load, each host
+/// in turn drains and stops, and another starts. Requests are lost if a host ends before they do.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rolling_replacement_loses_nothing() {
     let few = |options: &mut EngineOptions| options.slots = 4;
@@ -100,10 +98,10 @@
                 site.ask("question").tagged(&tag).of(40).at_host(0).spawn(),
             ));
         }
-        // The balancer has stopped sending to this host before it stops, so all that was
-        // sent is in. One that runs is not enough: beside load another may still be
-        // connecting, and a host that stops closes what it has not read. What a host
-        // shows of its queue is up to 100 ms old, so the second look is a new one.
+        // The balancer stops sending to a host before the host stops, so every request must have
+        // arrived by then. Waiting for one running request is not enough: under load, another caller
+        // may still be connecting, and a stopping host closes connections that it has not read.
+        // The reported queue length is up to 100 ms old, so the second check reads a new value.
         for _ in 0..2 {
             tokio::time::sleep(Duration::from_millis(200)).await;
             site.until("requests are in", |site| {
@@ -126,10 +124,9 @@
     }
 }
 
-/// Symptom: a domain that is cut off from the platform stops serving.
-/// Sequence: the platform is down for all hosts; then one host after another is
-/// asked.
-/// Cause: a decision that waits for the platform.
+/// Guards against a failure domain that stops serving when it is cut off from the platform. The
+/// platform is down for all hosts, and each host in turn gets requests. The failure occurs if
+/// a decision waits for the platform.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_domain_without_its_platform_goes_on() {
     let site = Site::with_engines(2)
--- a/crates/router/tests/leaving.rs
+++ b/crates/router/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! An upstream that is leaving gets no new work, whoever said so first.
+//! A leaving upstream gets no new requests, whichever source announces it first.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -6,8 +6,8 @@
 
 use {site::Site, store::ListedState};
 
-/// Waits until the host knows that an engine is leaving, and checks that it
-/// gets nothing from then on.
+/// Waits until the host knows that the engine is leaving, then checks that the engine gets no
+/// further requests.
 async fn assert_gets_no_new_requests(site: &Site, engine: &str) {
     let id: types::UpstreamId = engine.parse().unwrap();
     site.until("known to be leaving", |site| {
@@ -48,11 +48,9 @@
     assert_gets_no_new_requests(&site, "engine-0").await;
 }
 
-/// Symptom: a leaving engine gets work from hosts that start after it was asked
-/// to leave.
-/// Sequence: a host reads the platform's list first and the configuration,
-/// which names the engine, afterwards.
-/// Cause: what the list said was kept with the engines known at that moment.
+/// Guards against a newly started host sending requests to an engine that is already leaving.
+/// The host reads the platform's list before the configuration that names the engine. If the
+/// host applies the list only to the engines known at that moment, the state is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn announced_before_the_host_started() {
     let mut site = Site::with_engines(2).start().await;
@@ -83,6 +81,6 @@
     };
     site.store().submit(&patch).await.unwrap();
     assert_gets_no_new_requests(&site, "engine-0").await;
-    // What runs there is not cut off.
+    // The request that already runs on the engine is not cut off.
     long.await.unwrap().assert_whole("long", 3_000);
 }
--- a/crates/router/tests/limits.rs
+++ b/crates/router/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Rates and concurrency of teams, and the host's own queue.
+//! Rate and concurrency limits of teams, and the limit of the host's queue.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -46,10 +46,9 @@
     site.ask("question").send().await.assert_whole("tag", 4);
 }
 
-/// Symptom: an alert is refused while summaries wait in the queue.
-/// Sequence: the queue is full of less urgent work when an urgent request
-/// comes.
-/// Cause: a full queue refuses whoever comes last.
+/// Guards against refusing an alert while summaries wait in the queue. An urgent request arrives
+/// when the queue is full of less urgent requests. The failure occurs if a full queue always
+/// refuses the newest request.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_full_queue_gives_up_the_least_urgent() {
     let one = |options: &mut EngineOptions| options.slots = 1;
--- a/crates/router/tests/processes.rs
+++ b/crates/router/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The real binary, as processes of its own: settings, signals, kills, freezes.
+//! Runs the real binary in separate processes: settings, signals, killed and frozen hosts.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -19,7 +19,7 @@
     store::{ListedHost, ListedState},
 };
 
-/// A host in a process of its own; it is killed when it is dropped.
+/// A host in a separate process, which is killed when this value is dropped.
 struct Process {
     callers: SocketAddr,
     child: Child,
@@ -203,17 +203,16 @@
     site.until("it runs", |site| site.log.count("long") == 1)
         .await;
     process.signal(Signal::SIGTERM);
-    // A second one changes nothing.
+    // A second SIGTERM has no further effect.
     process.signal(Signal::SIGTERM);
     ask.await.unwrap().assert_whole("long", 400);
     let status = tokio::task::spawn_blocking(move || process.child.wait().unwrap());
     assert!(status.await.unwrap().success());
 }
 
-/// Symptom: a confirmation is sent twice after a host died.
-/// Sequence: a host is killed while it runs a keyed request; the caller asks
-/// another host with the same key.
-/// Cause: the claim went with the host, or was taken over.
+/// Guards against a second run, such as a confirmation sent twice, after a host dies. The host
+/// is killed while it runs a keyed request, and the caller retries at another host. A second run
+/// occurs if the claim is lost with the host or if the other host takes the claim over.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_of_a_killed_host_is_never_run_again() {
     let site = Site::with_engines(0).and_service("orders").start().await;
@@ -245,10 +244,9 @@
     assert_eq!(site.log.count("o"), 1);
 }
 
-/// Symptom: a host that was paused acts on what held before.
-/// Sequence: the coordinator's process is frozen for longer than shares hold, while
-/// others serve; then it goes on.
-/// Cause: a view of the domain that never lapses.
+/// Guards against a resumed host that acts on outdated state. The coordinator's process is
+/// frozen for longer than shares are valid, while other hosts serve, and then resumes. The
+/// failure occurs if a host's view of its failure domain never expires.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_host_holds_nobody_up() {
     let site = Site::with_engines(2).start().await;
@@ -281,10 +279,10 @@
     }
 }
 
-/// Symptom: a host stops serving, or cannot be stopped, because nobody reads its
-/// log. Events: standard output is a pipe that nobody empties; more is logged
-/// than it holds. Cause: a line is written by whoever serves the request, or the
-/// last lines are waited for without end.
+/// Guards against a host that stops serving, or cannot be stopped, because nobody reads its log.
+/// Standard output is a pipe that is not read, and the log exceeds its capacity. The failure
+/// occurs if the threads that serve requests write the log lines, or if the host waits without
+/// a timeout for the last lines to be written.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_blocked_standard_output_holds_nothing_up() {
     const REQUESTS: usize = 400;
@@ -302,9 +300,9 @@
     assert!(status.await.unwrap().success());
 }
 
-/// Symptom: all requests in flight are cut when the settings change. Events: the
-/// host gets SIGHUP while it answers; its settings file is changed, and spoiled.
-/// Cause: the signal ends a process that does not expect it.
+/// Guards against cutting all requests in flight when the settings change. The host gets SIGHUP
+/// while it answers, after its settings file was changed or made invalid. Without a handler,
+/// SIGHUP ends the process.
 #[tokio::test(flavor = "multi_thread")]
 async fn follows_changed_settings_without_cutting_a_request() {
     let site = Site::with_engines(1).start().await;
@@ -325,7 +323,7 @@
     assert!(read_until(&mut log, "host: settings not reloaded"));
     let changed = good.replace("balancer_pause_ms = 100", "balancer_pause_ms = 50");
     std::fs::write(&process.file, changed).unwrap();
-    // Without a signal, too.
+    // Changed settings are also applied without a signal.
     assert!(read_until(&mut log, "host: settings reloaded"));
     ask.await.unwrap().assert_whole("long", 400);
     process.signal(Signal::SIGTERM);
@@ -333,7 +331,7 @@
     assert!(status.await.unwrap().success());
 }
 
-/// Reads lines of a log up to one that holds a text; false if it ends before.
+/// Reads log lines until one contains the text. Returns false if the log ends first.
 fn read_until(log: &mut impl BufRead, text: &str) -> bool {
     let mut line = String::new();
     while log.read_line(&mut line).is_ok_and(|count| count > 0) {
--- a/crates/router/tests/resuming.rs
+++ b/crates/router/tests/resuming.rs
@@ -1,4 +1,5 @@
-//! Broken streams: resumed where the engine can, else ended truthfully.
+//! Broken streams are resumed if the engine supports it, and otherwise end with an error that
+//! says whether the request may have run.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -6,9 +7,8 @@
 
 use site::Site;
 
-/// Symptom: answers break off in the middle, or their start comes twice.
-/// Sequence: the connection to the engine is cut after some events.
-/// Cause: without resumption the answer is lost or must be computed again.
+/// Guards against answers that break off or repeat their start. The connection to the engine is
+/// cut after some events. Without resumption the answer is lost or must be computed again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_stream_goes_on_where_it_stopped() {
     let site = Site::with_engines(1).start().await;
@@ -24,7 +24,7 @@
     let ask = site.ask("question").tagged("a").of(2_000).spawn();
     site.until("it runs", |site| site.engines[0].running() == 1)
         .await;
-    // The engine forgets all its streams.
+    // A crashed engine loses the state of all its streams.
     site.break_engine(0, |faults| faults.crashed = true);
     let answer = ask.await.unwrap();
     assert!(!answer.ended, "a cut answer has an end mark");
--- a/crates/router/tests/serving.rs
+++ b/crates/router/tests/serving.rs
@@ -1,4 +1,4 @@
-//! The way of a request through one host, without faults.
+//! Requests that pass through one host without faults.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
--- a/crates/router/tests/site/answer.rs
+++ b/crates/router/tests/site/answer.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// An answer of a host, read to its end.
+/// A complete response of a host.
 #[derive(Debug)]
 pub struct Answer {
     pub body: String,
-    /// Words of the content, in order.
+    /// Words of the content, in the order received.
     pub content: Vec<String>,
-    /// Whether the end mark came.
+    /// Whether the end mark of the stream was received.
     pub ended: bool,
     pub error: Option<Value>,
     pub replayed: bool,
@@ -98,7 +98,7 @@
         assert_eq!(self.content, expected);
     }
 
-    /// Status, code and verdict of an error, for one comparison.
+    /// Returns the status, code and verdict of an error response.
     pub fn refusal(&self) -> (u16, &str, &str) {
         (self.status, self.code(), self.verdict())
     }
--- a/crates/router/tests/site/ask.rs
+++ b/crates/router/tests/site/ask.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A request to be sent to a site.
+/// Builder for a request to a test site.
 pub struct Ask<'a> {
     address: SocketAddr,
     body: Option<String>,
@@ -32,13 +32,13 @@
         }
     }
 
-    /// Asks for so many tokens.
+    /// Sets the number of output tokens.
     pub fn of(mut self, tokens: u32) -> Self {
         self.output = tokens;
         self
     }
 
-    /// Sends it to the host with a number instead of the first.
+    /// Sends the request to the host with this number instead of the first host.
     pub fn at_host(mut self, number: usize) -> Self {
         self.address = self.site.hosts().nth(number).unwrap().caller_address();
         self
@@ -115,12 +115,12 @@
         Answer::read(exchange(self.address, self.request()).await).await
     }
 
-    /// Sends and gives the answer as it begins.
+    /// Sends the request and returns the response before its body is read.
     pub async fn begin(self) -> Response<Incoming> {
         exchange(self.address, self.request()).await
     }
 
-    /// A task that sends and gives the answer, to run beside others.
+    /// Spawns a task that sends the request and returns the answer.
     pub fn spawn(self) -> tokio::task::JoinHandle<Answer> {
         let address = self.address;
         let request = self.request();
--- a/crates/router/tests/site/builder.rs
+++ b/crates/router/tests/site/builder.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What a site is to consist of.
+/// Builder for a test site.
 pub struct SiteBuilder {
     document: Value,
     engine: EngineOptions,
@@ -10,7 +10,7 @@
     services: Vec<String>,
 }
 
-/// An edit of a host's settings, applied before it starts.
+/// An edit of a host's settings, applied before the host starts.
 type SettingsEdit = Box<dyn FnOnce(&mut Settings)>;
 
 impl SiteBuilder {
@@ -53,13 +53,13 @@
         }
     }
 
-    /// So many hosts, all in one failure domain.
+    /// Sets the number of hosts, all in one failure domain.
     pub fn and_hosts(mut self, hosts: usize) -> Self {
         self.hosts = hosts;
         self
     }
 
-    /// A service that is not idempotent, with one replica.
+    /// Adds a non-idempotent service with one replica.
     pub fn and_service(mut self, name: &str) -> Self {
         self.services.push(name.to_string());
         self.document["services"][name] = json!({"idempotent": false});
--- a/crates/router/tests/site/mod.rs
+++ b/crates/router/tests/site/mod.rs
@@ -34,7 +34,7 @@
 /// Operator token of every test host.
 pub const OPERATOR_TOKEN: &str = "operator-token-of-tests";
 
-/// Bounds each wait of a test; passing never depends on its length.
+/// Timeout of each wait in a test. No test needs the timeout to expire in order to pass.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running site: a host with its upstreams and platform.
@@ -42,7 +42,7 @@
     pub engines: Vec<EngineStandin>,
     pub host: Option<Host<Serving>>,
     pub log: RunLog,
-    /// Hosts beyond the first.
+    /// All hosts except the first.
     pub others: Vec<Option<Host<Serving>>>,
     pub platform: PlatformStandin,
     pub services: Vec<ServiceStandin>,
@@ -58,7 +58,7 @@
         Ask::new(self, class)
     }
 
-    /// Sends an order to the service, under a tag.
+    /// Sends a tagged order to the `orders` service.
     pub async fn order(&self, tag: &str) -> Answer {
         let ask = self.ask("order").at_service("orders").tagged(tag);
         ask.send().await
@@ -68,12 +68,12 @@
         self.host.as_ref().unwrap()
     }
 
-    /// All hosts that run.
+    /// Returns all running hosts.
     pub fn hosts(&self) -> impl Iterator<Item = &Host<Serving>> {
         self.host.iter().chain(self.others.iter().flatten())
     }
 
-    /// Writes the hosts that run into the platform's list.
+    /// Writes the running hosts to the platform's list.
     pub fn list_hosts(&self) {
         let hosts = self.hosts().map(|host| ListedHost {
             failure_domain: host.status().failure_domain,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Waits until something holds; panics if it never does.
+    /// Waits until the condition holds, and panics after `WAIT_TIMEOUT`.
     pub async fn until(&self, what: &str, holds: impl Fn(&Self) -> bool) {
         let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         while !holds(self) {
@@ -125,12 +125,12 @@
             .unwrap();
     }
 
-    /// Starts another host in the place of the one before.
+    /// Starts the first host, or a replacement for it.
     pub async fn start_host(&mut self) {
         self.host = Some(self.start_numbered(0).await);
     }
 
-    /// Starts the host with a number.
+    /// Starts the host with this number.
     pub async fn start_numbered(&self, number: usize) -> Host<Serving> {
         let mut settings = self.settings.clone();
         settings.host = format!("host-{number}").parse().unwrap();
@@ -142,8 +142,8 @@
         host.await.unwrap()
     }
 
-    /// Sends raw bytes, which ask for the connection to be closed, and reads
-    /// until it is. Closing it from here would be a caller that vanished.
+    /// Sends a raw request that asks the host to close the connection, and reads until the host
+    /// closes it. Closing it on this side would look like a caller that disconnects.
     pub async fn send_raw(&self, bytes: &[u8]) -> String {
         use tokio::io::{AsyncReadExt, AsyncWriteExt};
         let mut stream = TcpStream::connect(self.address()).await.unwrap();
@@ -153,7 +153,7 @@
         String::from_utf8_lossy(&answer).into_owned()
     }
 
-    /// A request to the operator's address.
+    /// Sends a request to the host's operator address.
     pub async fn operator(&self, request: Request<Full<Bytes>>) -> (StatusCode, Bytes) {
         let response = exchange(self.host().operator_address(), request).await;
         let status = response.status();
@@ -164,7 +164,7 @@
     }
 }
 
-/// Sends a request over a connection of its own.
+/// Sends a request over a new connection.
 pub async fn exchange(address: SocketAddr, request: Request<Full<Bytes>>) -> Response<Incoming> {
     let stream = TcpStream::connect(address).await.unwrap();
     let (mut sender, connection) = handshake(TokioIo::new(stream)).await.unwrap();
--- a/crates/router/tests/verdicts.rs
+++ b/crates/router/tests/verdicts.rs
@@ -1,5 +1,5 @@
-//! What a caller learns about whether its request ran, under each failure of
-//! an upstream; the stand-in's own count of runs is the judge.
+//! The verdict tells a caller whether its request ran, for each kind of upstream failure. The
+//! run log of the stand-ins shows whether the verdict is right.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -12,7 +12,7 @@
     let site = Site::with_engines(0).and_service("orders").start().await;
     site.break_service(|faults| faults.refuse = true);
     let shorter = site.ask("order").at_service("orders").tagged("o").spawn();
-    // It stays queued, since a busy service may have room again.
+    // The request stays queued, because a busy service may have capacity again.
     tokio::time::sleep(std::time::Duration::from_millis(300)).await;
     assert_eq!(site.log.count("o"), 0);
     site.break_service(|faults| faults.refuse = false);
@@ -21,10 +21,9 @@
     assert_eq!(site.log.count("o"), 1);
 }
 
-/// Symptom: an order is confirmed twice.
-/// Sequence: the service runs a call, then its connection is cut before the
-/// answer; the router sends the call again.
-/// Cause: a cut connection is taken for a call that did not run.
+/// Guards against confirming an order twice. The service runs the call, and its connection is
+/// cut before the response. A second run occurs if the router takes the cut connection for a
+/// call that did not run and sends the call again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_after_the_run_is_reported_and_not_retried() {
     let site = Site::with_engines(0).and_service("orders").start().await;
@@ -43,9 +42,9 @@
     assert_eq!(site.log.count("o"), 0);
 }
 
-/// Symptom: half a confirmation is shown as a whole one.
-/// Sequence: the service sends half of its answer, then the connection is cut.
-/// Cause: the host passes bytes on before it knows that the answer is whole.
+/// Guards against presenting half a confirmation as a whole one. The service sends half of its
+/// response and the connection is cut. The failure occurs if the host forwards bytes before it
+/// has the complete response.
 #[tokio::test(flavor = "multi_thread")]
 async fn half_an_answer_is_never_passed_on() {
     let site = Site::with_engines(0).and_service("orders").start().await;
@@ -64,11 +63,10 @@
     assert_eq!(site.log.count("o"), 1);
 }
 
-/// Symptom: calls fail now and then although the service is well, or run twice.
-/// Sequence: the service closes a kept connection; the next call takes it from
-/// the pool at that moment.
-/// Cause: the HTTP library says only that the call failed. Here it hands back
-/// what it has not begun to write, and only that is sent again.
+/// Guards against calls that fail occasionally although the service is healthy, and against
+/// calls that run twice. The service closes a keep-alive connection just as the next call takes
+/// it from the pool. The HTTP library reports only that the call failed, so only a request that
+/// the library hands back because it had not begun to write it is sent again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_kept_connection_that_was_closed_costs_no_call() {
     let site = Site::with_engines(0).and_service("orders").start().await;
@@ -108,9 +106,9 @@
     assert!(answer.retry_after.is_some());
 }
 
-/// Symptom: a cut answer is shown as a whole one.
-/// Sequence: the engine's stream ends well on the wire, but without its mark.
-/// Cause: the end of the connection is taken for the end of the answer.
+/// Guards against presenting a truncated answer as a whole one. The engine's stream ends without
+/// a transport error but also without its end mark. The failure occurs if the end of the
+/// connection is taken for the end of the answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_without_its_end_mark_is_not_whole() {
     let site = Site::with_engines(1)
