--- a/crates/router/benches/control/main.rs
+++ b/crates/router/benches/control/main.rs
@@ -1,8 +1,8 @@
-//! What a host spends on control: processor time by duty, memory, bytes and
-//! calls, without any request, and how it grows with hosts, upstreams and teams.
+//! Measures the control overhead of an idle host: CPU time by thread, memory, bytes and calls,
+//! and how they grow with the number of hosts, upstreams and teams.
 //!
-//! `cargo bench -p rhubarbcove-router --bench control`, and with `-- CONFIG` how
-//! long an accepted patch takes to be in force on all hosts of a domain.
+//! Run with `cargo bench -p rhubarbcove-router --bench control`. With `-- CONFIG`, measures how
+//! long an accepted patch takes to be in force on all hosts of a failure domain.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -157,12 +157,12 @@
     let host_bytes = resident_bytes().saturating_sub(upstream_bytes);
     let seconds = MEASUREMENT_WINDOW.as_secs_f64();
     let hosts = size.hosts as f64;
-    let percent = |duty: &str| {
-        let spent = cpu.get(duty).unwrap_or(&0.0) - cpu_before.get(duty).unwrap_or(&0.0);
+    let percent = |thread: &str| {
+        let spent = cpu.get(thread).unwrap_or(&0.0) - cpu_before.get(thread).unwrap_or(&0.0);
         100.0 * spent / seconds / hosts
     };
-    let duties = ["controller", "platform", "upstreams", "peers", "operators"];
-    let mut shares: Vec<f64> = duties.iter().map(|duty| percent(duty)).collect();
+    let threads = ["controller", "platform", "upstreams", "peers", "operators"];
+    let mut shares: Vec<f64> = threads.iter().map(|thread| percent(thread)).collect();
     shares[4] += percent("callers-0");
     let rate = |index: usize| (bytes[index] - bytes_before[index]) as f64 / seconds / hosts;
     println!(
--- a/crates/router/benches/serving/logging.rs
+++ b/crates/router/benches/serving/logging.rs
@@ -6,7 +6,7 @@
 /// Measurements with and without logs, alternating.
 const ROUNDS: usize = 5;
 
-/// Threads that serve requests; the last one writes the log.
+/// Name prefixes of the measured threads. `slog-async` writes the log; the others serve requests.
 const THREADS: [&str; 3] = ["callers", "controller", "slog-async"];
 
 /// Measures the CPU time per request with and without logs, alternating between the two.
@@ -46,9 +46,9 @@
 }
 
 fn processor_s() -> f64 {
-    let by_duty = processor_s_by_thread_name();
+    let spent_by_thread = processor_s_by_thread_name();
     let serves = |name: &str| THREADS.iter().any(|thread| name.starts_with(thread));
-    let spent = by_duty.iter().filter(|(name, _)| serves(name));
+    let spent = spent_by_thread.iter().filter(|(name, _)| serves(name));
     spent.map(|(_, spent_s)| spent_s).sum()
 }
 
--- a/crates/router/benches/serving/main.rs
+++ b/crates/router/benches/serving/main.rs
@@ -1,9 +1,9 @@
-//! What a host adds to the first token and between tokens, against the engine
-//! stand-in directly, and how many requests and tokens a second one host passes
-//! on. Both ways are measured in one run, in turns. With `LOGGING`: the processor
-//! time of a request with logs and without.
+//! Measures the latency that a host adds to the first token and between tokens, compared with
+//! the engine stand-in alone, and how many requests and tokens per second one host forwards.
+//! Both paths are measured alternately in one run. With `LOGGING`, measures the CPU time per
+//! request with and without logs.
 //!
-//! `cargo bench -p rhubarbcove-router --bench serving [-- LOGGING]`
+//! Run with `cargo bench -p rhubarbcove-router --bench serving [-- LOGGING]`.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -55,7 +55,7 @@
     }
     runtime.block_on(added_time());
     for caller_threads in [1, 2, 4] {
-        runtime.block_on(greatest_rate(caller_threads));
+        runtime.block_on(maximum_rate(caller_threads));
     }
 }
 
@@ -99,7 +99,7 @@
 }
 
 /// Measures many concurrent short streams from engines that emit tokens as fast as they can.
-async fn greatest_rate(caller_threads: usize) {
+async fn maximum_rate(caller_threads: usize) {
     let options = EngineOptions {
         load_slope: 0.0,
         prefill_us_per_token: 0,
--- a/crates/router/tests/at_most_once.rs
+++ b/crates/router/tests/at_most_once.rs
@@ -182,7 +182,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_keyed_request_is_refused_truthfully_in_a_long_outage() {
+async fn a_keyed_request_is_refused_as_not_run_in_a_long_outage() {
     let site = Site::with_engines(1)
         .and_service("orders")
         .document(|document| {
--- a/crates/router/tests/callers.rs
+++ b/crates/router/tests/callers.rs
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bytes_that_are_not_http_or_not_utf8_harm_nobody() {
+async fn invalid_http_and_invalid_utf8_are_refused() {
     let site = Site::with_engines(1).start().await;
     let answer = site.send_raw(b"\x16\x03\x01 nonsense\r\n\r\n").await;
     assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
@@ -86,10 +86,11 @@
     assert_eq!(answer.refusal(), (413, "body_too_large", "not-run"));
 }
 
-/// Guards against slow connections that use up the host. A caller sends the request head and
-/// part of the body, then nothing. Without a timeout the host waits for the rest forever.
+/// Guards against slow connections that accumulate until they exhaust the host. A caller sends
+/// the request head and part of the body, then nothing. Without a timeout the host waits for the
+/// rest forever.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_slow_body_is_given_up() {
+async fn a_slow_body_times_out() {
     let quick = |settings: &mut Settings| settings.limits.body_timeout_ms = 50;
     let site = Site::with_engines(1).settings(quick).start().await;
     let mut stream = TcpStream::connect(site.address()).await.unwrap();
@@ -105,7 +106,7 @@
 /// Guards against engines that compute answers nobody reads. A caller requests a long answer
 /// and closes its connection. Without cancellation the engine computes the whole answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vanished_caller_frees_its_engine() {
+async fn a_disconnected_caller_frees_its_engine() {
     let site = Site::with_engines(1).start().await;
     let answer = site.ask("question").of(100_000).begin().await;
     site.until("it runs", |site| site.engines[0].running() == 1)
@@ -118,7 +119,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_vanishes_from_the_queue_is_not_run() {
+async fn a_queued_request_of_a_disconnected_caller_is_not_run() {
     let one = |options: &mut standin::EngineOptions| options.slots = 1;
     let site = Site::with_engines(1).engines_like(one).start().await;
     let first = site.ask("question").tagged("first").of(300).spawn();
--- a/crates/router/tests/hosts.rs
+++ b/crates/router/tests/hosts.rs
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn all_hosts_come_to_name_one_coordinator() {
+async fn all_hosts_agree_on_one_coordinator() {
     let site = Site::with_engines(2).and_hosts(3).start().await;
     site.until("one coordinator", |site| {
         let coordinators: BTreeSet<HostId> =
@@ -76,13 +76,13 @@
     .await;
 }
 
-/// Requests in progress on each host when it is replaced.
+/// Number of unfinished requests on each host when it is replaced.
 const REQUESTS: usize = 20;
 
 /// Guards against requests that are cut or lost while hosts are replaced. Under load, each host
 /// in turn drains and stops, and another starts. Requests are lost if a host ends before they do.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rolling_replacement_loses_nothing() {
+async fn a_rolling_replacement_loses_no_request() {
     let few = |options: &mut EngineOptions| options.slots = 4;
     let mut site = Site::with_engines(2)
         .engines_like(few)
@@ -98,10 +98,10 @@
                 site.ask("question").tagged(&tag).of(40).at_host(0).spawn(),
             ));
         }
-        // The balancer stops sending to a host before the host stops, so every request must have
-        // arrived by then. Waiting for one running request is not enough: under load, another caller
-        // may still be connecting, and a stopping host closes connections that it has not read.
-        // The reported queue length is up to 100 ms old, so the second check reads a new value.
+        // The balancer stops sending to a host before the host stops, so all requests must have
+        // arrived. One running request is not enough: under load, other callers may still be
+        // connecting, and a stopping host closes connections that it has not read. The reported
+        // queue length is up to 100 ms old, so the second check reads a newer value.
         for _ in 0..2 {
             tokio::time::sleep(Duration::from_millis(200)).await;
             site.until("requests are in", |site| {
--- a/crates/router/tests/limits.rs
+++ b/crates/router/tests/limits.rs
@@ -50,7 +50,7 @@
 /// when the queue is full of less urgent requests. The failure occurs if a full queue always
 /// refuses the newest request.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_full_queue_gives_up_the_least_urgent() {
+async fn a_full_queue_drops_the_least_urgent_request() {
     let one = |options: &mut EngineOptions| options.slots = 1;
     let site = Site::with_engines(1)
         .engines_like(one)
--- a/crates/router/tests/processes.rs
+++ b/crates/router/tests/processes.rs
@@ -248,7 +248,7 @@
 /// frozen for longer than shares are valid, while other hosts serve, and then resumes. The
 /// failure occurs if a host's view of its failure domain never expires.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_host_holds_nobody_up() {
+async fn a_frozen_host_does_not_block_other_hosts() {
     let site = Site::with_engines(2).start().await;
     let processes: Vec<Process> = (0..3)
         .map(|number| Process::start(&site, &format!("frozen-{number}")))
@@ -284,7 +284,7 @@
 /// occurs if the threads that serve requests write the log lines, or if the host waits without
 /// a timeout for the last lines to be written.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_blocked_standard_output_holds_nothing_up() {
+async fn a_blocked_standard_output_does_not_block_the_host() {
     const REQUESTS: usize = 400;
     let site = Site::with_engines(1).start().await;
     let mut process = Process::start_logging_to(&site, "mute-0", Stdio::piped());
@@ -301,8 +301,8 @@
 }
 
 /// Guards against cutting all requests in flight when the settings change. The host gets SIGHUP
-/// while it answers, after its settings file was changed or made invalid. Without a handler,
-/// SIGHUP ends the process.
+/// while it answers, and its settings file is first made invalid, then changed. By default, SIGHUP
+/// ends a process that does not handle it.
 #[tokio::test(flavor = "multi_thread")]
 async fn follows_changed_settings_without_cutting_a_request() {
     let site = Site::with_engines(1).start().await;
--- a/crates/router/tests/site/answer.rs
+++ b/crates/router/tests/site/answer.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A complete response of a host.
+/// A response of a host, read to its end.
 #[derive(Debug)]
 pub struct Answer {
     pub body: String,
--- a/crates/router/tests/site/mod.rs
+++ b/crates/router/tests/site/mod.rs
@@ -1,4 +1,4 @@
-//! One builder for all integration tests: a site with stand-ins and a host.
+//! Test site for all integration tests: hosts with stand-ins for upstreams and platform.
 //!
 //! `Site::with_engines(2).and_service("orders").start().await` gives a running
 //! site; `site.ask("question").of(5).send().await` sends a request to it.
--- a/crates/router/tests/verdicts.rs
+++ b/crates/router/tests/verdicts.rs
@@ -68,7 +68,7 @@
 /// it from the pool. The HTTP library reports only that the call failed, so only a request that
 /// the library hands back because it had not begun to write it is sent again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_kept_connection_that_was_closed_costs_no_call() {
+async fn a_closed_keep_alive_connection_causes_no_second_run() {
     let site = Site::with_engines(0).and_service("orders").start().await;
     site.break_service(|faults| faults.close_after_answer = true);
     for number in 0..50 {
