--- a/crates/router/tests/at_most_once.rs
+++ b/crates/router/tests/at_most_once.rs
@@ -65,7 +65,7 @@
 async fn the_same_key_of_another_team_is_another_request() {
     let site = site().await;
     order(&site, "o").send().await;
-    let answer = order(&site, "o").by("guild").send().await;
+    let answer = order(&site, "o").as_team("guild").send().await;
     assert_eq!((answer.status, answer.replayed), (200, false));
     assert_eq!(site.log.count("o"), 2);
 }
@@ -234,7 +234,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_keyed_stream_is_replayed_as_a_whole() {
     let site = site().await;
-    let ask = || site.ask("question").tagged("s").of(5).with_key("key-s");
+    let ask = || {
+        site.ask("question")
+            .tagged("s")
+            .output_tokens(5)
+            .with_key("key-s")
+    };
     ask().send().await.assert_whole("s", 5);
     let replay = loop {
         let answer = ask().send().await;
--- a/crates/router/tests/callers.rs
+++ b/crates/router/tests/callers.rs
@@ -20,9 +20,12 @@
     let site = Site::with_engines(1).and_service("orders").start().await;
     let ask = |class: &str| site.ask(class);
     let cases = [
-        (ask("question").by("nobody"), (401, "unknown_key")),
+        (ask("question").as_team("nobody"), (401, "unknown_key")),
         (ask("nothing"), (400, "unknown_class")),
-        (ask("question").by("visitors"), (403, "class_not_allowed")),
+        (
+            ask("question").as_team("visitors"),
+            (403, "class_not_allowed"),
+        ),
         (ask("question").for_model("large"), (404, "unknown_model")),
         (ask("order").at_service("stock"), (404, "unknown_service")),
         (ask("order").at_service("no%20name"), (400, "bad_path")),
@@ -108,7 +111,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_disconnected_caller_frees_its_engine() {
     let site = Site::with_engines(1).start().await;
-    let answer = site.ask("question").of(100_000).begin().await;
+    let answer = site.ask("question").output_tokens(100_000).begin().await;
     site.until("it runs", |site| site.engines[0].running() == 1)
         .await;
     drop(answer);
@@ -121,8 +124,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_queued_request_of_a_disconnected_caller_is_not_run() {
     let one = |options: &mut standin::EngineOptions| options.slots = 1;
-    let site = Site::with_engines(1).engines_like(one).start().await;
-    let first = site.ask("question").tagged("first").of(300).spawn();
+    let site = Site::with_engines(1).engine_options(one).start().await;
+    let first = site
+        .ask("question")
+        .tagged("first")
+        .output_tokens(300)
+        .spawn();
     site.until("it runs", |site| site.engines[0].running() == 1)
         .await;
     let second = site.ask("question").tagged("second").spawn();
--- a/crates/router/tests/draining.rs
+++ b/crates/router/tests/draining.rs
@@ -15,12 +15,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_and_queued_requests_end_before_the_host() {
     let one = |options: &mut EngineOptions| options.slots = 1;
-    let mut site = Site::with_engines(1).engines_like(one).start().await;
+    let mut site = Site::with_engines(1).engine_options(one).start().await;
     let asks: Vec<_> = (0..4)
         .map(|number| {
             site.ask("question")
                 .tagged(&format!("t{number}"))
-                .of(150)
+                .output_tokens(150)
                 .spawn()
         })
         .collect();
--- a/crates/router/tests/hosts.rs
+++ b/crates/router/tests/hosts.rs
@@ -85,7 +85,7 @@
 async fn a_rolling_replacement_loses_no_request() {
     let few = |options: &mut EngineOptions| options.slots = 4;
     let mut site = Site::with_engines(2)
-        .engines_like(few)
+        .engine_options(few)
         .and_hosts(3)
         .start()
         .await;
@@ -95,7 +95,11 @@
             let tag = format!("h{number}r{request}");
             asks.push((
                 tag.clone(),
-                site.ask("question").tagged(&tag).of(40).at_host(0).spawn(),
+                site.ask("question")
+                    .tagged(&tag)
+                    .output_tokens(40)
+                    .at_host(0)
+                    .spawn(),
             ));
         }
         // The balancer stops sending to a host before the host stops, so all requests must have
--- a/crates/router/tests/leaving.rs
+++ b/crates/router/tests/leaving.rs
@@ -29,7 +29,7 @@
         let tag = format!("r{round}n{number}");
         site.ask("question")
             .tagged(&tag)
-            .of(1)
+            .output_tokens(1)
             .send()
             .await
             .assert_whole(&tag, 1);
@@ -71,7 +71,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn announced_by_the_configuration() {
     let site = Site::with_engines(2).start().await;
-    let long = site.ask("question").tagged("long").of(3_000).spawn();
+    let long = site
+        .ask("question")
+        .tagged("long")
+        .output_tokens(3_000)
+        .spawn();
     let operations = serde_json::json!([{"op": "remove", "path": "/upstreams/engine-0"}]);
     let patch = config::Patch {
         author: "tests".to_string(),
--- a/crates/router/tests/limits.rs
+++ b/crates/router/tests/limits.rs
@@ -23,7 +23,7 @@
     assert_eq!(answer.refusal(), (429, "team_rate_limit", "not-run"));
     assert!(matches!(answer.retry_after, Some(1 | 2)), "{answer:?}");
     site.ask("question")
-        .by("guild")
+        .as_team("guild")
         .send()
         .await
         .assert_whole("tag", 4);
@@ -37,7 +37,11 @@
         })
         .start()
         .await;
-    let long = site.ask("question").tagged("long").of(300).spawn();
+    let long = site
+        .ask("question")
+        .tagged("long")
+        .output_tokens(300)
+        .spawn();
     site.until("it runs", |site| site.engines[0].running() == 1)
         .await;
     let answer = site.ask("question").send().await;
@@ -53,11 +57,15 @@
 async fn a_full_queue_drops_the_least_urgent_request() {
     let one = |options: &mut EngineOptions| options.slots = 1;
     let site = Site::with_engines(1)
-        .engines_like(one)
+        .engine_options(one)
         .settings(|settings| settings.limits.max_queued = 2)
         .start()
         .await;
-    let running = site.ask("question").tagged("running").of(400).spawn();
+    let running = site
+        .ask("question")
+        .tagged("running")
+        .output_tokens(400)
+        .spawn();
     site.until("it runs", |site| site.engines[0].running() == 1)
         .await;
     let first = site.ask("description").tagged("first").spawn();
--- a/crates/router/tests/processes.rs
+++ b/crates/router/tests/processes.rs
@@ -194,7 +194,11 @@
     let site = Site::with_engines(1).start().await;
     let mut process = Process::start(&site, "term-0");
     process.ready().await;
-    let request = site.ask("question").tagged("long").of(400).request();
+    let request = site
+        .ask("question")
+        .tagged("long")
+        .output_tokens(400)
+        .request();
     let callers = process.callers;
     let ask =
         tokio::spawn(
@@ -309,7 +313,11 @@
     let mut process = Process::start_logging_to(&site, "hup-0", Stdio::piped());
     let mut log = std::io::BufReader::new(process.child.stdout.take().unwrap());
     process.ready().await;
-    let request = site.ask("question").tagged("long").of(400).request();
+    let request = site
+        .ask("question")
+        .tagged("long")
+        .output_tokens(400)
+        .request();
     let callers = process.callers;
     let ask =
         tokio::spawn(
--- a/crates/router/tests/resuming.rs
+++ b/crates/router/tests/resuming.rs
@@ -13,7 +13,12 @@
 async fn a_cut_stream_goes_on_where_it_stopped() {
     let site = Site::with_engines(1).start().await;
     site.break_engine(0, |faults| faults.break_after_events = Some(7));
-    let answer = site.ask("question").tagged("a").of(30).send().await;
+    let answer = site
+        .ask("question")
+        .tagged("a")
+        .output_tokens(30)
+        .send()
+        .await;
     answer.assert_whole("a", 30);
     assert_eq!(site.log.count("a"), 1, "it was computed again");
 }
@@ -21,7 +26,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_cannot_be_resumed_ends_with_the_verdict() {
     let site = Site::with_engines(1).start().await;
-    let ask = site.ask("question").tagged("a").of(2_000).spawn();
+    let ask = site
+        .ask("question")
+        .tagged("a")
+        .output_tokens(2_000)
+        .spawn();
     site.until("it runs", |site| site.engines[0].running() == 1)
         .await;
     // A crashed engine loses the state of all its streams.
--- a/crates/router/tests/serving.rs
+++ b/crates/router/tests/serving.rs
@@ -9,7 +9,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_reaches_its_caller_whole() {
     let site = Site::with_engines(2).start().await;
-    let answer = site.ask("question").tagged("a").of(20).send().await;
+    let answer = site
+        .ask("question")
+        .tagged("a")
+        .output_tokens(20)
+        .send()
+        .await;
     answer.assert_whole("a", 20);
     assert_eq!(site.log.count("a"), 1);
 }
@@ -17,7 +22,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_whole_answer_says_that_it_ran() {
     let site = Site::with_engines(1).start().await;
-    let answer = site.ask("question").tagged("a").of(5).whole().send().await;
+    let answer = site
+        .ask("question")
+        .tagged("a")
+        .output_tokens(5)
+        .without_streaming()
+        .send()
+        .await;
     answer.assert_whole("a", 5);
     assert_eq!(answer.verdict(), "ran");
 }
@@ -28,7 +39,10 @@
     let asks: Vec<_> = (0..40)
         .map(|number| {
             let tag = format!("t{number}");
-            site.ask("question").tagged(&tag).of(1 + number % 7).spawn()
+            site.ask("question")
+                .tagged(&tag)
+                .output_tokens(1 + number % 7)
+                .spawn()
         })
         .collect();
     for (number, ask) in asks.into_iter().enumerate() {
--- a/crates/router/tests/site/ask.rs
+++ b/crates/router/tests/site/ask.rs
@@ -33,7 +33,7 @@
     }
 
     /// Sets the number of output tokens.
-    pub fn of(mut self, tokens: u32) -> Self {
+    pub fn output_tokens(mut self, tokens: u32) -> Self {
         self.output = tokens;
         self
     }
@@ -44,7 +44,7 @@
         self
     }
 
-    pub fn whole(mut self) -> Self {
+    pub fn without_streaming(mut self) -> Self {
         self.stream = false;
         self
     }
@@ -54,7 +54,7 @@
         self
     }
 
-    pub fn by(mut self, team: &str) -> Self {
+    pub fn as_team(mut self, team: &str) -> Self {
         self.key = format!("{team}-key");
         self
     }
--- a/crates/router/tests/site/builder.rs
+++ b/crates/router/tests/site/builder.rs
@@ -66,7 +66,7 @@
         self
     }
 
-    pub fn engines_like(mut self, edit: impl FnOnce(&mut EngineOptions)) -> Self {
+    pub fn engine_options(mut self, edit: impl FnOnce(&mut EngineOptions)) -> Self {
         edit(&mut self.engine);
         self
     }
--- a/crates/router/tests/site/mod.rs
+++ b/crates/router/tests/site/mod.rs
@@ -1,7 +1,7 @@
 //! Test site for all integration tests: hosts with stand-ins for upstreams and platform.
 //!
 //! `Site::with_engines(2).and_service("orders").start().await` gives a running
-//! site; `site.ask("question").of(5).send().await` sends a request to it.
+//! site; `site.ask("question").output_tokens(5).send().await` sends a request to it.
 
 #![allow(dead_code, missing_docs, clippy::unwrap_used)]
 
--- a/crates/router/tests/verdicts.rs
+++ b/crates/router/tests/verdicts.rs
@@ -116,7 +116,12 @@
         .start()
         .await;
     site.break_engine(0, |faults| faults.truncate_after_events = Some(0));
-    let answer = site.ask("question").tagged("a").of(10).send().await;
+    let answer = site
+        .ask("question")
+        .tagged("a")
+        .output_tokens(10)
+        .send()
+        .await;
     assert!(!answer.ended);
     assert_eq!(answer.verdict(), "may-have-run");
     assert_eq!(site.log.count("a"), 1, "it was run again");
