--- a/crates/router/benches/control/main.rs
+++ b/crates/router/benches/control/main.rs
@@ -1,8 +1,8 @@
-//! What a host spends on control: processor time by duty, memory, bytes and
-//! calls, without any request, and how it grows with hosts, upstreams and teams.
+//! Measures the control overhead of an idle host: CPU time by thread, memory, bytes and calls,
+//! and how they grow with the number of hosts, upstreams and teams.
 //!
-//! `cargo bench -p rhubarbcove-router --bench control`, and with `-- CONFIG` how
-//! long an accepted patch takes to be in force on all hosts of a domain.
+//! Run with `cargo bench -p rhubarbcove-router --bench control`. With `-- CONFIG`, measures how
+//! long an accepted patch takes to be in force on all hosts of a failure domain.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -35,7 +35,7 @@
 
 use {
     process::resident_bytes,
-    processor::processor_s_by_duty,
+    processor::processor_s_by_thread_name,
     relay::{Counter, relay},
     site::{ControlSite, Size},
 };
@@ -43,11 +43,11 @@
 /// Patches submitted for each size.
 const PATCHES: u64 = 12;
 
-/// Time for a site to settle before it is measured.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Time for a site to settle before the measurement.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Time over which it is measured.
-const MEASURED: Duration = Duration::from_secs(8);
+/// Length of the measurement.
+const MEASUREMENT_WINDOW: Duration = Duration::from_secs(8);
 
 fn main() {
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -115,7 +115,7 @@
     }
 }
 
-/// Submits patches one after the other and waits for each on all hosts.
+/// Submits patches one by one and waits until each is in force on all hosts.
 async fn configuration_delay(hosts: usize) {
     let size = Size {
         engines: 4,
@@ -124,7 +124,7 @@
     };
     let mut site = ControlSite::start_upstreams(size).await;
     site.start_hosts(size).await;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let mut delays_ms = Vec::new();
     for version in 1..=PATCHES {
         let delays = site.patch(version).await;
@@ -146,23 +146,23 @@
     let mut site = ControlSite::start_upstreams(size).await;
     let upstream_bytes = resident_bytes();
     site.start_hosts(size).await;
-    tokio::time::sleep(SETTLE).await;
-    let cpu_before = processor_s_by_duty();
+    tokio::time::sleep(SETTLE_TIME).await;
+    let cpu_before = processor_s_by_thread_name();
     let bytes_before = site.bytes();
     let reads_before = site.platform.reads();
-    tokio::time::sleep(MEASURED).await;
-    let cpu = processor_s_by_duty();
+    tokio::time::sleep(MEASUREMENT_WINDOW).await;
+    let cpu = processor_s_by_thread_name();
     let bytes = site.bytes();
     let reads = site.platform.reads() - reads_before;
     let host_bytes = resident_bytes().saturating_sub(upstream_bytes);
-    let seconds = MEASURED.as_secs_f64();
+    let seconds = MEASUREMENT_WINDOW.as_secs_f64();
     let hosts = size.hosts as f64;
-    let percent = |duty: &str| {
-        let spent = cpu.get(duty).unwrap_or(&0.0) - cpu_before.get(duty).unwrap_or(&0.0);
+    let percent = |thread: &str| {
+        let spent = cpu.get(thread).unwrap_or(&0.0) - cpu_before.get(thread).unwrap_or(&0.0);
         100.0 * spent / seconds / hosts
     };
-    let duties = ["controller", "platform", "upstreams", "peers", "operators"];
-    let mut shares: Vec<f64> = duties.iter().map(|duty| percent(duty)).collect();
+    let threads = ["controller", "platform", "upstreams", "peers", "operators"];
+    let mut shares: Vec<f64> = threads.iter().map(|thread| percent(thread)).collect();
     shares[4] += percent("callers-0");
     let rate = |index: usize| (bytes[index] - bytes_before[index]) as f64 / seconds / hosts;
     println!(
--- a/crates/router/benches/serving/main.rs
+++ b/crates/router/benches/serving/main.rs
@@ -1,9 +1,9 @@
-//! What a host adds to the first token and between tokens, against the engine
-//! stand-in directly, and how many requests and tokens a second one host passes
-//! on. Both ways are measured in one run, in turns. With `LOGGING`: the processor
-//! time of a request with logs and without.
+//! Measures the latency that a host adds to the first token and between tokens, compared with
+//! the engine stand-in alone, and how many requests and tokens per second one host forwards.
+//! Both paths are measured alternately in one run. With `LOGGING`, measures the CPU time per
+//! request with and without logs.
 //!
-//! `cargo bench -p rhubarbcove-router --bench serving [-- LOGGING]`
+//! Run with `cargo bench -p rhubarbcove-router --bench serving [-- LOGGING]`.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -34,16 +34,16 @@
 mod setup;
 
 use {
-    load::{Timing, passed, percentile, timed},
-    processor::processor_s_by_duty,
+    load::{Timing, measure_rates, percentile, timed},
+    processor::processor_s_by_thread_name,
     setup::{start_engines, start_host},
 };
 
-/// Streams timed in each way.
-const TIMED: usize = 400;
+/// Number of streams timed directly and through the host.
+const TIMED_STREAMS: usize = 400;
 
-/// Streams at once while the greatest rate is sought.
-const AT_ONCE: [usize; 3] = [64, 256, 1_024];
+/// Numbers of concurrent streams for which the maximum rate is measured.
+const CONCURRENT_STREAMS: [usize; 3] = [64, 256, 1_024];
 
 fn main() {
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -55,11 +55,11 @@
     }
     runtime.block_on(added_time());
     for caller_threads in [1, 2, 4] {
-        runtime.block_on(greatest_rate(caller_threads));
+        runtime.block_on(maximum_rate(caller_threads));
     }
 }
 
-/// Streams of 20 tokens, 5 ms apart, directly and through a host in turns.
+/// Measures streams of 20 tokens, 5 ms apart, alternating between the engine and the host.
 async fn added_time() {
     let options = EngineOptions {
         load_slope: 0.0,
@@ -71,7 +71,7 @@
     let host = start_host(&engines, &options, 1, discard_logger()).await;
     let mut direct = Vec::new();
     let mut through = Vec::new();
-    for number in 0..TIMED {
+    for number in 0..TIMED_STREAMS {
         let engine = engines[number % engines.len()].address();
         direct.push(timed(engine, 20).await);
         through.push(timed(host.caller_address(), 20).await);
@@ -98,9 +98,8 @@
     stop(host).await;
 }
 
-/// Many short streams at once, from engines that give tokens as fast as they
-/// can.
-async fn greatest_rate(caller_threads: usize) {
+/// Measures many concurrent short streams from engines that emit tokens as fast as they can.
+async fn maximum_rate(caller_threads: usize) {
     let options = EngineOptions {
         load_slope: 0.0,
         prefill_us_per_token: 0,
@@ -110,10 +109,10 @@
     };
     let engines = start_engines(4, &options).await;
     let host = start_host(&engines, &options, caller_threads, discard_logger()).await;
-    for at_once in AT_ONCE {
+    for at_once in CONCURRENT_STREAMS {
         let direct: Vec<SocketAddr> = engines.iter().map(EngineStandin::address).collect();
-        let direct = passed(&direct, at_once, 240).await;
-        let through = passed(&[host.caller_address()], at_once, 240).await;
+        let direct = measure_rates(&direct, at_once, 240).await;
+        let through = measure_rates(&[host.caller_address()], at_once, 240).await;
         println!(
             "{caller_threads} caller threads, {at_once} at once, 240 tokens each: through a host \
              {:.0} requests/s, {:.0} tokens/s; engines directly {:.0} and {:.0}, ratio {:.2}",
--- a/crates/router/tests/callers.rs
+++ b/crates/router/tests/callers.rs
@@ -1,4 +1,4 @@
-//! What a caller may send, and the clear answer to what it may not.
+//! Validation of requests, and the error responses to invalid ones.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -20,9 +20,12 @@
     let site = Site::with_engines(1).and_service("orders").start().await;
     let ask = |class: &str| site.ask(class);
     let cases = [
-        (ask("question").by("nobody"), (401, "unknown_key")),
+        (ask("question").as_team("nobody"), (401, "unknown_key")),
         (ask("nothing"), (400, "unknown_class")),
-        (ask("question").by("visitors"), (403, "class_not_allowed")),
+        (
+            ask("question").as_team("visitors"),
+            (403, "class_not_allowed"),
+        ),
         (ask("question").for_model("large"), (404, "unknown_model")),
         (ask("order").at_service("stock"), (404, "unknown_service")),
         (ask("order").at_service("no%20name"), (400, "bad_path")),
@@ -56,7 +59,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bytes_that_are_not_http_or_not_utf8_harm_nobody() {
+async fn invalid_http_and_invalid_utf8_are_refused() {
     let site = Site::with_engines(1).start().await;
     let answer = site.send_raw(b"\x16\x03\x01 nonsense\r\n\r\n").await;
     assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
@@ -86,11 +89,11 @@
     assert_eq!(answer.refusal(), (413, "body_too_large", "not-run"));
 }
 
-/// Symptom: connections that send a byte now and then fill the host up.
-/// Sequence: a caller sends a head, part of a body, and then nothing.
-/// Cause: without a limit the host waits for the rest for ever.
+/// Guards against slow connections that accumulate until they exhaust the host. A caller sends
+/// the request head and part of the body, then nothing. Without a timeout the host waits for the
+/// rest forever.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_slow_body_is_given_up() {
+async fn a_slow_body_times_out() {
     let quick = |settings: &mut Settings| settings.limits.body_timeout_ms = 50;
     let site = Site::with_engines(1).settings(quick).start().await;
     let mut stream = TcpStream::connect(site.address()).await.unwrap();
@@ -103,13 +106,12 @@
     assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
 }
 
-/// Symptom: engines go on computing answers that nobody reads.
-/// Sequence: a caller asks for a long answer and closes its connection.
-/// Cause: without cancellation the engine computes to the end.
+/// Guards against engines that compute answers nobody reads. A caller requests a long answer
+/// and closes its connection. Without cancellation the engine computes the whole answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vanished_caller_frees_its_engine() {
+async fn a_disconnected_caller_frees_its_engine() {
     let site = Site::with_engines(1).start().await;
-    let answer = site.ask("question").of(100_000).begin().await;
+    let answer = site.ask("question").output_tokens(100_000).begin().await;
     site.until("it runs", |site| site.engines[0].running() == 1)
         .await;
     drop(answer);
@@ -120,10 +122,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_vanishes_from_the_queue_is_not_run() {
+async fn a_queued_request_of_a_disconnected_caller_is_not_run() {
     let one = |options: &mut standin::EngineOptions| options.slots = 1;
-    let site = Site::with_engines(1).engines_like(one).start().await;
-    let first = site.ask("question").tagged("first").of(300).spawn();
+    let site = Site::with_engines(1).engine_options(one).start().await;
+    let first = site
+        .ask("question")
+        .tagged("first")
+        .output_tokens(300)
+        .spawn();
     site.until("it runs", |site| site.engines[0].running() == 1)
         .await;
     let second = site.ask("question").tagged("second").spawn();
--- a/crates/router/tests/draining.rs
+++ b/crates/router/tests/draining.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off nothing.
+//! A planned stop of a host does not cut off any request.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -15,12 +15,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_and_queued_requests_end_before_the_host() {
     let one = |options: &mut EngineOptions| options.slots = 1;
-    let mut site = Site::with_engines(1).engines_like(one).start().await;
+    let mut site = Site::with_engines(1).engine_options(one).start().await;
     let asks: Vec<_> = (0..4)
         .map(|number| {
             site.ask("question")
                 .tagged(&format!("t{number}"))
-                .of(150)
+                .output_tokens(150)
                 .spawn()
         })
         .collect();
@@ -34,9 +34,9 @@
     }
 }
 
-/// Symptom: a key stays in progress for ever after a planned stop.
-/// Sequence: a host stops right after it answered, while the store is down.
-/// Cause: the settlement waits in memory and goes with the host.
+/// Guards against a key that stays in progress forever after a planned stop. The host stops
+/// right after it answered, while the store is down. The final state of the key is still in the
+/// host's memory and is lost if the host ends before writing it.
 #[tokio::test(flavor = "multi_thread")]
 async fn claims_are_settled_before_the_host_ends() {
     let mut site = Site::with_engines(0).and_service("orders").start().await;
@@ -83,7 +83,7 @@
     let request = site.ask("question").tagged("late").request();
     let host = site.host.take().unwrap();
     let stop = tokio::task::spawn_blocking(move || host.drain().stop().unwrap());
-    let deadline = tokio::time::Instant::now() + site::LONG;
+    let deadline = tokio::time::Instant::now() + site::WAIT_TIMEOUT;
     while site::exchange(operator, ready()).await.status() == 200 {
         assert!(
             tokio::time::Instant::now() < deadline,
--- a/crates/router/tests/leaving.rs
+++ b/crates/router/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! An upstream that is leaving gets no new work, whoever said so first.
+//! A leaving upstream gets no new requests, whichever source announces it first.
 
 #![allow(missing_docs, clippy::unwrap_used)]
 
@@ -6,9 +6,9 @@
 
 use {site::Site, store::ListedState};
 
-/// Waits until the host knows that an engine is leaving, and checks that it
-/// gets nothing from then on.
-async fn gets_nothing_new(site: &Site, engine: &str) {
+/// Waits until the host knows that the engine is leaving, then checks that the engine gets no
+/// further requests.
+async fn assert_gets_no_new_requests(site: &Site, engine: &str) {
     let id: types::UpstreamId = engine.parse().unwrap();
     site.until("known to be leaving", |site| {
         let status = site.host().status();
@@ -18,18 +18,18 @@
     .await;
     for round in 0..10 {
         assert!(
-            !used_in_round(site, engine, round).await,
+            !received_request_in_round(site, engine, round).await,
             "{engine} got work"
         );
     }
 }
 
-async fn used_in_round(site: &Site, engine: &str, round: u32) -> bool {
+async fn received_request_in_round(site: &Site, engine: &str, round: u32) -> bool {
     for number in 0..6 {
         let tag = format!("r{round}n{number}");
         site.ask("question")
             .tagged(&tag)
-            .of(1)
+            .output_tokens(1)
             .send()
             .await
             .assert_whole(&tag, 1);
@@ -45,14 +45,12 @@
     let site = Site::with_engines(2).start().await;
     let id = "engine-0".parse().unwrap();
     site.platform.list_upstream(id, ListedState::Leaving);
-    gets_nothing_new(&site, "engine-0").await;
+    assert_gets_no_new_requests(&site, "engine-0").await;
 }
 
-/// Symptom: a leaving engine gets work from hosts that start after it was asked
-/// to leave.
-/// Sequence: a host reads the platform's list first and the configuration,
-/// which names the engine, afterwards.
-/// Cause: what the list said was kept with the engines known at that moment.
+/// Guards against a newly started host sending requests to an engine that is already leaving.
+/// The host reads the platform's list before the configuration that names the engine. If the
+/// host applies the list only to the engines known at that moment, the state is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn announced_before_the_host_started() {
     let mut site = Site::with_engines(2).start().await;
@@ -60,20 +58,24 @@
     let id = "engine-0".parse().unwrap();
     site.platform.list_upstream(id, ListedState::Leaving);
     site.start_host().await;
-    gets_nothing_new(&site, "engine-0").await;
+    assert_gets_no_new_requests(&site, "engine-0").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn announced_by_its_own_load_report() {
     let site = Site::with_engines(2).start().await;
     site.break_engine(0, |faults| faults.leaving = true);
-    gets_nothing_new(&site, "engine-0").await;
+    assert_gets_no_new_requests(&site, "engine-0").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn announced_by_the_configuration() {
     let site = Site::with_engines(2).start().await;
-    let long = site.ask("question").tagged("long").of(3_000).spawn();
+    let long = site
+        .ask("question")
+        .tagged("long")
+        .output_tokens(3_000)
+        .spawn();
     let operations = serde_json::json!([{"op": "remove", "path": "/upstreams/engine-0"}]);
     let patch = config::Patch {
         author: "tests".to_string(),
@@ -82,7 +84,7 @@
         operations: serde_json::from_value(operations).unwrap(),
     };
     site.store().submit(&patch).await.unwrap();
-    gets_nothing_new(&site, "engine-0").await;
-    // What runs there is not cut off.
+    assert_gets_no_new_requests(&site, "engine-0").await;
+    // The request that already runs on the engine is not cut off.
     long.await.unwrap().assert_whole("long", 3_000);
 }
