--- a/crates/router/tests/at_most_once.rs
+++ b/crates/router/tests/at_most_once.rs
@@ -65,7 +65,7 @@
 async fn the_same_key_of_another_team_is_another_request() {
     let site = site().await;
     order(&site, "o").send().await;
-    let answer = order(&site, "o").as_team("guild").send().await;
+    let answer = order(&site, "o").with_team("guild").send().await;
     assert_eq!((answer.status, answer.replayed), (200, false));
     assert_eq!(site.log.count("o"), 2);
 }
--- a/crates/router/tests/callers.rs
+++ b/crates/router/tests/callers.rs
@@ -20,10 +20,10 @@
     let site = Site::with_engines(1).and_service("orders").start().await;
     let ask = |class: &str| site.ask(class);
     let cases = [
-        (ask("question").as_team("nobody"), (401, "unknown_key")),
+        (ask("question").with_team("nobody"), (401, "unknown_key")),
         (ask("nothing"), (400, "unknown_class")),
         (
-            ask("question").as_team("visitors"),
+            ask("question").with_team("visitors"),
             (403, "class_not_allowed"),
         ),
         (ask("question").for_model("large"), (404, "unknown_model")),
--- a/crates/router/tests/limits.rs
+++ b/crates/router/tests/limits.rs
@@ -23,7 +23,7 @@
     assert_eq!(answer.refusal(), (429, "team_rate_limit", "not-run"));
     assert!(matches!(answer.retry_after, Some(1 | 2)), "{answer:?}");
     site.ask("question")
-        .as_team("guild")
+        .with_team("guild")
         .send()
         .await
         .assert_whole("tag", 4);
--- a/crates/router/tests/site/ask.rs
+++ b/crates/router/tests/site/ask.rs
@@ -54,7 +54,7 @@
         self
     }
 
-    pub fn as_team(mut self, team: &str) -> Self {
+    pub fn with_team(mut self, team: &str) -> Self {
         self.key = format!("{team}-key");
         self
     }
