--- a/crates/policy/benches/decision/main.rs
+++ b/crates/policy/benches/decision/main.rs
@@ -24,13 +24,13 @@
 
 mod setup;
 
-use setup::{Size, arrival, controller, document, heartbeat, listed, with_routes};
+use setup::{Size, arrival, controller, document, heartbeat, peer_host, with_routes};
 
 /// Host names that routes are spread over.
 const HOSTNAMES: usize = 4;
 
 /// Routes that are looked for.
-const ROUTES_FOUND: usize = 2_000;
+const ROUTE_LOOKUPS: usize = 2_000;
 
 /// Decisions timed for each figure.
 const DECISIONS: usize = 20_000;
@@ -93,7 +93,7 @@
         controller.handle(now, Event::Arrived(arrival(next, size.teams)), &mut actions);
         next += 1;
     }
-    note_sent(&mut actions, &mut running);
+    record_sent(&mut actions, &mut running);
     let start = Instant::now();
     for _ in 0..DECISIONS {
         now = now.plus_ms(1);
@@ -111,18 +111,18 @@
         controller.handle(now, event, &mut actions);
         controller.handle(now, Event::Arrived(arrival(next, size.teams)), &mut actions);
         next += 1;
-        note_sent(&mut actions, &mut running);
+        record_sent(&mut actions, &mut running);
     }
-    let each_us = start.elapsed().as_secs_f64() * 1e6 / DECISIONS as f64;
+    let mean_us = start.elapsed().as_secs_f64() * 1e6 / DECISIONS as f64;
     println!(
-        "  {:>6} queued {:>4} upstreams {:>5} teams: {each_us:>7.2} us, with the arrival of the one after it",
+        "  {:>6} queued {:>4} upstreams {:>5} teams: {mean_us:>7.2} us, with the arrival of the one after it",
         controller.queued(),
         size.upstreams,
         size.teams,
     );
 }
 
-fn note_sent(actions: &mut Vec<Action>, running: &mut VecDeque<(RequestId, AttemptId)>) {
+fn record_sent(actions: &mut Vec<Action>, running: &mut VecDeque<(RequestId, AttemptId)>) {
     for action in actions.drain(..) {
         if let Action::Send { order, request } = action {
             running.push_back((request, order.attempt));
@@ -143,7 +143,7 @@
         teams,
         upstreams,
     });
-    let apply_ms = put_in_force_ms(&mut controller, patched);
+    let apply_ms = apply_time_ms(&mut controller, patched);
     println!(
         "  {upstreams:>4} upstreams {teams:>3} teams: {:>4} KB as JSON, patched in {patch_ms:.1} ms, \
          put in force in {apply_ms:.1} ms",
@@ -152,13 +152,13 @@
 }
 
 /// Time in which the controller takes the next version.
-fn put_in_force_ms(controller: &mut Controller, document: Document) -> f64 {
-    let numbered = Arc::new(VersionedDocument {
+fn apply_time_ms(controller: &mut Controller, document: Document) -> f64 {
+    let versioned = Arc::new(VersionedDocument {
         document,
         version: ConfigVersion::new(2),
     });
     let start = Instant::now();
-    let event = Event::ConfigurationRead(numbered);
+    let event = Event::ConfigurationRead(versioned);
     controller.handle(Time::default(), event, &mut Vec::new());
     start.elapsed().as_secs_f64() * 1e3
 }
@@ -172,14 +172,14 @@
         upstreams: 1,
     });
     let start = Instant::now();
-    for number in 0..ROUTES_FOUND {
+    for number in 0..ROUTE_LOOKUPS {
         let wanted = number % count;
         let hostname = format!("host-{}.example", wanted % HOSTNAMES);
         let path = format!("/route-{wanted}/7");
         assert!(document.routes.find(&hostname, &path).is_some());
     }
-    let find_us = start.elapsed().as_secs_f64() * 1e6 / ROUTES_FOUND as f64;
-    let apply_ms = put_in_force_ms(&mut controller, document);
+    let find_us = start.elapsed().as_secs_f64() * 1e6 / ROUTE_LOOKUPS as f64;
+    let apply_ms = apply_time_ms(&mut controller, document);
     println!(
         "  {count:>5} routes {teams:>3} teams: put in force in {apply_ms:.2} ms, a route found in {find_us:.2} us"
     );
@@ -192,7 +192,7 @@
         upstreams: 131,
     });
     let mut actions = Vec::new();
-    let listed = (0..hosts).map(listed).collect();
+    let listed = (0..hosts).map(peer_host).collect();
     controller.handle(
         Time::default(),
         Event::HostsListed { hosts: listed },
@@ -210,7 +210,7 @@
             controller.handle(now, event, &mut actions);
         }
     }
-    let each_us = start.elapsed().as_secs_f64() * 1e6 / (rounds * hosts) as f64;
+    let mean_us = start.elapsed().as_secs_f64() * 1e6 / (rounds * hosts) as f64;
     for action in actions {
         if let Action::AnswerHeartbeat { answer, .. } = action {
             bytes.1 = serde_json::to_string(&answer).unwrap().len();
@@ -218,7 +218,7 @@
     }
     bytes.0 = serde_json::to_string(&heartbeat(0, 0)).unwrap().len();
     println!(
-        "  {hosts:>3} hosts: {each_us:>7.1} us each; a loaded host's heartbeat {} bytes, its answer {}",
+        "  {hosts:>3} hosts: {mean_us:>7.1} us each; a loaded host's heartbeat {} bytes, its answer {}",
         bytes.0, bytes.1,
     );
 }
--- a/crates/policy/benches/decision/setup.rs
+++ b/crates/policy/benches/decision/setup.rs
@@ -23,11 +23,11 @@
         slot_rules: SlotRules::default(),
         seed: 1,
     });
-    let numbered = Arc::new(VersionedDocument {
+    let versioned = Arc::new(VersionedDocument {
         document: document(size.upstreams, size.teams),
         version: ConfigVersion::new(1),
     });
-    let event = Event::ConfigurationRead(numbered);
+    let event = Event::ConfigurationRead(versioned);
     controller.handle(Time::default(), event, &mut Vec::new());
     controller
 }
@@ -89,7 +89,7 @@
     }
 }
 
-pub fn listed(number: usize) -> PeerHost {
+pub fn peer_host(number: usize) -> PeerHost {
     PeerHost {
         address: format!("10.9.0.{number}:8082").parse().unwrap(),
         failure_domain: "a".parse().unwrap(),
--- a/crates/policy/benches/installation/main.rs
+++ b/crates/policy/benches/installation/main.rs
@@ -23,13 +23,13 @@
         let mut host = Host::new(0);
         host.list_hosts(300);
         host.read_directory(engines(count), &[]);
-        let placed = each(ROUNDS, |round| place(&mut host, round));
+        let placed = mean_duration(ROUNDS, |round| place(&mut host, round));
         place(&mut host, 0);
-        let tick = each(ROUNDS, |_| host.advance(10));
-        let table = each(20, |round| change_table(&mut host, count, round));
+        let tick = mean_duration(ROUNDS, |_| host.advance(10));
+        let table = mean_duration(20, |round| change_table(&mut host, count, round));
         host.handle(Event::DirectoryLost);
         host.handle(Event::DirectoryRegained { at: host.now });
-        let regained = each(4, |round| change_table(&mut host, count, round));
+        let regained = mean_duration(4, |round| change_table(&mut host, count, round));
         println!(
             "{count:>7} {:>10.1} {:>9.1} {:>9.2} {:>9.2}",
             placed.as_secs_f64() * 1e6,
@@ -41,7 +41,7 @@
 }
 
 /// Mean time of some work.
-fn each(rounds: u32, mut work: impl FnMut(u32)) -> Duration {
+fn mean_duration(rounds: u32, mut work: impl FnMut(u32)) -> Duration {
     let start = Instant::now();
     for round in 0..rounds {
         work(round);
@@ -64,7 +64,7 @@
 /// One engine less, and another one less in the next round.
 fn change_table(host: &mut Host, count: usize, round: u32) {
     let mut listed = engines(count);
-    let gone = format!("engine-{round}").parse().unwrap();
-    listed.remove(&gone);
+    let removed = format!("engine-{round}").parse().unwrap();
+    listed.remove(&removed);
     host.read_directory(listed, &[]);
 }
--- a/crates/policy/benches/overload/all_knowing.rs
+++ b/crates/policy/benches/overload/all_knowing.rs
@@ -26,7 +26,7 @@
     fn next(&mut self, now: Time) -> Option<usize> {
         for tier in &mut self.tiers {
             while let Some(((due, request), ())) = tier.pop_first() {
-                if now + world::prefill() <= due {
+                if now + simulation::prefill_time() <= due {
                     return Some(request);
                 }
                 self.late.push_back(request);
--- a/crates/policy/benches/overload/bench_request.rs
+++ b/crates/policy/benches/overload/bench_request.rs
@@ -29,7 +29,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let lengths = LogNormal::new(OUTPUT_MEDIAN.ln(), OUTPUT_SIGMA).unwrap();
     let mean = OUTPUT_MEDIAN * (OUTPUT_SIGMA * OUTPUT_SIGMA / 2.0).exp();
-    let service_s = world::service(mean as u32).as_secs_f64();
+    let service_s = simulation::service_time(mean as u32).as_secs_f64();
     let slots = (site.engines * site.slots as usize) as f64;
     let gaps = Exp::new(load * slots / service_s).unwrap();
     let mut requests = Vec::new();
@@ -48,21 +48,21 @@
     }
 }
 
-fn pick_class(mut luck: f64) -> usize {
+fn pick_class(mut sample: f64) -> usize {
     for (number, class) in CLASSES.iter().enumerate() {
-        if luck < class.share {
+        if sample < class.share {
             return number;
         }
-        luck -= class.share;
+        sample -= class.share;
     }
     CLASSES.len() - 1
 }
 
-fn pick_host(site: &Site, luck: f64) -> usize {
+fn pick_host(site: &Site, sample: f64) -> usize {
     let total = site.skew + (site.hosts - 1) as f64;
-    let place = luck * total;
-    if place < site.skew {
+    let position = sample * total;
+    if position < site.skew {
         return 0;
     }
-    (1 + (place - site.skew) as usize).min(site.hosts - 1)
+    (1 + (position - site.skew) as usize).min(site.hosts - 1)
 }
--- a/crates/policy/benches/overload/choice_of_two.rs
+++ b/crates/policy/benches/overload/choice_of_two.rs
@@ -7,23 +7,23 @@
 /// one that looks less full by the last load report and its own sends since;
 /// the engines' priorities do the rest.
 pub struct ChoiceOfTwo {
-    host_of: BTreeMap<usize, (usize, usize)>,
+    host_and_engine_of: BTreeMap<usize, (usize, usize)>,
     loads: Vec<u32>,
     priorities: BTreeMap<usize, u8>,
     retries: BTreeMap<(Time, usize), usize>,
     rng: SmallRng,
-    sent_since: Vec<Vec<u32>>,
+    sent_since_report: Vec<Vec<u32>>,
 }
 
 impl ChoiceOfTwo {
     pub fn new(site: &Site, seed: u64) -> Self {
         Self {
-            host_of: BTreeMap::new(),
+            host_and_engine_of: BTreeMap::new(),
             loads: vec![0; site.engines],
             priorities: BTreeMap::new(),
             retries: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(seed),
-            sent_since: vec![vec![0; site.engines]; site.hosts],
+            sent_since_report: vec![vec![0; site.engines]; site.hosts],
         }
     }
 
@@ -31,14 +31,14 @@
         let engines = self.loads.len();
         let first = self.rng.random_range(0..engines);
         let second = self.rng.random_range(0..engines);
-        let load = |engine: usize| self.loads[engine] + self.sent_since[host][engine];
+        let load = |engine: usize| self.loads[engine] + self.sent_since_report[host][engine];
         let engine = if load(first) <= load(second) {
             first
         } else {
             second
         };
-        self.sent_since[host][engine] += 1;
-        self.host_of.insert(request, (host, engine));
+        self.sent_since_report[host][engine] += 1;
+        self.host_and_engine_of.insert(request, (host, engine));
         vec![Start {
             engine,
             priority: self.priorities[&request],
@@ -54,12 +54,12 @@
     }
 
     fn ended(&mut self, _now: Time, request: usize, _tokens: u32) -> Vec<Start> {
-        self.host_of.remove(&request);
+        self.host_and_engine_of.remove(&request);
         Vec::new()
     }
 
     fn refused(&mut self, now: Time, request: usize) -> Vec<Start> {
-        let (host, _) = self.host_of.remove(&request).unwrap();
+        let (host, _) = self.host_and_engine_of.remove(&request).unwrap();
         self.retries.insert((now.plus_ms(RETRY_MS), request), host);
         Vec::new()
     }
@@ -69,7 +69,7 @@
             .iter()
             .map(|(running, waiting)| running + waiting)
             .collect();
-        for sent in &mut self.sent_since {
+        for sent in &mut self.sent_since_report {
             sent.fill(0);
         }
         Vec::new()
--- a/crates/policy/benches/overload/class.rs
+++ b/crates/policy/benches/overload/class.rs
@@ -72,8 +72,8 @@
         })
         .collect();
     let team = |trial: bool| {
-        let mine = CLASSES.iter().filter(|class| class.trial == trial);
-        let names: Vec<&str> = mine.map(|class| class.name).collect();
+        let team_classes = CLASSES.iter().filter(|class| class.trial == trial);
+        let names: Vec<&str> = team_classes.map(|class| class.name).collect();
         json!({
             "classes": names, "default_class": names[0],
             "key_sha256": KeyHash::of_key(if trial { "trial" } else { "paid" }),
@@ -86,7 +86,7 @@
             let definition = json!({
                 "kind": "engine", "address": format!("127.0.0.1:{}", 10_000 + number),
                 "failure_domain": "a", "models": ["small"],
-                "queue_bound": world::QUEUE_BOUND, "resumes": true, "slots": site.slots,
+                "queue_bound": simulation::QUEUE_BOUND, "resumes": true, "slots": site.slots,
             });
             (engine_name(number), definition)
         })
--- a/crates/policy/benches/overload/controllers.rs
+++ b/crates/policy/benches/overload/controllers.rs
@@ -26,11 +26,11 @@
 
 impl Controllers {
     pub fn new(site: &Site, rules: &SlotRules, peering: Peering, headroom: f64, seed: u64) -> Self {
-        let numbered = Arc::new(VersionedDocument {
+        let versioned = Arc::new(VersionedDocument {
             document: class::document(site, headroom),
             version: ConfigVersion::new(1),
         });
-        let hosts: Vec<PeerHost> = (0..site.hosts).map(listed).collect();
+        let hosts: Vec<PeerHost> = (0..site.hosts).map(peer_host).collect();
         let mut controllers = Vec::new();
         for number in 0..site.hosts {
             let mut controller = Controller::new(ControllerOptions {
@@ -43,7 +43,7 @@
                 seed: seed * 1_000 + number as u64,
             });
             let mut actions = Vec::new();
-            let read = Event::ConfigurationRead(Arc::clone(&numbered));
+            let read = Event::ConfigurationRead(Arc::clone(&versioned));
             controller.handle(Time::default(), read, &mut actions);
             let hosts = hosts.clone();
             controller.handle(Time::default(), Event::HostsListed { hosts }, &mut actions);
@@ -81,7 +81,7 @@
                     host: coordinator,
                     ..
                 } => {
-                    let answer = self.ask(now, &coordinator, heartbeat);
+                    let answer = self.deliver_heartbeat(now, &coordinator, heartbeat);
                     let event = Event::HeartbeatAnswered {
                         answer,
                         sent: now,
@@ -95,7 +95,7 @@
         starts
     }
 
-    fn ask(
+    fn deliver_heartbeat(
         &mut self,
         now: Time,
         coordinator: &HostId,
@@ -111,8 +111,8 @@
             .parse()
             .unwrap();
         let mut actions = Vec::new();
-        let asked = Event::HeartbeatReceived { call: 0, heartbeat };
-        self.controllers[number].handle(now, asked, &mut actions);
+        let received = Event::HeartbeatReceived { call: 0, heartbeat };
+        self.controllers[number].handle(now, received, &mut actions);
         actions.into_iter().find_map(|action| match action {
             Action::AnswerHeartbeat { answer, .. } => Some(answer),
             _ => None,
@@ -132,7 +132,7 @@
     }
 }
 
-fn listed(number: usize) -> PeerHost {
+fn peer_host(number: usize) -> PeerHost {
     PeerHost {
         address: format!("127.0.0.1:{}", 20_000 + number).parse().unwrap(),
         failure_domain: "a".parse().unwrap(),
--- a/crates/policy/benches/overload/main.rs
+++ b/crates/policy/benches/overload/main.rs
@@ -33,7 +33,7 @@
 mod controllers;
 mod first_in_first_out;
 mod result;
-mod world;
+mod simulation;
 
 use {
     all_knowing::AllKnowing,
@@ -44,7 +44,7 @@
     controllers::{Controllers, Peering},
     first_in_first_out::FirstInFirstOut,
     result::{BenchResult, print_table},
-    world::{Site, run},
+    simulation::{Site, run},
 };
 
 const SEEDS: [u64; 3] = [1, 2, 3];
--- a/crates/policy/benches/overload/world.rs
+++ b/crates/policy/benches/overload/simulation.rs
@@ -17,7 +17,7 @@
 const REPORT_US: u64 = 500_000;
 
 /// Virtual time after the last arrival until what is left counts as unserved.
-const TAIL_S: u64 = 120;
+const DRAIN_S: u64 = 120;
 
 /// A site of a bench.
 pub struct Site {
@@ -29,17 +29,17 @@
 }
 
 /// Time that a slot is taken by an answer.
-pub fn service(tokens: u32) -> std::time::Duration {
+pub fn service_time(tokens: u32) -> std::time::Duration {
     std::time::Duration::from_micros(PREFILL_US + u64::from(tokens.max(1) - 1) * TOKEN_US)
 }
 
 /// Time from the start on a slot to the first token.
-pub fn prefill() -> std::time::Duration {
+pub fn prefill_time() -> std::time::Duration {
     std::time::Duration::from_micros(PREFILL_US)
 }
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum Happening {
+enum SimEvent {
     Arrive(usize),
     End { engine: usize, request: usize },
     FirstToken(usize),
@@ -54,9 +54,9 @@
     waiting: BTreeMap<(u8, u64), usize>,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     engines: Vec<Engine>,
-    events: BinaryHeap<Reverse<(Time, u64, Happening)>>,
+    events: BinaryHeap<Reverse<(Time, u64, SimEvent)>>,
     first_token: Vec<Option<Time>>,
     loads: Vec<(u32, u32)>,
     requests: &'a [BenchRequest],
@@ -67,7 +67,7 @@
 
 /// Runs a load against a router.
 pub fn run(site: &Site, requests: &[BenchRequest], router: &mut dyn BenchRouter) -> BenchResult {
-    let mut world = World {
+    let mut simulation = Simulation {
         engines: (0..site.engines).map(|_| Engine::default()).collect(),
         events: BinaryHeap::new(),
         first_token: vec![None; requests.len()],
@@ -78,60 +78,60 @@
         slots: site.slots,
     };
     for (number, request) in requests.iter().enumerate() {
-        world.result.classes[request.class].total += 1;
-        world.push(request.at, Happening::Arrive(number));
+        simulation.result.classes[request.class].total += 1;
+        simulation.push(request.at, SimEvent::Arrive(number));
     }
-    world.push(Time::from_us(TICK_US), Happening::Tick);
-    world.push(Time::from_us(REPORT_US), Happening::Report);
-    let end = Time::from_ms((bench_request::DURATION_S as u64 + TAIL_S) * 1_000);
-    while let Some(Reverse((now, _, happening))) = world.events.pop() {
+    simulation.push(Time::from_us(TICK_US), SimEvent::Tick);
+    simulation.push(Time::from_us(REPORT_US), SimEvent::Report);
+    let end = Time::from_ms((bench_request::DURATION_S as u64 + DRAIN_S) * 1_000);
+    while let Some(Reverse((now, _, event))) = simulation.events.pop() {
         if now > end {
             break;
         }
-        let starts = world.happen(now, happening, router);
-        world.start_all(now, starts, router);
+        let starts = simulation.process_event(now, event, router);
+        simulation.start_all(now, starts, router);
     }
-    world.result
+    simulation.result
 }
 
-impl World<'_> {
-    fn push(&mut self, at: Time, happening: Happening) {
+impl Simulation<'_> {
+    fn push(&mut self, at: Time, event: SimEvent) {
         self.seq += 1;
-        self.events.push(Reverse((at, self.seq, happening)));
+        self.events.push(Reverse((at, self.seq, event)));
     }
 
-    fn happen(
+    fn process_event(
         &mut self,
         now: Time,
-        happening: Happening,
+        event: SimEvent,
         router: &mut dyn BenchRouter,
     ) -> Vec<Start> {
-        match happening {
-            Happening::Arrive(request) => router.arrive(now, request, &self.requests[request]),
-            Happening::End { engine, request } => {
+        match event {
+            SimEvent::Arrive(request) => router.arrive(now, request, &self.requests[request]),
+            SimEvent::End { engine, request } => {
                 self.count_end(now, request);
-                self.leave(now, engine);
+                self.release_slot(now, engine);
                 router.ended(now, request, self.requests[request].tokens)
             }
-            Happening::FirstToken(request) => {
+            SimEvent::FirstToken(request) => {
                 self.first_token[request] = Some(now);
                 router.first_token(now, request);
                 Vec::new()
             }
-            Happening::Report => {
+            SimEvent::Report => {
                 let loads = self.engines.iter();
                 self.loads = loads
                     .map(|engine| (engine.running, engine.waiting.len() as u32))
                     .collect();
                 let half = std::time::Duration::from_micros(REPORT_US / 2);
-                self.push(now + half, Happening::ReportRead);
-                self.push(now + half + half, Happening::Report);
+                self.push(now + half, SimEvent::ReportRead);
+                self.push(now + half + half, SimEvent::Report);
                 Vec::new()
             }
-            Happening::ReportRead => router.reported(now, &self.loads),
-            Happening::Tick => {
+            SimEvent::ReportRead => router.reported(now, &self.loads),
+            SimEvent::Tick => {
                 let next = now + std::time::Duration::from_micros(TICK_US);
-                self.push(next, Happening::Tick);
+                self.push(next, SimEvent::Tick);
                 router.tick(now)
             }
         }
@@ -157,11 +157,11 @@
 
     fn begin(&mut self, now: Time, engine: usize, request: usize) {
         let tokens = self.requests[request].tokens;
-        self.push(now + prefill(), Happening::FirstToken(request));
-        self.push(now + service(tokens), Happening::End { engine, request });
+        self.push(now + prefill_time(), SimEvent::FirstToken(request));
+        self.push(now + service_time(tokens), SimEvent::End { engine, request });
     }
 
-    fn leave(&mut self, now: Time, engine: usize) {
+    fn release_slot(&mut self, now: Time, engine: usize) {
         match self.engines[engine].waiting.pop_first() {
             Some((_, next)) => self.begin(now, engine, next),
             None => self.engines[engine].running -= 1,
