--- a/crates/policy/benches/overload/all_knowing.rs
+++ b/crates/policy/benches/overload/all_knowing.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// The bound: one queue before all engines that sees everything at once and
-/// knows every output length. It serves tiers strictly, and within a tier the
-/// earliest due request that can still meet its target; what cannot is served
-/// when nothing else waits.
+/// Intended upper bound for the other routers: one queue for all engines, with exact and
+/// immediate knowledge of free slots and prefill time. Tiers have strict priority. Within a
+/// tier, the request with the earliest due time that can still meet its target goes first.
+/// Requests that can no longer meet their target are served when no other request waits.
 pub struct AllKnowing {
     engine_of: BTreeMap<usize, usize>,
     late: VecDeque<usize>,
--- a/crates/policy/benches/overload/bench_request.rs
+++ b/crates/policy/benches/overload/bench_request.rs
@@ -1,13 +1,14 @@
 use super::*;
 
-/// Length of a run in virtual seconds.
+/// Time in which requests arrive, in virtual seconds.
 pub const DURATION_S: f64 = 300.0;
 
-/// Median and spread of the output length.
+/// Parameters of the log-normal output length: the median in tokens, and the standard
+/// deviation of its logarithm.
 const OUTPUT_MEDIAN: f64 = 80.0;
 const OUTPUT_SIGMA: f64 = 0.7;
 
-/// One request of a bench.
+/// One request of a benchmark.
 #[derive(Clone, Debug)]
 pub struct BenchRequest {
     pub at: Time,
@@ -17,14 +18,14 @@
 }
 
 impl BenchRequest {
-    /// When its first token is due.
+    /// Latest time of the first token that meets the target of the request's class.
     pub fn due(&self) -> Time {
         self.at.plus_ms(CLASSES[self.class].first_token_target_ms)
     }
 }
 
-/// Poisson arrivals that ask for `load` times what the engines can do; the
-/// first host gets `skew` times what each other one gets.
+/// Generates Poisson arrivals at `load` times the capacity of the engines. The first host
+/// gets `skew` times the requests of each other host.
 pub fn generate(site: &Site, load: f64, seed: u64) -> Vec<BenchRequest> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let lengths = LogNormal::new(OUTPUT_MEDIAN.ln(), OUTPUT_SIGMA).unwrap();
--- a/crates/policy/benches/overload/bench_router.rs
+++ b/crates/policy/benches/overload/bench_router.rs
@@ -8,16 +8,16 @@
     pub request: usize,
 }
 
-/// What is compared: something that sends requests to engines.
+/// A router to compare: decides which request starts on which engine, and when.
 pub trait BenchRouter {
     fn arrive(&mut self, now: Time, request: usize, wanted: &BenchRequest) -> Vec<Start>;
     fn ended(&mut self, now: Time, request: usize, tokens: u32) -> Vec<Start>;
     fn first_token(&mut self, _now: Time, _request: usize) {}
-    /// The engine's own queue was full: the request did not run.
+    /// The engine refused the request because its queue was full; the request did not run.
     fn refused(&mut self, _now: Time, _request: usize) -> Vec<Start> {
         Vec::new()
     }
-    /// Load reports of all engines, running and waiting.
+    /// Load reports of all engines: the numbers of running and of waiting requests.
     fn reported(&mut self, _now: Time, _loads: &[(u32, u32)]) -> Vec<Start> {
         Vec::new()
     }
--- a/crates/policy/benches/overload/choice_of_two.rs
+++ b/crates/policy/benches/overload/choice_of_two.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// Pause before a request that an engine refused is tried again.
+/// Delay before the retry of a request that an engine refused.
 const RETRY_MS: u64 = 200;
 
-/// Baseline: each host takes two engines at random, and sends at once to the
-/// one that looks less full by the last load report and its own sends since;
-/// the engines' priorities do the rest.
+/// Baseline: the power of two choices. A host picks two engines at random and sends the
+/// request without queueing to the less loaded engine, by the last load report plus the
+/// host's own sends since that report. Engines order waiting requests by priority.
 pub struct ChoiceOfTwo {
     host_and_engine_of: BTreeMap<usize, (usize, usize)>,
     loads: Vec<u32>,
--- a/crates/policy/benches/overload/class.rs
+++ b/crates/policy/benches/overload/class.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A class of the bench: its targets, and its part of the load.
+/// A request class of the benchmark: its latency targets and its share of the load.
 pub struct Class {
     pub deadline_ms: u64,
     pub first_token_target_ms: u64,
@@ -56,7 +56,7 @@
     },
 ];
 
-/// The configuration of a bench: the classes, a paid and a trial team, and the
+/// The configuration of a benchmark: the classes, a paid and a trial team, and the
 /// engines of the site.
 pub fn document(site: &Site, max_headroom_share: f64) -> Document {
     let classes: BTreeMap<&str, _> = CLASSES
--- a/crates/policy/benches/overload/controllers.rs
+++ b/crates/policy/benches/overload/controllers.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// How the hosts of a bench talk to each other.
+/// How heartbeats between the hosts of a benchmark are delivered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Peering {
-    /// Heartbeats arrive at once, but the coordinator's host stands still as a
-    /// peer for 5 s of each 10 s.
+    /// Heartbeats are answered without delay, except in the last 5 s of each 10 s, when
+    /// the coordinator answers none.
     Frozen,
-    /// No heartbeat arrives.
+    /// No heartbeat is answered.
     Off,
-    /// Heartbeats arrive at once.
+    /// Heartbeats are answered without delay.
     On,
 }
 
-/// What is measured: the controller, one for each host.
+/// The router under test: one controller for each host.
 pub struct Controllers {
     attempts: BTreeMap<usize, (usize, AttemptId)>,
     controllers: Vec<Controller>,
@@ -21,7 +21,7 @@
     peering: Peering,
 }
 
-/// Half of the period in which a frozen coordinator stands still.
+/// Length of each pause of a frozen coordinator, and of the time between two pauses.
 const FREEZE_S: u64 = 5;
 
 impl Controllers {
--- a/crates/policy/benches/overload/first_in_first_out.rs
+++ b/crates/policy/benches/overload/first_in_first_out.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Baseline: engines in turn, each with a queue in order of arrival.
+/// Baseline: assigns requests to engines by round robin; each engine has a first-in,
+/// first-out queue.
 pub struct FirstInFirstOut {
     engine_of: BTreeMap<usize, usize>,
     next: usize,
--- a/crates/policy/benches/overload/main.rs
+++ b/crates/policy/benches/overload/main.rs
@@ -1,6 +1,6 @@
-//! Attainment, goodput and shed work under load, in virtual time: engines that
-//! are slots with a clock, and the controller against baselines. The same seed
-//! gives the same figures on any machine.
+//! Compares the controller with baseline routers under load: target attainment, goodput,
+//! and unserved and refused requests. Engines are simulated as slots in virtual time, so
+//! that the same seed gives the same figures on any machine.
 //!
 //! `cargo bench -p rhubarbcove-policy --bench overload -- [LOADS | HOSTS]`
 
@@ -67,8 +67,8 @@
     }
 }
 
-/// One host against first-in-first-out with round robin, and against one queue
-/// that knows every output length.
+/// Compares the controller of a single host with round robin over first-in, first-out
+/// queues, and with the reference queue [`AllKnowing`].
 fn one_host() {
     let site = Site {
         engines: 9,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Eight hosts, of which one has a third of the load.
+/// Compares the routers on eight hosts, of which one gets a third of the load.
 fn many_hosts() {
     let site = Site {
         engines: 9,
--- a/crates/policy/benches/overload/result.rs
+++ b/crates/policy/benches/overload/result.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Counts of one class.
+/// Request counts of one class.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClassResult {
     pub finished: u64,
@@ -8,12 +8,12 @@
     pub total: u64,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
 pub struct BenchResult {
     pub classes: [ClassResult; CLASSES.len()],
     pub good_tokens: u64,
-    /// Sends that an engine refused because its queue was full.
+    /// Requests sent to an engine that refused them because its queue was full.
     pub refused_by_engine: u64,
     pub tokens: u64,
 }
@@ -31,7 +31,7 @@
     }
 }
 
-/// Prints attainment by class, and goodput as a part of the first row's.
+/// Prints attainment by class, and goodput relative to that of the first row.
 pub fn print_table(title: &str, rows: &[(String, BenchResult)]) {
     println!("\n{title}: attainment in percent by class, goodput relative to the first row");
     print!("{:38}", "");
--- a/crates/policy/benches/overload/simulation.rs
+++ b/crates/policy/benches/overload/simulation.rs
@@ -1,39 +1,39 @@
 use super::*;
 
-/// Requests that an engine holds beyond its slots.
+/// Maximum number of requests that wait in an engine's own queue.
 pub const QUEUE_BOUND: u32 = 8;
 
-/// Time to read a prompt.
+/// Prefill time of a prompt.
 const PREFILL_US: u64 = 60_000;
 
-/// Time of one token.
+/// Time to generate one token after the first.
 const TOKEN_US: u64 = 20_000;
 
 /// Time between two ticks.
 const TICK_US: u64 = 10_000;
 
-/// Time between two load reports; they show the engines of that moment, and
-/// are read half an interval later.
+/// Time between two load reports. A report shows the load when it is taken; the router
+/// reads the report half an interval later.
 const REPORT_US: u64 = 500_000;
 
-/// Virtual time after the last arrival until what is left counts as unserved.
+/// Virtual time after the end of arrivals; requests unfinished by then count as unserved.
 const DRAIN_S: u64 = 120;
 
-/// A site of a bench.
+/// The engines and hosts of a benchmark.
 pub struct Site {
     pub engines: usize,
     pub hosts: usize,
-    /// How many times more the first host gets than each other one.
+    /// Ratio of the first host's arrival rate to that of each other host.
     pub skew: f64,
     pub slots: u32,
 }
 
-/// Time that a slot is taken by an answer.
+/// Time for which a response of `tokens` tokens occupies a slot.
 pub fn service_time(tokens: u32) -> std::time::Duration {
     std::time::Duration::from_micros(PREFILL_US + u64::from(tokens.max(1) - 1) * TOKEN_US)
 }
 
-/// Time from the start on a slot to the first token.
+/// Time from the start of a request in a slot to its first token.
 pub fn prefill_time() -> std::time::Duration {
     std::time::Duration::from_micros(PREFILL_US)
 }
@@ -65,7 +65,7 @@
     slots: u32,
 }
 
-/// Runs a load against a router.
+/// Simulates the requests against a router and counts the results.
 pub fn run(site: &Site, requests: &[BenchRequest], router: &mut dyn BenchRouter) -> BenchResult {
     let mut simulation = Simulation {
         engines: (0..site.engines).map(|_| Engine::default()).collect(),
