--- a/crates/policy/benches/decision/main.rs
+++ b/crates/policy/benches/decision/main.rs
@@ -1,6 +1,7 @@
-//! Time of one decision by queued requests, upstreams and teams, of following a
-//! configuration, and of a coordinator's answer by hosts. Each figure is the mean
-//! over many; look at the growth, absolute times are noisy.
+//! Measures how the controller's work scales: a scheduling decision with the number of
+//! queued requests, upstreams and teams; applying a configuration with its size; and a
+//! coordinator's heartbeat answer with the number of hosts. Compare the growth between
+//! rows, since absolute times are noisy.
 //!
 //! `cargo bench -p rhubarbcove-policy --bench decision`
 
@@ -26,13 +27,13 @@
 
 use setup::{Size, arrival, controller, document, heartbeat, peer_host, with_routes};
 
-/// Host names that routes are spread over.
+/// Number of host names that the routes are spread over.
 const HOSTNAMES: usize = 4;
 
-/// Routes that are looked for.
+/// Number of route lookups timed for each figure.
 const ROUTE_LOOKUPS: usize = 2_000;
 
-/// Decisions timed for each figure.
+/// Number of decisions timed for each figure.
 const DECISIONS: usize = 20_000;
 
 fn main() {
@@ -151,7 +152,7 @@
     );
 }
 
-/// Time in which the controller takes the next version.
+/// Measures how long the controller takes to apply the next configuration version.
 fn apply_time_ms(controller: &mut Controller, document: Document) -> f64 {
     let versioned = Arc::new(VersionedDocument {
         document,
@@ -163,7 +164,7 @@
     start.elapsed().as_secs_f64() * 1e3
 }
 
-/// A configuration of many routes, each with a class of its own, as installations have it.
+/// Measures a configuration with many routes, each with its own class, as in installations.
 fn routes(count: usize, teams: usize) {
     let document = with_routes(document(1, teams), count);
     let mut controller = controller(Size {
--- a/crates/policy/benches/decision/setup.rs
+++ b/crates/policy/benches/decision/setup.rs
@@ -3,7 +3,7 @@
 /// Slots of each upstream.
 pub const SLOTS: u32 = 4;
 
-/// Models, spread over the upstreams.
+/// Number of models, spread evenly over the upstreams.
 const MODELS: usize = 8;
 
 #[derive(Clone, Copy, Debug)]
@@ -98,7 +98,7 @@
     }
 }
 
-/// The heartbeat of a host that has requests of every tier for every model.
+/// The heartbeat of a host with demand in every tier for every model.
 pub fn heartbeat(number: usize, round: usize) -> Heartbeat {
     let demand = |model: usize| Demand {
         by_tier: [0, 1, 2, 3, 4, 5].map(|tier| ((number + round + model + tier) % 7) as u32),
@@ -118,7 +118,7 @@
     }
 }
 
-/// The document with routes that have a class each, and teams of three tiers.
+/// Adds routes with one class each to the document, and spreads its teams over three tiers.
 pub fn with_routes(mut document: Document, count: usize) -> Document {
     for (number, team) in document.teams.values_mut().enumerate() {
         team.tier = Tier::new(number as u8 % 3);
--- a/crates/policy/benches/installation/main.rs
+++ b/crates/policy/benches/installation/main.rs
@@ -1,6 +1,6 @@
-//! Time of the decisions of a host in an installation, by the engines that it knows: a
-//! prompt placed, a tick beside a running stream, a changed table of upstreams, and one
-//! just after the store's return.
+//! Measures how a host's work in an installation scales with the number of known engines:
+//! placing a prompt, a tick while a response streams, a changed table of upstreams, and a
+//! changed table just after the store becomes available again.
 //!
 //! `cargo bench -p rhubarbcove-policy --bench installation`
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Mean time of some work.
+/// Mean duration of one call of `work`.
 fn mean_duration(rounds: u32, mut work: impl FnMut(u32)) -> Duration {
     let start = Instant::now();
     for round in 0..rounds {
@@ -61,7 +61,7 @@
     }
 }
 
-/// One engine less, and another one less in the next round.
+/// Reads a table of upstreams from which one engine is missing, another in each round.
 fn change_table(host: &mut Host, count: usize, round: u32) {
     let mut listed = engines(count);
     let removed = format!("engine-{round}").parse().unwrap();
