--- a/crates/policy/benches/decision/main.rs
+++ b/crates/policy/benches/decision/main.rs
@@ -1,6 +1,7 @@
-//! Time of one decision by queued requests, upstreams and teams, of following a
-//! configuration, and of a coordinator's answer by hosts. Each figure is the mean
-//! over many; look at the growth, absolute times are noisy.
+//! Measures how the controller's work scales: a scheduling decision with the number of
+//! queued requests, upstreams and teams; applying a configuration with its size; and a
+//! coordinator's heartbeat answer with the number of hosts. Compare the growth between
+//! rows, since absolute times are noisy.
 //!
 //! `cargo bench -p rhubarbcove-policy --bench decision`
 
@@ -24,15 +25,15 @@
 
 mod setup;
 
-use setup::{Size, arrival, controller, document, heartbeat, listed, with_routes};
+use setup::{Size, arrival, controller, document, heartbeat, peer_host, with_routes};
 
-/// Host names that routes are spread over.
+/// Number of host names that the routes are spread over.
 const HOSTNAMES: usize = 4;
 
-/// Routes that are looked for.
-const ROUTES_FOUND: usize = 2_000;
+/// Number of route lookups timed for each figure.
+const ROUTE_LOOKUPS: usize = 2_000;
 
-/// Decisions timed for each figure.
+/// Number of decisions timed for each figure.
 const DECISIONS: usize = 20_000;
 
 fn main() {
@@ -93,7 +94,7 @@
         controller.handle(now, Event::Arrived(arrival(next, size.teams)), &mut actions);
         next += 1;
     }
-    note_sent(&mut actions, &mut running);
+    record_sent(&mut actions, &mut running);
     let start = Instant::now();
     for _ in 0..DECISIONS {
         now = now.plus_ms(1);
@@ -111,18 +112,18 @@
         controller.handle(now, event, &mut actions);
         controller.handle(now, Event::Arrived(arrival(next, size.teams)), &mut actions);
         next += 1;
-        note_sent(&mut actions, &mut running);
+        record_sent(&mut actions, &mut running);
     }
-    let each_us = start.elapsed().as_secs_f64() * 1e6 / DECISIONS as f64;
+    let mean_us = start.elapsed().as_secs_f64() * 1e6 / DECISIONS as f64;
     println!(
-        "  {:>6} queued {:>4} upstreams {:>5} teams: {each_us:>7.2} us, with the arrival of the one after it",
+        "  {:>6} queued {:>4} upstreams {:>5} teams: {mean_us:>7.2} us, with the arrival of the one after it",
         controller.queued(),
         size.upstreams,
         size.teams,
     );
 }
 
-fn note_sent(actions: &mut Vec<Action>, running: &mut VecDeque<(RequestId, AttemptId)>) {
+fn record_sent(actions: &mut Vec<Action>, running: &mut VecDeque<(RequestId, AttemptId)>) {
     for action in actions.drain(..) {
         if let Action::Send { order, request } = action {
             running.push_back((request, order.attempt));
@@ -143,7 +144,7 @@
         teams,
         upstreams,
     });
-    let apply_ms = put_in_force_ms(&mut controller, patched);
+    let apply_ms = apply_time_ms(&mut controller, patched);
     println!(
         "  {upstreams:>4} upstreams {teams:>3} teams: {:>4} KB as JSON, patched in {patch_ms:.1} ms, \
          put in force in {apply_ms:.1} ms",
@@ -151,19 +152,19 @@
     );
 }
 
-/// Time in which the controller takes the next version.
-fn put_in_force_ms(controller: &mut Controller, document: Document) -> f64 {
-    let numbered = Arc::new(VersionedDocument {
+/// Measures how long the controller takes to apply the next configuration version.
+fn apply_time_ms(controller: &mut Controller, document: Document) -> f64 {
+    let versioned = Arc::new(VersionedDocument {
         document,
         version: ConfigVersion::new(2),
     });
     let start = Instant::now();
-    let event = Event::ConfigurationRead(numbered);
+    let event = Event::ConfigurationRead(versioned);
     controller.handle(Time::default(), event, &mut Vec::new());
     start.elapsed().as_secs_f64() * 1e3
 }
 
-/// A configuration of many routes, each with a class of its own, as installations have it.
+/// Measures a configuration with many routes, each with its own class, as in installations.
 fn routes(count: usize, teams: usize) {
     let document = with_routes(document(1, teams), count);
     let mut controller = controller(Size {
@@ -172,14 +173,14 @@
         upstreams: 1,
     });
     let start = Instant::now();
-    for number in 0..ROUTES_FOUND {
+    for number in 0..ROUTE_LOOKUPS {
         let wanted = number % count;
         let hostname = format!("host-{}.example", wanted % HOSTNAMES);
         let path = format!("/route-{wanted}/7");
         assert!(document.routes.find(&hostname, &path).is_some());
     }
-    let find_us = start.elapsed().as_secs_f64() * 1e6 / ROUTES_FOUND as f64;
-    let apply_ms = put_in_force_ms(&mut controller, document);
+    let find_us = start.elapsed().as_secs_f64() * 1e6 / ROUTE_LOOKUPS as f64;
+    let apply_ms = apply_time_ms(&mut controller, document);
     println!(
         "  {count:>5} routes {teams:>3} teams: put in force in {apply_ms:.2} ms, a route found in {find_us:.2} us"
     );
@@ -192,7 +193,7 @@
         upstreams: 131,
     });
     let mut actions = Vec::new();
-    let listed = (0..hosts).map(listed).collect();
+    let listed = (0..hosts).map(peer_host).collect();
     controller.handle(
         Time::default(),
         Event::HostsListed { hosts: listed },
@@ -210,7 +211,7 @@
             controller.handle(now, event, &mut actions);
         }
     }
-    let each_us = start.elapsed().as_secs_f64() * 1e6 / (rounds * hosts) as f64;
+    let mean_us = start.elapsed().as_secs_f64() * 1e6 / (rounds * hosts) as f64;
     for action in actions {
         if let Action::AnswerHeartbeat { answer, .. } = action {
             bytes.1 = serde_json::to_string(&answer).unwrap().len();
@@ -218,7 +219,7 @@
     }
     bytes.0 = serde_json::to_string(&heartbeat(0, 0)).unwrap().len();
     println!(
-        "  {hosts:>3} hosts: {each_us:>7.1} us each; a loaded host's heartbeat {} bytes, its answer {}",
+        "  {hosts:>3} hosts: {mean_us:>7.1} us each; a loaded host's heartbeat {} bytes, its answer {}",
         bytes.0, bytes.1,
     );
 }
--- a/crates/policy/benches/overload/class.rs
+++ b/crates/policy/benches/overload/class.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A class of the bench: its targets, and its part of the load.
+/// A request class of the benchmark: its latency targets and its share of the load.
 pub struct Class {
     pub deadline_ms: u64,
     pub first_token_target_ms: u64,
@@ -56,7 +56,7 @@
     },
 ];
 
-/// The configuration of a bench: the classes, a paid and a trial team, and the
+/// The configuration of a benchmark: the classes, a paid and a trial team, and the
 /// engines of the site.
 pub fn document(site: &Site, max_headroom_share: f64) -> Document {
     let classes: BTreeMap<&str, _> = CLASSES
@@ -72,8 +72,8 @@
         })
         .collect();
     let team = |trial: bool| {
-        let mine = CLASSES.iter().filter(|class| class.trial == trial);
-        let names: Vec<&str> = mine.map(|class| class.name).collect();
+        let team_classes = CLASSES.iter().filter(|class| class.trial == trial);
+        let names: Vec<&str> = team_classes.map(|class| class.name).collect();
         json!({
             "classes": names, "default_class": names[0],
             "key_sha256": KeyHash::of_key(if trial { "trial" } else { "paid" }),
@@ -86,7 +86,7 @@
             let definition = json!({
                 "kind": "engine", "address": format!("127.0.0.1:{}", 10_000 + number),
                 "failure_domain": "a", "models": ["small"],
-                "queue_bound": world::QUEUE_BOUND, "resumes": true, "slots": site.slots,
+                "queue_bound": simulation::QUEUE_BOUND, "resumes": true, "slots": site.slots,
             });
             (engine_name(number), definition)
         })
--- a/crates/policy/benches/overload/controllers.rs
+++ b/crates/policy/benches/overload/controllers.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-/// How the hosts of a bench talk to each other.
+/// How heartbeats between the hosts of a benchmark are delivered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Peering {
-    /// Heartbeats arrive at once, but the coordinator's host stands still as a
-    /// peer for 5 s of each 10 s.
+    /// Heartbeats are answered without delay, except in the last 5 s of each 10 s, when
+    /// the coordinator answers none.
     Frozen,
-    /// No heartbeat arrives.
+    /// No heartbeat is answered.
     Off,
-    /// Heartbeats arrive at once.
+    /// Heartbeats are answered without delay.
     On,
 }
 
-/// What is measured: the controller, one for each host.
+/// The router under test: one controller for each host.
 pub struct Controllers {
     attempts: BTreeMap<usize, (usize, AttemptId)>,
     controllers: Vec<Controller>,
@@ -21,16 +21,16 @@
     peering: Peering,
 }
 
-/// Half of the period in which a frozen coordinator stands still.
+/// Length of each pause of a frozen coordinator, and of the time between two pauses.
 const FREEZE_S: u64 = 5;
 
 impl Controllers {
     pub fn new(site: &Site, rules: &SlotRules, peering: Peering, headroom: f64, seed: u64) -> Self {
-        let numbered = Arc::new(VersionedDocument {
+        let versioned = Arc::new(VersionedDocument {
             document: class::document(site, headroom),
             version: ConfigVersion::new(1),
         });
-        let hosts: Vec<PeerHost> = (0..site.hosts).map(listed).collect();
+        let hosts: Vec<PeerHost> = (0..site.hosts).map(peer_host).collect();
         let mut controllers = Vec::new();
         for number in 0..site.hosts {
             let mut controller = Controller::new(ControllerOptions {
@@ -43,7 +43,7 @@
                 seed: seed * 1_000 + number as u64,
             });
             let mut actions = Vec::new();
-            let read = Event::ConfigurationRead(Arc::clone(&numbered));
+            let read = Event::ConfigurationRead(Arc::clone(&versioned));
             controller.handle(Time::default(), read, &mut actions);
             let hosts = hosts.clone();
             controller.handle(Time::default(), Event::HostsListed { hosts }, &mut actions);
@@ -81,7 +81,7 @@
                     host: coordinator,
                     ..
                 } => {
-                    let answer = self.ask(now, &coordinator, heartbeat);
+                    let answer = self.deliver_heartbeat(now, &coordinator, heartbeat);
                     let event = Event::HeartbeatAnswered {
                         answer,
                         sent: now,
@@ -95,7 +95,7 @@
         starts
     }
 
-    fn ask(
+    fn deliver_heartbeat(
         &mut self,
         now: Time,
         coordinator: &HostId,
@@ -111,8 +111,8 @@
             .parse()
             .unwrap();
         let mut actions = Vec::new();
-        let asked = Event::HeartbeatReceived { call: 0, heartbeat };
-        self.controllers[number].handle(now, asked, &mut actions);
+        let received = Event::HeartbeatReceived { call: 0, heartbeat };
+        self.controllers[number].handle(now, received, &mut actions);
         actions.into_iter().find_map(|action| match action {
             Action::AnswerHeartbeat { answer, .. } => Some(answer),
             _ => None,
@@ -132,7 +132,7 @@
     }
 }
 
-fn listed(number: usize) -> PeerHost {
+fn peer_host(number: usize) -> PeerHost {
     PeerHost {
         address: format!("127.0.0.1:{}", 20_000 + number).parse().unwrap(),
         failure_domain: "a".parse().unwrap(),
