--- a/crates/policy/benches/overload/simulation.rs
+++ b/crates/policy/benches/overload/simulation.rs
@@ -158,7 +158,10 @@
     fn begin(&mut self, now: Time, engine: usize, request: usize) {
         let tokens = self.requests[request].tokens;
         self.push(now + prefill_time(), SimEvent::FirstToken(request));
-        self.push(now + service_time(tokens), SimEvent::End { engine, request });
+        self.push(
+            now + service_time(tokens),
+            SimEvent::End { engine, request },
+        );
     }
 
     fn release_slot(&mut self, now: Time, engine: usize) {
