--- a/crates/router/src/duty_log.rs
+++ b/crates/router/src/duty_log.rs
@@ -57,7 +57,7 @@
             are_usable: false,
             service,
         } => {
-            warn!(logger, "duties: prices by failure domain not usable, treated as equal";
+            warn!(logger, "duties: prices by failure domain not usable, taken as equal";
                 "service" => %service);
         }
         DutyReport::Usage {
